--- a/mapleline/lab/days.py
+++ b/mapleline/lab/days.py
@@ -478,10 +478,14 @@
 
 def play(
     seed: int, troubles: Callable[[Day], None] = by_lot, length: float = DAY_S + 6.0, closing: str | None = None,
-    load: float = 1.0, grown: bool = False,
+    load: float = 1.0, grown: bool = False, observer: Callable[[float, str, str, str, bytes], None] | None = None,
 ) -> tuple[list[str], Day]:  # fmt: skip
-    """The rules that were broken, and the day.  `closing`: one of CLOSINGS, none; by lot where it isn't said."""
+    """The rules that were broken, and the day.  `closing`: one of CLOSINGS, none; by lot where it isn't said.
+
+    `observer` hears of all that crosses a machine's border, as `World.observe` has it.
+    """
     day = Day(seed, load=load, grown=grown)
+    day.world.observer = observer
     day.begin()
     troubles(day)
     day.world.run(length)
--- /dev/null
+++ b/mapleline/lab/digest.py
@@ -0,0 +1,68 @@
+"""Digests of behaviour: one hash over everything that crosses a machine's border in a simulated day.
+
+A simulated day is deterministic, so two versions of the program that behave alike give the same digest for the same
+seed.  A refactoring has to leave every digest as it is, bit for bit.
+"""
+
+from __future__ import annotations
+
+import logging
+import multiprocessing
+from collections import Counter
+from collections.abc import Iterable
+from dataclasses import asdict, dataclass, field
+from functools import partial
+from hashlib import blake2b
+from typing import Any
+
+from .days import play
+
+DIGEST_BYTES = 16
+
+
+@dataclass(frozen=True)
+class Behaviour:
+    """What one simulated day came to: the digest of its events, and how many there were of each kind."""
+
+    seed: int
+    grown: bool
+    digest: str
+    events: dict[str, int] = field(default_factory=dict)
+
+    def to_json(self) -> dict[str, Any]:
+        return asdict(self)
+
+
+class BehaviourDigest:
+    """Hashes events in their order; an instance is the `observer` of a simulated world."""
+
+    def __init__(self) -> None:
+        self._hash = blake2b(digest_size=DIGEST_BYTES)
+        self.events: Counter[str] = Counter()
+
+    def __call__(self, time_s: float, kind: str, source: str, target: str, data: bytes) -> None:
+        """One event: a datagram, call, reply, request, answer, attempt, platform call or disk write."""
+        self.events[kind] += 1
+        self._hash.update(f"{time_s!r} {kind} {source} {target} {len(data)}\n".encode())
+        self._hash.update(data)
+
+    def hexdigest(self) -> str:
+        return self._hash.hexdigest()
+
+
+def measure(seed: int, grown: bool = False) -> Behaviour:
+    """Play the day of a seed and return its digest.  `grown`: the large system of `days.Day`."""
+    previous = logging.root.manager.disable
+    logging.disable(logging.CRITICAL)
+    try:
+        digest = BehaviourDigest()
+        play(seed, grown=grown, observer=digest)
+    finally:
+        logging.disable(previous)
+    return Behaviour(seed, grown, digest.hexdigest(), dict(sorted(digest.events.items())))
+
+
+def measure_all(seeds: Iterable[int], jobs: int, grown: bool = False) -> list[Behaviour]:
+    """The digests of many seeds, in their order, on `jobs` processes."""
+    with multiprocessing.Pool(jobs) as pool:
+        return pool.map(partial(measure, grown=grown), seeds, chunksize=1)
--- a/mapleline/lab/world.py
+++ b/mapleline/lab/world.py
@@ -131,7 +131,8 @@
 class Disk:
     """What is lasting of a machine's folder (`archive.snapshot.Store`)."""
 
-    def __init__(self) -> None:
+    def __init__(self, observe: Callable[[bytes], None]) -> None:
+        self.observe = observe  #: called with each record that is written
         self.record: Record | None = None
         self.contents: dict[int, bytes] = {}
         self.refuses, self.hangs_until = False, 0.0
@@ -146,6 +147,7 @@
         if held is None or held.turn < record.turn:
             self.contents = {name: (contents | self.contents)[name] for name in named(record)}
             self.record = record
+            self.observe(messages.encode(record))
 
     def put_aside(self) -> None:
         self.record, self.contents = None, {}
@@ -166,7 +168,7 @@
         self.world, self.zone, self.name = world, zone, f"{zone}-{nth}"
         self.address = f"10.{world.zone_names.index(zone) + 1}.0.{nth}"
         self.ip = number(self.address)
-        self.disk = Disk() if disk else None
+        self.disk = Disk(self._observe_write) if disk else None
         self.node: Node | None = None
         self.life: Life | None = None
         self.lives, self.frozen_until, self.removed = 0, 0.0, False
@@ -253,7 +255,10 @@
 
     def wipe(self) -> None:
         if self.disk is not None:
-            self.disk = Disk()
+            self.disk = Disk(self._observe_write)
+
+    def _observe_write(self, data: bytes) -> None:
+        self.world.observe("write", self.name, "", data)
 
     def term(self) -> None:
         """SIGTERM."""
@@ -284,6 +289,7 @@
         world = self.world
         world.sent[kind] = world.sent.get(kind, 0) + len(data) + 28
         to = world.by_ip.get(ip)
+        world.observe("datagram", self.name, str(ip), data)
         if to is None or world.is_cut(self, to) or world.rng.random() < world.loss:
             return
         for _ in range(world.copies()):
@@ -307,6 +313,7 @@
         out, data = fence.request(ip, message)
         world.sent["calls"] = world.sent.get("calls", 0) + len(data) + 200
         world.calls.append((world.now, self.name, to.name if to is not None else "", type(message).__name__))
+        world.observe("call", self.name, str(ip), data)
         life = self.life
 
         def fires(fire: Callable[[Any], None], value: Any) -> None:
@@ -323,6 +330,7 @@
 
         def back(data: bytes) -> None:
             world.sent["calls"] += len(data)
+            world.observe("reply", to.name, self.name, data)
             if not world.is_cut(self, to):
                 data = world.astray(self, data)
                 world.after(way + world.lateness(), life.run, answered, data)
@@ -390,6 +398,7 @@
             return
         self.busy, began, life = True, world.clock.seconds(), machine.life
         world.list_calls.append((began, machine.name))
+        world.observe("platform", machine.name, "", b"")
 
         def come(found: list) -> None:
             self.busy = False
@@ -416,6 +425,7 @@
             world.after(DIAL_S if dark else 2 * way, life.run, attempt.end, "unreachable")
             return
         attempt.written, attempt.sent_at = True, world.clock.seconds()
+        world.observe("attempt", self.machine.name, server.id, bytes(attempt.data))
         world.after(way, server.arrive, Arrived(attempt, self.machine, life, way, attempt.sent_at))
 
 
@@ -522,6 +532,7 @@
         self.rng, self.clock = random.Random(seed), Agenda(1000.0)
         self.zones, self.losses, self.bounds = zones, losses, bounds
         self.zone_names = sorted(zones)
+        self.observer: Callable[[float, str, str, str, bytes], None] | None = None
         self.loss = 0.001
         self.doubles = 0.0  #: share of datagrams and calls that come twice
         self.lates, self.late_s = 0.0, 3.0  #: share of datagrams, calls and replies that come late, by up to so much
@@ -590,6 +601,11 @@
         earlier.append(reply)
         return astray
 
+    def observe(self, kind: str, source: str, target: str, data: bytes) -> None:
+        """Something crosses a machine's border; `observer`, if there is one, hears of it with the virtual time."""
+        if self.observer is not None:
+            self.observer(self.now, kind, source, target, data)
+
     def start(self) -> None:
         """The whole system for the first time."""
         for machine in self.machines.values():
@@ -733,6 +749,7 @@
 
         def answered(status: int, body: bytes, lines: bytes) -> None:
             waiting.pop(door, None)
+            self.observe("answer", machine.name, of, b"%d\r\n%b\r\n%b" % (status, lines, body))
             if of != "control" or not self.lose_answers or self.rng.random() >= self.lose_answers:
                 self.after(IN_ZONE_S, told, status, body, lines)
 
@@ -740,6 +757,7 @@
         waiting[door] = None
         fields = {name.lower().encode(): value.encode() for name, value in headers.items()}
         request = Request(method.encode(), path.encode(), fields, body, True, False, b"1", len(body))
+        self.observe("request", of, machine.name, b"%b\r\n%b" % (repr((method, path, headers)).encode(), body))
         node = machine.node
         take = {"desk": node.desk.take, "control": node.control.take, "directory": node.directory.take}[of]
         machine.life.run(take, door, request)
