--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -23,8 +23,8 @@
 
 from boltons.tableutils import Table  # noqa: E402
 
-from mapleline.system.archive.snapshot import FOLDER  # noqa: E402
-from mapleline.system.trial import CONTROL, ZONES, Trial, configuration, until  # noqa: E402
+from mapleline.balancer.cli.trial import CONTROL, ZONES, Trial, configuration, until  # noqa: E402
+from mapleline.balancer.control.snapshot import FOLDER  # noqa: E402
 
 STEP_S = 0.01
 
--- a/mapleline/__main__.py
+++ b/mapleline/__main__.py
@@ -7,16 +7,16 @@
 
 
 def main() -> int:
-    if sys.argv[1:] == ["desk"]:  # a role of the system starts without the command line's packages
+    if sys.argv[1:] in (["balancer"], ["desk"]):  # the role of the global load balancer starts without the command line's packages
         stand_in = types.ModuleType("asyncio")  # three names that Twisted's Deferred takes, for what we don't use:
         stand_in.AbstractEventLoop = stand_in.Future = type("Unused", (), {})  # a tenth of a process's memory
         stand_in.iscoroutine = lambda value: isinstance(value, types.CoroutineType)
         held = sys.modules.setdefault("asyncio", stand_in)
-        from .system.node import main as desk
+        from .balancer.node import main as serve_balancer
 
         if held is stand_in:
             del sys.modules["asyncio"]
-        return desk()
+        return serve_balancer()
     if len(sys.argv) > 1:
         from .cli import main as command
 
--- a/mapleline/balancer/cli/commands.py
+++ b/mapleline/balancer/cli/commands.py
@@ -12,8 +12,8 @@
 import cappa
 from expression import Error, Ok, Result
 
-from . import offline
-from .calls import ask, rollback
+from . import data_folder
+from .operator_client import ask, rollback
 
 AT = cappa.Arg(long="--at", help="control addresses, host:port, tried in order; commas between them")
 
@@ -39,9 +39,9 @@
 
 @cappa.command(help="The role of every machine: data plane, and a part of the core where there is a disk")
 @dataclass
-class Desk:
+class Balancer:
     def __call__(self) -> None:
-        from .node import main
+        from ..node import main
 
         raise cappa.Exit(code=main())
 
@@ -52,7 +52,7 @@
     file: Path
 
     def __call__(self) -> None:
-        tell(read_file(self.file).bind(offline.check_settings))
+        tell(read_file(self.file).bind(data_folder.check_settings))
 
 
 @cappa.command(name="check", help="Check a configuration as an ingress would; names the key at fault")
@@ -61,7 +61,7 @@
     file: Path
 
     def __call__(self) -> None:
-        tell(read_file(self.file).bind(offline.check_config))
+        tell(read_file(self.file).bind(data_folder.check_config))
 
 
 @cappa.command(name="put", help="Send a whole configuration; done once the core has it on disk")
@@ -72,7 +72,7 @@
 
     def __call__(self) -> None:
         body = read_file(self.file)
-        tell(body.bind(offline.check_config))
+        tell(body.bind(data_folder.check_config))
         tell(body.bind(lambda text: ask(self.at, "POST", "/config/replace", text)).map(lambda _: "acknowledged"))
 
 
@@ -191,7 +191,7 @@
     folder: Path
 
     def __call__(self) -> None:
-        tell(offline.check_archive(self.folder))
+        tell(data_folder.check_archive(self.folder))
 
 
 @cappa.command(name="dump", help="The whole word as JSON on standard output; of the earlier format too")
@@ -202,9 +202,9 @@
 
     def __call__(self) -> None:
         if self.config:
-            tell(offline.dump_config(self.folder), end="")
+            tell(data_folder.dump_config(self.folder), end="")
         else:
-            tell(offline.dump_archive(self.folder))
+            tell(data_folder.dump_archive(self.folder))
 
 
 @cappa.command(name="restore", help="Write a dump into an empty folder; the machine believes it once the core agrees")
@@ -214,7 +214,7 @@
     dump: Path
 
     def __call__(self) -> None:
-        tell(read_file(self.dump).bind(lambda text: offline.restore_archive(self.folder, text)))
+        tell(read_file(self.dump).bind(lambda text: data_folder.restore_archive(self.folder, text)))
 
 
 @cappa.command(help="The operator's word in a stopped machine's data folder")
@@ -237,7 +237,7 @@
 @cappa.command(name="mapleline", help="The global load balancer.  For the ingress alone: mapleline --help")
 @dataclass
 class System:
-    what: cappa.Subcommands[Desk | Settings | Config | Evacuate | Core | Status | Archive | Try]
+    what: cappa.Subcommands[Balancer | Settings | Config | Evacuate | Core | Status | Archive | Try]
 
 
 def main(words: list[str]) -> int:
--- a/mapleline/balancer/cli/data_folder.py
+++ b/mapleline/balancer/cli/data_folder.py
@@ -10,18 +10,18 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from . import config, settings
-from .archive import earlier
-from .archive.agreement import Acceptor, Record
-from .archive.earlier import Earlier
-from .archive.snapshot import FOLDER, Snapshot, make
-from .archive.state import State, digest
+from .. import configuration, settings
+from ..control import migration
+from ..control.consensus import Acceptor, Record
+from ..control.migration import LegacyFolder
+from ..control.snapshot import FOLDER, Snapshot, make
+from ..control.state import State, digest
 
 
 def check_settings(text: bytes) -> Result[str, str]:
     try:
         boot = settings.read(text.decode())
-    except (settings.SettingsFault, UnicodeDecodeError) as err:
+    except (settings.SettingsError, UnicodeDecodeError) as err:
         return Error(str(err))
     return Ok(f"{boot.node_name}: {boot.zone}, {'disk' if boot.data_directory else 'no disk'}, "
               f"{len(boot.seed_nodes)} seeds")  # fmt: skip
@@ -29,8 +29,8 @@
 
 def check_config(text: bytes) -> Result[str, str]:
     try:
-        read = config.read(text)
-    except config.ConfigFault as err:
+        read = configuration.read(text)
+    except configuration.ConfigurationError as err:
         return Error(str(err))
     lines = [f"version {read.config_version}: {len(read.route_table)} routes, {len(read.service_table)} services, "
              f"{len(read.tenant_table)} tenants"]  # fmt: skip
@@ -59,10 +59,10 @@
     return Ok((record, contents))
 
 
-def _old(folder: Path) -> Result[Earlier | None, str]:
+def _old(folder: Path) -> Result[LegacyFolder | None, str]:
     """What it holds of the earlier format, in use or put aside."""
     try:
-        old = earlier.load(folder)
+        old = migration.load(folder)
     except OSError as err:
         return Error(f"{folder}: {err.strerror}")
     return Error(old) if isinstance(old, str) else Ok(old)
@@ -70,14 +70,14 @@
 
 def _in_use(folder: Path) -> bool:
     word = folder / FOLDER
-    return word.is_dir() and any(earlier.is_of(path.name) for path in word.iterdir())
+    return word.is_dir() and any(migration.is_of(path.name) for path in word.iterdir())
 
 
 def _version(state: State | None) -> int | None:
     return state.config[0] if state is not None and state.config is not None else None
 
 
-def _brief(old: Earlier) -> str:
+def _brief(old: LegacyFolder) -> str:
     version = old.config.version if old.config is not None else None
     return f"of the earlier format: config {version}, evacuated: {', '.join(old.evacuated) or 'none'}"
 
@@ -92,21 +92,21 @@
         return (f"state {state.number} of system {state.system}, epoch {state.epoch}: {vote} of {len(state.voters)}; "
                 f"config {_version(state)}, evacuated: {', '.join(state.evacuated) or 'none'}{open_}")  # fmt: skip
 
-    def beside(old: Earlier | None) -> Result[str, str]:
+    def beside(old: LegacyFolder | None) -> Result[str, str]:
         if old is not None and _in_use(folder):
             return Error(f"{folder}: {_brief(old)}; it is no part of the present one: `config put` what `archive dump "
                          "--config` gives")  # fmt: skip
         found = _load(folder).map(line)
-        return found if old is None else found.map(lambda text: f"{text}; beside it {earlier.FOLDER}, {_brief(old)}")
+        return found if old is None else found.map(lambda text: f"{text}; beside it {migration.FOLDER}, {_brief(old)}")
 
     return _old(folder).bind(beside)
 
 
 def _either(
-    folder: Path, new: Callable[[State, dict[int, bytes]], str | None], old: Callable[[Earlier], str | None]
+    folder: Path, new: Callable[[State, dict[int, bytes]], str | None], old: Callable[[LegacyFolder], str | None]
 ) -> Result[str, str]:
     """Of the present format, or of the earlier one where the present one has nothing of that: not where it is torn."""
-    def found(aside: Earlier | None) -> Result[str, str]:
+    def found(aside: LegacyFolder | None) -> Result[str, str]:
         before = old(aside) if aside is not None else None
         if before is not None and _in_use(folder):
             return Ok(before)
@@ -129,7 +129,7 @@
         fields = dict(zip(State.__struct_fields__, msgspec.to_builtins(state), strict=True))
         return json.dumps({"mapleline": 2, "state": fields, "contents": bodies}, indent=1)
 
-    def old(entries: Earlier) -> str:
+    def old(entries: LegacyFolder) -> str:
         rows = [{"key": e.key, "version": e.version, "tie": e.tie, "body": base64.b64encode(e.body).decode()}
                 for e in entries.entries]  # fmt: skip
         return json.dumps({"mapleline": 1, "word": rows}, indent=1)
--- a/mapleline/balancer/cli/operator_client.py
+++ b/mapleline/balancer/cli/operator_client.py
@@ -7,7 +7,7 @@
 
 from expression import Error, Ok, Result
 
-from .settings import address
+from ..settings import address
 
 WAIT_S = 8.0
 HOPS = 2
--- a/mapleline/balancer/cli/trial.py
+++ b/mapleline/balancer/cli/trial.py
@@ -23,8 +23,8 @@
 
 from expression import Result
 
-from .archive.snapshot import ASIDE, FOLDER
-from .calls import ask, rollback
+from ..control.snapshot import ASIDE, FOLDER
+from .operator_client import ask, rollback
 
 ZONES = {"z1": "east", "z2": "east", "z3": "west"}
 FOURTH = "z3-2"  #: a machine that joins later, in the third zone
@@ -134,7 +134,7 @@
         settings.write_text("\n".join(lines) + "\n")
         log = open(self.folder / f"{name}.log", "ab")
         self.processes[name] = subprocess.Popen(
-            [sys.executable, "-m", "mapleline", "desk"], env={**os.environ, "MAPLELINE_CONFIG": str(settings)},
+            [sys.executable, "-m", "mapleline", "balancer"], env={**os.environ, "MAPLELINE_CONFIG": str(settings)},
             stdout=log, stderr=log,
         )  # fmt: skip
 
--- a/mapleline/balancer/configuration.py
+++ b/mapleline/balancer/configuration.py
@@ -12,7 +12,7 @@
 LATE_AIM_S = 60.0  # an aim that far beyond the time-out is a slip of the pen (PROTOCOL, The operator)
 
 
-class ConfigFault(Exception):
+class ConfigurationError(Exception):
     """A configuration that is invalid; the text names the key."""
 
 
@@ -118,7 +118,7 @@
     except ValidationError as err:
         first = err.errors(include_url=False, include_input=False)[0]
         key = ".".join(str(part) for part in first["loc"]) or "the configuration"
-        raise ConfigFault(f"{key}: {first['msg']}") from None
+        raise ConfigurationError(f"{key}: {first['msg']}") from None
 
 
 class Table:
--- a/mapleline/balancer/control/audit_log.py
+++ b/mapleline/balancer/control/audit_log.py
@@ -22,7 +22,7 @@
 """
 
 
-class Chronicle:
+class AuditLog:
     """One machine's; every method may wait on the disk, and raises OSError where that refuses."""
 
     def __init__(self, folder: str, most_bytes: int) -> None:
--- a/mapleline/balancer/control/committed_state.py
+++ b/mapleline/balancer/control/committed_state.py
@@ -8,7 +8,7 @@
 from .state import State, digest
 
 
-class Held:
+class CommittedState:
     """`state` only climbs in one life."""
 
     def __init__(self) -> None:
--- a/mapleline/balancer/control/control_plane.py
+++ b/mapleline/balancer/control/control_plane.py
@@ -8,18 +8,18 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from ..log import say
-from ..messages import Accept, Call, Prepare, Probe, Propose, Pull, Pulled
-from ..messages import Held as Says
-from ..register import DISK, Register
-from ..settings import Boot
-from ..ways import Ways
-from .contact import Contact
-from .held import Held
-from .members import Members
-from .orders import CONFLICT, Forget, Order, Outcome
+from ..environment import Environment
+from ..logs import say
+from ..membership.table import DISK, MembershipTable
+from ..settings import Settings
+from ..transport.messages import Accept, Call, FetchedState, FetchState, Prepare, Propose, StateQuery
+from ..transport.messages import StateReport as StateReport
+from .commands import CONFLICT, Command, CommandResult, RemoveReplica
+from .committed_state import CommittedState
 from .proposer import CALL_S, Proposer
+from .read_lease import ReadLease
 from .replica import LocalReplica
+from .replica_monitor import ReplicaMonitor
 from .state import State
 
 PROBE_S, PROBE_HASTE_S, RELAYS = 1.0, 0.15, 2
@@ -27,23 +27,23 @@
 MEND_S = 5.0
 
 
-class Archive:
+class ControlPlane:
     """`in_force(before)` is called when a newer state is held, `teach()` tells who learns of it here; lists of servers
     travel along (`give_list`, `take_list`).
     """
 
     def __init__(
-        self, reactor: Any, boot: Boot, ways: Ways, register: Register, rng: random.Random,
+        self, reactor: Any, settings: Settings, environment: Environment, membership: MembershipTable, rng: random.Random,
         in_force: Callable[[State | None], None], teach: Callable[[], None], give_list: Callable[[], tuple[bytes, int]],
         take_list: Callable[[float, bytes], None],
     ) -> None:  # fmt: skip
-        self.reactor, self.boot, self.ways, self.register, self.rng = reactor, boot, ways, register, rng
+        self.reactor, self.settings, self.environment, self.membership, self.rng = reactor, settings, environment, membership, rng
         self.in_force, self.teach, self.give_list, self.take_list = in_force, teach, give_list, take_list
-        self.me, self.history = register.me.ip, ways.history()
-        self.held, self.contact = Held(), Contact()
-        self.replica = LocalReplica(reactor, ways, self.me, boot.initial_start, rng, self.held, self._hold)
-        self.members = Members(reactor, boot, register, self.held, self.replica, self.since)
-        self.proposer = Proposer(reactor, boot, ways, rng, self.held, self.replica, self.members, self._won)
+        self.me, self.history = membership.me.ip, environment.history()
+        self.held, self.contact = CommittedState(), ReadLease()
+        self.replica = LocalReplica(reactor, environment, self.me, settings.initial_start, rng, self.held, self._hold)
+        self.members = ReplicaMonitor(reactor, settings, membership, self.held, self.replica, self.since)
+        self.proposer = Proposer(reactor, settings, environment, rng, self.held, self.replica, self.members, self._won)
         self.probes: dict[int, tuple[int, float]] = {}  #: questions out: whom and when
         self.waiting: list[tuple[float, Deferred]] = []
         self.pulling = self.list_pulling = False
@@ -86,9 +86,9 @@
         now = self.reactor.seconds()
         asked = set(self.held.voters())
         if self.replica.store is not None or not asked:
-            asked |= {m.ip for m in self.register.alive(now, DISK)}
+            asked |= {m.ip for m in self.membership.alive(now, DISK)}
         if now - self.since() > 2 * PROBE_S:
-            others = [m.ip for m in self.register.alive(now) if not m.disk and m.ip != self.me]
+            others = [m.ip for m in self.membership.alive(now) if not m.disk and m.ip != self.me]
             asked |= set(self.rng.sample(others, min(RELAYS, len(others))))
         self.probes = {n: out for n, out in self.probes.items() if now - out[1] < 5}
         for ip in sorted(asked):
@@ -97,7 +97,7 @@
                 continue
             self.nonce = (self.nonce + 1) & 0x7FFFFFFF
             self.probes[self.nonce] = ip, now
-            self.ways.send(ip, Probe(self.nonce, *self.members.known(ip)))
+            self.environment.send(ip, StateQuery(self.nonce, *self.members.known(ip)))
 
     def _ask_self(self, now: float) -> None:
         if self.replica.is_voter:
@@ -106,7 +106,7 @@
                 self.contact.agree(self.me, self.replica.disk, now)
         self._confirmed()
 
-    def probed(self, ip: int, probe: Probe) -> None:
+    def probed(self, ip: int, probe: StateQuery) -> None:
         """Another one asks what is held here."""
         replica, number = self.replica, self.held.number
         replica.witness(ip, probe.disk, probe.seen)
@@ -115,12 +115,12 @@
         known = self.members.known(ip)
         if replica.disk:
             acceptor = replica.acceptor
-            self.ways.send(ip, Says(probe.nonce, acceptor.disk, acceptor.turn, acceptor.accepted, number, acceptor.kept,
+            self.environment.send(ip, StateReport(probe.nonce, acceptor.disk, acceptor.turn, acceptor.accepted, number, acceptor.kept,
                                     age_ms, *known, replica.vouched))  # fmt: skip
         else:
-            self.ways.send(ip, Says(probe.nonce, 0, 0, number, number, 0, age_ms, *known))
+            self.environment.send(ip, StateReport(probe.nonce, 0, 0, number, number, 0, age_ms, *known))
 
-    def told(self, ip: int, said: Says) -> None:
+    def told(self, ip: int, said: StateReport) -> None:
         """What another one holds; fetched first where that is newer."""
         out = self.probes.pop(said.nonce, None)
         if out is None or out[0] != ip:
@@ -133,7 +133,7 @@
         else:
             self._agree(ip, said, out[1])
 
-    def _agree(self, ip: int, said: Says, asked: float) -> None:
+    def _agree(self, ip: int, said: StateReport, asked: float) -> None:
         number = self.held.number
         if said.disk and said.accepted <= number:
             self.contact.agree(ip, said.disk, asked)
@@ -179,8 +179,8 @@
             return
         if self.wanting is None:
             self.wanting = now
-        member = self.register.members.get(ip)
-        known = [m for m in self.register.alive(now, DISK) if m.ip != self.me]
+        member = self.membership.members.get(ip)
+        known = [m for m in self.membership.alive(now, DISK) if m.ip != self.me]
         if member is not None and member.disk or not known or now - self.wanting > WANTING_S:
             self.pull(ip)
 
@@ -195,7 +195,7 @@
 
         def pulled(reply: Any) -> None:
             self.pulling, self.list_pulling = self.pulling and not state, self.list_pulling and not servers
-            if not isinstance(reply, Pulled):
+            if not isinstance(reply, FetchedState):
                 return
             if reply.state is not None:
                 self.learn(reply.state, reply.body)
@@ -204,8 +204,8 @@
             if then is not None:
                 then()
 
-        call = Pull(self.held.number, self.held.content, self.replica.store is not None, state, servers)
-        self.ways.call(ip, call, CALL_S).addBoth(pulled)
+        call = FetchState(self.held.number, self.held.content, self.replica.store is not None, state, servers)
+        self.environment.call(ip, call, CALL_S).addBoth(pulled)
 
     def learn(self, state: State, body: bytes | None) -> None:
         """A chosen state, from who holds it.  One as it goes to machines without a disk is nothing for a replica."""
@@ -227,9 +227,9 @@
         self.held.state, self.wanting = state, None
         if before is None or before.epoch != state.epoch:
             self.contact.keep(state)
-            self.register.pinned = set(self.held.voters())
+            self.membership.pinned = set(self.held.voters())
             for one in state.members():
-                self.register.know(one.ip, one.zone, DISK)
+                self.membership.know(one.ip, one.zone, DISK)
             say("archive", "members", epoch=state.epoch, voters=len(state.voters), former=len(state.former))
         self.held.prune(self.replica.names() | self.proposer.names())
         self.in_force(before)
@@ -237,7 +237,7 @@
             self.teach()
         if self.history is not None:
             for change in self._changes(before, state):
-                self.recall(self.history.keep, self.ways.unix(), *change)
+                self.recall(self.history.keep, self.environment.unix(), *change)
 
     def _changes(self, before: State | None, state: State) -> list[tuple[str, int, str, bytes]]:
         found = []
@@ -255,7 +255,7 @@
             reason.trap(OSError)
             say("archive", "history refused", error=reason.getErrorMessage())
 
-        return self.ways.in_thread(work, *with_).addErrback(refused)
+        return self.environment.in_thread(work, *with_).addErrback(refused)
 
     def called(self, call: Call) -> Any:
         """A call of another ingress: a reply or a Deferred of one."""
@@ -266,27 +266,27 @@
                 return self.replica.accept(call)
             case Propose():
                 return self.proposer.passed_on(call)
-            case Pull():
+            case FetchState():
                 return self._give(call)
 
-    def _give(self, call: Pull) -> Pulled:
+    def _give(self, call: FetchState) -> FetchedState:
         held, state, body = self.held, None, None
         if call.state and held.number > call.number:
             state = held.state if call.whole else held.state.brief()
             body = held.body if held.content != call.content else None
-        return Pulled(state, body, *self.give_list()) if call.servers else Pulled(state, body)
+        return FetchedState(state, body, *self.give_list()) if call.servers else FetchedState(state, body)
 
     # -- orders, leaving, repair ---------------------------------------------------------------------------
 
-    def order(self, order: Order, body: bytes | None, timeout_s: float) -> Deferred:
+    def order(self, order: Command, body: bytes | None, timeout_s: float) -> Deferred:
         """Fires with the outcome of an operator's order."""
         return self.proposer.order(order, body, timeout_s)
 
     def forget(self, ip: int, timeout_s: float) -> Deferred:
         """Let a machine of the core go that is gone for good; refused while it is there."""
-        if ip in self.held.voters() and ip in {m.ip for m in self.register.alive(self.reactor.seconds())}:
-            return succeed(Outcome(CONFLICT, "it is there: stop it first"))
-        return self.order(Forget(ip), None, timeout_s)
+        if ip in self.held.voters() and ip in {m.ip for m in self.membership.alive(self.reactor.seconds())}:
+            return succeed(CommandResult(CONFLICT, "it is there: stop it first"))
+        return self.order(RemoveReplica(ip), None, timeout_s)
 
     def mend(self) -> None:
         """Once in a while the disk is compared with what is held."""
--- a/mapleline/balancer/control/migration.py
+++ b/mapleline/balancer/control/migration.py
@@ -19,7 +19,7 @@
 CONFIG, EVACUATION = "config", "evacuation/"
 
 
-class Entry(msgspec.Struct, array_like=True, frozen=True):
+class LegacyRegister(msgspec.Struct, array_like=True, frozen=True):
     """One register; of two stamps (version, tie) the higher one won."""
 
     key: str
@@ -28,11 +28,11 @@
     body: bytes
 
 
-class Earlier(msgspec.Struct):
+class LegacyFolder(msgspec.Struct):
     """What such a folder says."""
 
-    entries: list[Entry]
-    config: Entry | None
+    entries: list[LegacyRegister]
+    config: LegacyRegister | None
     evacuated: list[str]
 
 
@@ -41,7 +41,7 @@
     return name == CORE or name.startswith(REGISTER)
 
 
-def load(folder: Path) -> Earlier | str | None:
+def load(folder: Path) -> LegacyFolder | str | None:
     """What the data folder holds of the earlier format, in use or put aside; a fault in one line; None if nothing."""
     for place in (folder / "word", folder / FOLDER):
         names = [name for name in sorted(os.listdir(place)) if is_of(name)] if place.is_dir() else []
@@ -50,7 +50,7 @@
     return None
 
 
-def _read(place: Path, names: list[str]) -> Earlier | str:
+def _read(place: Path, names: list[str]) -> LegacyFolder | str:
     entries = []
     for name in names:
         data = (place / name).read_bytes()
@@ -58,10 +58,10 @@
         try:
             if not data.startswith(MAGIC) or head != b"%08x %d" % (crc32(body), len(body)):
                 raise msgspec.DecodeError("torn, empty or foreign")
-            entries.append(msgspec.msgpack.decode(body, type=Entry))
+            entries.append(msgspec.msgpack.decode(body, type=LegacyRegister))
         except msgspec.DecodeError as err:
             return f"{place / name}: {err}"
     config = next((one for one in entries if one.key == CONFIG), None)
     evacuated = [one.key.removeprefix(EVACUATION) for one in entries
                  if one.key.startswith(EVACUATION) and one.body == b"begin"]  # fmt: skip
-    return Earlier(entries, config, evacuated)
+    return LegacyFolder(entries, config, evacuated)
--- a/mapleline/balancer/control/proposer.py
+++ b/mapleline/balancer/control/proposer.py
@@ -8,16 +8,16 @@
 
 from twisted.internet.defer import Deferred, maybeDeferred
 
-from ..courier import number
-from ..log import say
-from ..messages import Accept, Accepted, Call, Chosen, Prepare, Promised, Propose, Proposed
-from ..settings import Boot
-from ..ways import Ways
-from .agreement import NONE, Ballot, Proposal, Step
-from .held import Held
-from .members import Members
-from .orders import UNSURE, Order, Outcome, Replace, batch
+from ..environment import Environment
+from ..logs import say
+from ..settings import Settings
+from ..transport.connections import number
+from ..transport.messages import Accept, Accepted, Call, Chosen, Prepare, Promised, Propose, Proposed
+from .commands import UNSURE, Command, CommandResult, ReplaceConfiguration, batch
+from .committed_state import CommittedState
+from .consensus import NONE, Ballot, Proposal, Step
 from .replica import LocalReplica
+from .replica_monitor import ReplicaMonitor
 from .snapshot import whole
 from .state import State, digest, founded, genesis, reformed, settled
 
@@ -37,11 +37,11 @@
 
     __slots__ = ("body", "done", "end", "order")
 
-    def __init__(self, order: Order, body: bytes | None, end: float) -> None:
+    def __init__(self, order: Command, body: bytes | None, end: float) -> None:
         self.order, self.body, self.end = order, body, end
         self.done: Deferred = Deferred()
 
-    def answer(self, outcome: Outcome) -> None:
+    def answer(self, outcome: CommandResult) -> None:
         if not self.done.called:
             self.done.callback(outcome)
 
@@ -50,15 +50,15 @@
     """`won(state)` is called with each state that a ballot from here has seen chosen."""
 
     def __init__(
-        self, reactor: Any, boot: Boot, ways: Ways, rng: random.Random, held: Held, replica: LocalReplica,
-        members: Members, won: Callable[[State], None],
+        self, reactor: Any, settings: Settings, environment: Environment, rng: random.Random, held: CommittedState, replica: LocalReplica,
+        members: ReplicaMonitor, won: Callable[[State], None],
     ) -> None:  # fmt: skip
-        self.reactor, self.boot, self.ways, self.rng = reactor, boot, ways, rng
+        self.reactor, self.settings, self.environment, self.rng = reactor, settings, environment, rng
         self.held, self.replica, self.members, self.won = held, replica, members, won
         self.me = replica.me
         self.orders: list[_Asked] = []
         self.taken: list[_Asked] = []  #: orders in the ballot that is out
-        self.outcomes: list[Outcome] = []
+        self.outcomes: list[CommandResult] = []
         self.proposal: Proposal | None = None
         self.round = 0  #: the highest that was seen
         self.rest_until, self.lost = 0.0, 0  #: and how many ballots on end
@@ -66,10 +66,10 @@
 
     # -- orders --------------------------------------------------------------------------------------------
 
-    def order(self, order: Order, body: bytes | None, timeout_s: float) -> Deferred:
+    def order(self, order: Command, body: bytes | None, timeout_s: float) -> Deferred:
         """Fires with the outcome of an operator's order: UNSURE if a majority could not be reached in time."""
         asked = _Asked(order, body, self.reactor.seconds() + timeout_s)
-        self.reactor.callLater(timeout_s, asked.answer, Outcome(UNSURE))
+        self.reactor.callLater(timeout_s, asked.answer, CommandResult(UNSURE))
         self._route(asked, set())
         return asked.done
 
@@ -81,7 +81,7 @@
         untried = [m.ip for m in self.members.proposers(now) if m.ip not in tried]
         if not untried:
             if self._out_of_touch(now):
-                return asked.answer(Outcome(UNSURE))
+                return asked.answer(CommandResult(UNSURE))
             return self.reactor.callLater(0.2, self._route, asked, set())
         ip = untried[0]
         if ip == self.me:
@@ -95,35 +95,35 @@
 
         def answered(reply: Any) -> None:
             if isinstance(reply, Proposed) and reply.status != UNSURE:
-                asked.answer(Outcome(reply.status, reply.text))
+                asked.answer(CommandResult(reply.status, reply.text))
             else:
                 self.reactor.callLater(0.05, further)
 
         size = len(asked.body or b"") / 100_000  # seconds that a thin link takes
         self.reactor.callLater(HEDGE_S + size, further)  # the same order twice is one
-        self.ways.call(ip, Propose(asked.order, asked.body), RELAY_S + size).addBoth(answered)
+        self.environment.call(ip, Propose(asked.order, asked.body), RELAY_S + size).addBoth(answered)
 
     def passed_on(self, call: Propose) -> Any:
         """Another ingress passes an order on: what it is to be told, or a Deferred of that."""
         if not self.replica.is_voter:
             return Proposed(UNSURE)
-        if isinstance(call.order, Replace) and (call.body is None or digest(call.body) != call.order.content):
+        if isinstance(call.order, ReplaceConfiguration) and (call.body is None or digest(call.body) != call.order.content):
             return Proposed(UNSURE)
         asked = _Asked(call.order, call.body, self.reactor.seconds() + 3 * RELAY_S)
-        self.reactor.callLater(3 * RELAY_S, asked.answer, Outcome(UNSURE))
+        self.reactor.callLater(3 * RELAY_S, asked.answer, CommandResult(UNSURE))
         self._take(asked)
         return asked.done.addCallback(lambda outcome: Proposed(*outcome))
 
     def _take(self, asked: _Asked) -> None:
         """An order that this one proposes itself."""
-        if isinstance(asked.order, Replace) and asked.body is not None:
+        if isinstance(asked.order, ReplaceConfiguration) and asked.body is not None:
             self.held.contents[asked.order.content] = asked.body
         self.orders.append(asked)
         self.look()
 
     def names(self) -> set[int]:
         """Contents that must not be forgotten."""
-        wanted = {one.order.content for one in self.orders if isinstance(one.order, Replace)}
+        wanted = {one.order.content for one in self.orders if isinstance(one.order, ReplaceConfiguration)}
         proposed = self.proposal.state if self.proposal is not None else None
         return wanted | ({proposed.config[1]} if proposed is not None and proposed.config is not None else set())
 
@@ -146,7 +146,7 @@
             return
         if state is None:
             if self.members.may_found(now):
-                self._begin(genesis(number(at) for at, _ in self.boot.seed_nodes), self._found)
+                self._begin(genesis(number(at) for at, _ in self.settings.seed_nodes), self._found)
         elif self.replica.is_voter and (self.orders or self._in_limbo(now) or state.former
                                         and self.members.coordinates(now) or self.members.due(state, now)):
             self._begin(state, self._next)
@@ -202,7 +202,7 @@
             take = self.replica.prepare if isinstance(call, Prepare) else self.replica.accept
             done = maybeDeferred(take, call)
         else:
-            done = self.ways.call(ip, call, CALL_S)
+            done = self.environment.call(ip, call, CALL_S)
         known = dict(self.members.high)
 
         def answered(reply: Any) -> None:
@@ -264,7 +264,7 @@
         self.proposal, chosen = None, Chosen(proposal.ballot, proposal.state.number)
         for ip in proposal.to_accept():
             if ip != self.me:
-                self.ways.send(ip, chosen)
+                self.environment.send(ip, chosen)
         self.won(proposal.state)
         for one, outcome in zip(self.taken, self.outcomes, strict=True):
             one.answer(outcome)
@@ -277,7 +277,7 @@
         self.proposal, now = None, self.reactor.seconds()
         if self._out_of_touch(now) or self.replica.fault is not None:
             for one in self.orders:
-                one.answer(Outcome(UNSURE))
+                one.answer(CommandResult(UNSURE))
         rest = self.rng.uniform(0.02, min(REST_MOST_S, REST_S * 2**self.lost))
         self.lost = min(self.lost + 1, LOST_MOST)
         self.rest_until = now + rest
--- a/mapleline/balancer/control/read_lease.py
+++ b/mapleline/balancer/control/read_lease.py
@@ -12,7 +12,7 @@
 NEVER = float("-inf")
 
 
-class Contact:
+class ReadLease:
     """`since(state)`: everything that was chosen before that moment is held."""
 
     def __init__(self) -> None:
--- a/mapleline/balancer/control/replica.py
+++ b/mapleline/balancer/control/replica.py
@@ -8,12 +8,12 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from ..log import say
-from ..messages import Accept, Accepted, Chosen, Prepare, Promised, Reply
-from ..ways import Ways
-from . import earlier
-from .agreement import Acceptor, Record
-from .held import Held
+from ..environment import Environment
+from ..logs import say
+from ..transport.messages import Accept, Accepted, Chosen, Prepare, Promised, Reply
+from . import migration
+from .committed_state import CommittedState
+from .consensus import Acceptor, Record
 from .snapshot import named, whole
 from .state import State
 
@@ -27,12 +27,12 @@
     """
 
     def __init__(
-        self, reactor: Any, ways: Ways, me: int, seed: bool, rng: random.Random, held: Held,
+        self, reactor: Any, environment: Environment, me: int, seed: bool, rng: random.Random, held: CommittedState,
         decided: Callable[[State], None],
     ) -> None:  # fmt: skip
-        self.reactor, self.ways, self.me, self.seed, self.rng = reactor, ways, me, seed, rng
+        self.reactor, self.environment, self.me, self.seed, self.rng = reactor, environment, me, seed, rng
         self.held, self.decided = held, decided
-        self.store = ways.store()
+        self.store = environment.store()
         self.acceptor: Acceptor | None = None  #: none until the identity of the disk is lasting
         self.fault: str | None = None  #: why the disk last refused, until it takes something
         self.vouched = True  #: it has all that it once had, as far as the others know
@@ -55,7 +55,7 @@
         if record is not None and record.ip != self.me:
             say("archive", "bad file", file="replica: another machine's, or restored from a dump")
         if record is None or record.ip != self.me:
-            spoilt = [fault for fault in bad if not fault.endswith(earlier.FAULT)]  # that voted on no core of ours
+            spoilt = [fault for fault in bad if not fault.endswith(migration.FAULT)]  # that voted on no core of ours
             self.seed = self.seed and not spoilt and record is None  # what was here may have voted on the first core
             self._renew(record.turn if record is not None else 0)
             return None
@@ -141,7 +141,7 @@
         if self.store is None or record.turn <= acceptor.turn and not self.fault:
             return succeed(None).addCallback(synced)
         contents = {name: self.held.contents[name] for name in named(record) if name in self.held.contents}
-        return self.ways.in_thread(self.store.save, record, contents).addCallback(synced)
+        return self.environment.in_thread(self.store.save, record, contents).addCallback(synced)
 
     def keep(self) -> None:
         """What is held goes to the disk; nothing waits for it."""
@@ -168,7 +168,7 @@
             if name is not None:
                 say("archive", "bad file mended", file=name)
 
-        self.ways.in_thread(self.store.scrub, dict(self.held.contents)).addCallbacks(scrubbed, self.refused)
+        self.environment.in_thread(self.store.scrub, dict(self.held.contents)).addCallbacks(scrubbed, self.refused)
 
     # -- its part in the agreement -------------------------------------------------------------------------
 
--- a/mapleline/balancer/control/replica_monitor.py
+++ b/mapleline/balancer/control/replica_monitor.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..courier import host
-from ..register import DISK, FORMED, LEAVING, Member, Register
-from ..settings import Boot
-from .held import Held
-from .membership import Seen, bears, due
+from ..membership.table import DISK, FORMED, LEAVING, Member, MembershipTable
+from ..settings import Settings
+from ..transport.connections import host
+from .committed_state import CommittedState
+from .reconfiguration import ReplicaStatus, bears, due
 from .replica import LocalReplica
 from .state import Replica, State
 
@@ -19,17 +19,17 @@
 FOUND_LEAST_S, FOUND_QUIET_S, FOUND_MOST_S = 1.5, 1.0, 5.0
 
 
-class Members:
+class ReplicaMonitor:
     """`since()`: everything chosen before that moment is held here."""
 
     def __init__(
-        self, reactor: Any, boot: Boot, register: Register, held: Held, replica: LocalReplica,
+        self, reactor: Any, settings: Settings, membership: MembershipTable, held: CommittedState, replica: LocalReplica,
         since: Callable[[], float],
     ) -> None:  # fmt: skip
-        self.reactor, self.boot, self.register, self.held, self.replica = reactor, boot, register, held, replica
-        self.since, self.me, self.started = since, register.me.ip, reactor.seconds()
-        self.losses, self.zones = boot.fault_tolerance.machine_losses, boot.fault_tolerance.zones
-        self.lost_s = boot.protocol_bounds.contact_window + boot.protocol_bounds.catch_up
+        self.reactor, self.settings, self.membership, self.held, self.replica = reactor, settings, membership, held, replica
+        self.since, self.me, self.started = since, membership.me.ip, reactor.seconds()
+        self.losses, self.zones = settings.fault_tolerance.machine_losses, settings.fault_tolerance.zones
+        self.lost_s = settings.protocol_bounds.contact_window + settings.protocol_bounds.catch_up
         self.high: dict[tuple[int, int], int] = {}  #: by address and disk: the highest turn that it told
         self.seen: dict[int, tuple[int, int, float]] = {}  #: by address: its disk, what it has kept, when it said so
         self._learners: dict[int, float] = {}  #: without a vote, and since when this one sees to them
@@ -65,7 +65,7 @@
     def proposers(self, now: float) -> list[Member]:
         """The voters that are there, in the order in which they are asked to propose."""
         voters = set(self.held.voters())
-        able = [m for m in self.register.alive(now, DISK) if m.ip in voters
+        able = [m for m in self.membership.alive(now, DISK) if m.ip in voters
                 and (self.proposes if m.ip == self.me else m.flags & FORMED)]  # fmt: skip
         staying = [m for m in able if not m.flags & LEAVING]
         return sorted(staying or able, key=lambda m: m.place)
@@ -83,7 +83,7 @@
         if not self.coordinates(now):
             return False
         voters = {(r.ip, r.disk) for r in self.held.state.voters}
-        learners = {m.ip for m in self.register.alive(now, DISK) if m.ip != self.me and not m.flags & LEAVING
+        learners = {m.ip for m in self.membership.alive(now, DISK) if m.ip != self.me and not m.flags & LEAVING
                     and (m.ip, self.seen.get(m.ip, (0,))[0]) not in voters}  # fmt: skip
         self._learners = {ip: self._learners.get(ip, now) for ip in learners}
         return any(now - since < LEARNER_S for since in self._learners.values())
@@ -97,12 +97,12 @@
         if not self.coordinates(now) or now - self.since() > FRESH_S:
             return None
         known = {r.ip: r for r in state.voters}
-        ips = known.keys() | {m.ip for m in self.register.alive(now, DISK)}
+        ips = known.keys() | {m.ip for m in self.membership.alive(now, DISK)}
         return due(state, [self._seen(ip, known.get(ip), state, now) for ip in sorted(ips)],
                    self.losses, self.zones, self.lost_s)  # fmt: skip
 
-    def _seen(self, ip: int, voter: Replica | None, state: State, now: float) -> Seen:
-        member = self.register.members.get(ip)
+    def _seen(self, ip: int, voter: Replica | None, state: State, now: float) -> ReplicaStatus:
+        member = self.membership.members.get(ip)
         disk, kept, at = self.seen.get(ip, (0, 0, 0.0))
         if ip == self.me:
             disk, kept, at = self.replica.disk, state.number, now
@@ -110,25 +110,25 @@
         fresh = bool(disk) and now - at < FRESH_S and (at >= self._epoch[1] or ip == self.me)
         zone = member.zone if member is not None else voter.zone
         silent = 0.0
-        if member is None or now - member.beat > self.register.silent_s:
+        if member is None or now - member.beat > self.membership.silent_s:
             silent = now - max(self.started, member.beat if member is not None else 0.0)
         whole = fresh and kept > 0 and kept + NEAR >= state.number
         leaving = member is not None and bool(member.flags & LEAVING)
-        return Seen(Replica(ip, disk, zone) if fresh or voter is None else voter, whole, leaving, silent)
+        return ReplicaStatus(Replica(ip, disk, zone) if fresh or voter is None else voter, whole, leaving, silent)
 
     def may_found(self, now: float) -> bool:
         """The first core: every zone has shown a machine with a disk, and no other has come for a while.  The first of
         them founds it; the others too if that takes too long.
         """
-        disks = self.register.alive(now, DISK)
+        disks = self.membership.alive(now, DISK)
         if len(disks) != self._disks[0]:
             self._disks = len(disks), now
-        if not self.boot.initial_start or not self.boot.seed_nodes or not self.replica.disk or not disks:
+        if not self.settings.initial_start or not self.settings.seed_nodes or not self.replica.disk or not disks:
             return False
         lived = now - self.started
         if min(disks, key=lambda m: m.place).ip != self.me and lived < FOUND_MOST_S:
             return False
-        every_zone = len({m.zone for m in disks}) == len(self.boot.zones)
+        every_zone = len({m.zone for m in disks}) == len(self.settings.zones)
         known = all(m.ip in self.seen for m in disks if m.ip != self.me)
         quiet = now - self._disks[1] > FOUND_QUIET_S
         return lived > FOUND_LEAST_S and quiet and known and (every_zone or lived > FOUND_MOST_S)
@@ -136,7 +136,7 @@
     def first(self, now: float) -> list[Replica]:
         """Who the first core is to be."""
         return [Replica(m.ip, self.replica.disk if m.ip == self.me else self.seen[m.ip][0], m.zone)
-                for m in self.register.alive(now, DISK) if m.ip == self.me or m.ip in self.seen]  # fmt: skip
+                for m in self.membership.alive(now, DISK) if m.ip == self.me or m.ip in self.seen]  # fmt: skip
 
     def is_let_go(self) -> bool:
         """Whether the core does without this one: it has no vote any more; or, where the others could then not bear a
@@ -155,7 +155,7 @@
     def rows(self) -> list[dict[str, Any]]:
         """Who votes and who does not, as this one knows it."""
         now, state = self.reactor.seconds(), self.held.state
-        alive = {m.ip: m for m in self.register.alive(now, DISK)}
+        alive = {m.ip: m for m in self.membership.alive(now, DISK)}
         voters = {r.ip: r for r in (state.members() if state is not None else ())}
         rows = []
         for ip in sorted(voters.keys() | alive.keys()):
--- a/mapleline/balancer/control/snapshot.py
+++ b/mapleline/balancer/control/snapshot.py
@@ -19,8 +19,8 @@
 
 import msgspec
 
-from . import earlier
-from .agreement import Record
+from . import migration
+from .consensus import Record
 from .state import State, digest
 
 MAGIC = b"mapleline word 2\n"
@@ -28,7 +28,7 @@
 CONTENT, BESIDE = "c-", ".new"
 
 
-class BadFile(Exception):
+class CorruptFileError(Exception):
     """A file that is torn, empty or foreign; the text names it."""
 
 
@@ -96,7 +96,7 @@
     data = path.read_bytes()
     head, _, body = data.removeprefix(MAGIC).partition(b"\n")
     if not data.startswith(MAGIC) or head != b"%08x %d" % (crc32(body), len(body)):
-        raise BadFile("torn, empty or foreign")
+        raise CorruptFileError("torn, empty or foreign")
     return body
 
 
@@ -123,21 +123,21 @@
                 record = msgspec.msgpack.decode(read(self.folder / RECORD), type=Record)
             elif any(name.startswith(CONTENT) and not name.endswith(BESIDE) for name in names):
                 bad.append(f"{RECORD}: missing")
-        except (BadFile, msgspec.DecodeError, OSError) as err:
+        except (CorruptFileError, msgspec.DecodeError, OSError) as err:
             bad.append(f"{RECORD}: {err}")
         for content in sorted(named(record)) if record is not None else ():
             try:
                 body = read(self.folder / self._name(content))
                 if digest(body) != content:
-                    raise BadFile("another's content")
+                    raise CorruptFileError("another's content")
                 contents[content] = body
             except FileNotFoundError:
                 bad.append(f"{self._name(content)}: missing")
-            except (BadFile, OSError) as err:
+            except (CorruptFileError, OSError) as err:
                 bad.append(f"{self._name(content)}: {err}")
-        old = [name for name in names if earlier.is_of(name)]
+        old = [name for name in names if migration.is_of(name)]
         if old:
-            bad.append(f"{', '.join(old)}: {earlier.FAULT}")
+            bad.append(f"{', '.join(old)}: {migration.FAULT}")
         ours = {RECORD, *(self._name(content) for content in contents)}
         self._litter = {n for n in names if n not in ours and (n.startswith(CONTENT) or n.endswith(BESIDE))}
         bad += [f"{name}: foreign" for name in names
@@ -182,10 +182,10 @@
 
     def put_aside(self) -> None:
         with self._lock:
-            aside, old = self.folder.with_name(ASIDE), self.folder.with_name(earlier.FOLDER)
+            aside, old = self.folder.with_name(ASIDE), self.folder.with_name(migration.FOLDER)
             shutil.rmtree(aside, ignore_errors=True)  # one is kept: they must not fill the disk
             for name in sorted(os.listdir(self.folder)):
-                to = old if earlier.is_of(name) else aside
+                to = old if migration.is_of(name) else aside
                 make(to)
                 os.replace(self.folder / name, to / name)
             sync(self.folder)
@@ -199,7 +199,7 @@
             self._scrubbed = (self._scrubbed + 1) % len(files)
             name = files[self._scrubbed]
             record = msgspec.msgpack.encode(self._record)
-            with suppress(BadFile, OSError):
+            with suppress(CorruptFileError, OSError):
                 body = read(self.folder / name)
                 if body == record if name == RECORD else self._name(digest(body)) == name:
                     return None
--- a/mapleline/balancer/discovery/directory.py
+++ b/mapleline/balancer/discovery/directory.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from ..http1.messages import Request
-from .courier import host
-from .doors import Door
-from .register import LEAVING, READY, Member, Register
-from .settings import Boot
+from ...http1.messages import Request
+from ..membership.table import LEAVING, READY, Member, MembershipTable
+from ..proxy.listener import ClientConnection
+from ..settings import Settings
+from ..transport.connections import host
 
 MOST, ENOUGH = 64, 2
 TTL_S = 2.0
@@ -35,24 +35,24 @@
 class Directory:
     """Answers for one ingress, while `in_touch()`: one without contact with the core speaks for nobody."""
 
-    def __init__(self, reactor: object, boot: Boot, register: Register, rng: Random, in_touch: Callable[[], bool]):
-        self.reactor, self.boot, self.register, self.rng, self.in_touch = reactor, boot, register, rng, in_touch
-        self.zones = sorted(boot.zones)
+    def __init__(self, reactor: object, settings: Settings, membership: MembershipTable, rng: Random, in_touch: Callable[[], bool]):
+        self.reactor, self.settings, self.membership, self.rng, self.in_touch = reactor, settings, membership, rng, in_touch
+        self.zones = sorted(settings.zones)
 
-    def take(self, door: Door, request: Request) -> None:
+    def take(self, client_conn: ClientConnection, request: Request) -> None:
         """`GET /lookup?name=&region=&zone=`."""
         path, _, query = request.target.decode("latin-1").partition("?")
         if path != "/lookup" or request.method != b"GET":
-            return door.reply(404, b"no such call")
+            return client_conn.reply(404, b"no such call")
         asked = parse_qs(query)
-        members = [m for m in self.register.alive(self.reactor.seconds(), READY) if not m.flags & LEAVING]
+        members = [m for m in self.membership.alive(self.reactor.seconds(), READY) if not m.flags & LEAVING]
         where = (asked.get(name, [""])[0] for name in ("zone", "region"))
-        found = near(members, self.zones, self.boot.zones, *where, self.rng)
-        if not found or not self.in_touch() or self.boot.listen_addresses.front_addr is None:
-            return door.reply(503, b"no ingress is ready, or no contact with the core", b"Retry-After: 0.3\r\n")
-        port = self.boot.listen_addresses.front_addr[1]
+        found = near(members, self.zones, self.settings.zones, *where, self.rng)
+        if not found or not self.in_touch() or self.settings.listen_addresses.front_addr is None:
+            return client_conn.reply(503, b"no ingress is ready, or no contact with the core", b"Retry-After: 0.3\r\n")
+        port = self.settings.listen_addresses.front_addr[1]
         if len(found) > MOST:
             found = self.rng.sample(found, MOST)
-        ttl = min(TTL_S, self.boot.protocol_bounds.ttl_max)
+        ttl = min(TTL_S, self.settings.protocol_bounds.ttl_max)
         body = {"address_list": [f"{host(m.ip)}:{port}" for m in found], "ttl": f"{ttl:g}s"}
-        door.reply(200, msgspec.json.encode(body), b"Content-Type: application/json\r\n")
+        client_conn.reply(200, msgspec.json.encode(body), b"Content-Type: application/json\r\n")
--- a/mapleline/balancer/discovery/endpoints.py
+++ b/mapleline/balancer/discovery/endpoints.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from .settings import seconds
+from ..settings import seconds
 
 
-class Listed(msgspec.Struct, array_like=False):
+class ListedInstance(msgspec.Struct, array_like=False):
     """One entry of the platform's list."""
 
     instance_id: str
@@ -26,7 +26,7 @@
 class Page(msgspec.Struct):
     """One answer of the platform."""
 
-    instance_list: list[Listed]
+    instance_list: list[ListedInstance]
     next_token: str | None = None
 
 
@@ -34,7 +34,7 @@
 SAME_END_S = 0.05  # ends of one cold time, as two fetches tell them, lie apart by less
 read_page = msgspec.json.Decoder(Page).decode
 _pack = msgspec.msgpack.Encoder().encode
-_unpack = msgspec.msgpack.Decoder(list[Listed]).decode
+_unpack = msgspec.msgpack.Decoder(list[ListedInstance]).decode
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
     ended: float = WARM  #: when its last cold time ends, or ended
 
 
-class Catalogue:
+class EndpointList:
     """The newest list known here; times are on this ingress's clock."""
 
     def __init__(self, lag_s: float = 0.8) -> None:
@@ -65,13 +65,13 @@
     def age_ms(self, now: float) -> int:
         return int(min(3_600_000, (now - self.fetched) * 1000))
 
-    def take_list(self, fetched: float, listed: list[Listed]) -> bool:
+    def take_list(self, fetched: float, listed: list[ListedInstance]) -> bool:
         """A list that was fetched at that time; says whether anything but ages has changed."""
         listed = sorted(listed, key=lambda one: one.instance_id)
         listed = [msgspec.structs.replace(one, turn=self._turn(fetched, one)) for one in listed]
         return self._take(fetched, listed, _pack(listed))
 
-    def _turn(self, fetched: float, one: Listed) -> int:
+    def _turn(self, fetched: float, one: ListedInstance) -> int:
         """Counts on where a later end is told than is known, for those who heard of the earlier one have to hear of it.
 
         What is left is told up to `lag_s` late, which looks the same: from the second time on the end is taken so much
@@ -86,7 +86,7 @@
         """The same from another ingress."""
         return self._take(fetched, _unpack(body), body)
 
-    def _take(self, fetched: float, listed: list[Listed], body: bytes) -> bool:
+    def _take(self, fetched: float, listed: list[ListedInstance], body: bytes) -> bool:
         if fetched <= self.fetched:
             return False
         self.fetched, self.body = fetched, body
--- a/mapleline/balancer/discovery/platform_client.py
+++ b/mapleline/balancer/discovery/platform_client.py
@@ -9,13 +9,13 @@
 import msgspec
 from twisted.python.failure import Failure
 
-from ..http1.buffers import BufferPool
-from ..http1.client import ClientConnection
-from ..http1.messages import Response
-from ..net.dial import dial
-from ..net.streams import Stream
-from .catalogue import Catalogue, Listed, read_page
-from .settings import Boot
+from ...http1.buffers import BufferPool
+from ...http1.client import ClientConnection
+from ...http1.messages import Response
+from ...net.dial import dial
+from ...net.streams import Stream
+from ..settings import Settings
+from .endpoints import EndpointList, ListedInstance, read_page
 
 CALL_S = 1.0
 EVERY_S, STALE_S, FIRST_S = 0.8, 2.0, 0.2
@@ -46,11 +46,11 @@
         self._end(None)
 
 
-class Platform:
+class PlatformClient:
     """`listed(changed)` is called when a whole list has come into the catalogue."""
 
-    def __init__(self, reactor: Any, boot: Boot, catalogue: Catalogue, listed: Callable[[bool], None]) -> None:
-        self.reactor, self.boot, self.catalogue, self.listed = reactor, boot, catalogue, listed
+    def __init__(self, reactor: Any, settings: Settings, endpoints: EndpointList, listed: Callable[[bool], None]) -> None:
+        self.reactor, self.settings, self.endpoints, self.listed = reactor, settings, endpoints, listed
         self.pool = BufferPool(kept=2)
         self.busy = False
 
@@ -60,8 +60,8 @@
             self.busy = True
             self._page("", [], self.reactor.seconds())
 
-    def _page(self, token: str, found: list[Listed], began: float) -> None:
-        host, port = self.boot.cloud_api.address
+    def _page(self, token: str, found: list[ListedInstance], began: float) -> None:
+        host, port = self.settings.cloud_api.address
         path = "/instances" + (f"?page_token={quote(token)}" if token else "")
         data = f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: close\r\n\r\n".encode()
 
@@ -81,7 +81,7 @@
             if page.next_token:
                 return self._page(page.next_token, found, began)
             self.busy = False
-            self.listed(self.catalogue.take_list(began, found))
+            self.listed(self.endpoints.take_list(began, found))
 
         made: list[_Asking] = []
         dialed = dial(self.reactor, (host, port), lambda: _Asking(self.pool, done), CALL_S)
--- a/mapleline/balancer/environment.py
+++ b/mapleline/balancer/environment.py
@@ -13,25 +13,25 @@
 from twisted.internet.threads import deferToThread
 
 from ..http1.buffers import BufferPool
-from . import courier, messages
-from .archive.snapshot import Snapshot, Store
-from .catalogue import Catalogue
-from .chronicle import Chronicle
-from .fence import Fence
-from .platform import Platform
-from .servers import Servers
-from .settings import Boot
+from .control.audit_log import AuditLog
+from .control.snapshot import Snapshot, Store
+from .discovery.endpoints import EndpointList
+from .discovery.platform_client import PlatformClient
+from .proxy.upstream import UpstreamPool
+from .settings import Settings
+from .transport import connections, messages
+from .transport.fencing import Fence
 
 HISTORY_PART = (1 << 20) // 8  # of the disk
 
 
-class Ways:
+class Environment:
     """Those of a real process."""
 
-    def __init__(self, reactor: Any, boot: Boot) -> None:
-        self.reactor, self.boot = reactor, boot
-        self.port = boot.internal_port_range[0]
-        self._datagrams: courier.Datagrams | None = None
+    def __init__(self, reactor: Any, settings: Settings) -> None:
+        self.reactor, self.settings = reactor, settings
+        self.port = settings.internal_port_range[0]
+        self._datagrams: connections.Datagrams | None = None
         self._fence: Fence | None = None
 
     def open(
@@ -39,9 +39,9 @@
     ) -> None:
         """Listen to the other ingresses; `fence` says what of theirs is believed."""
         self._fence = fence
-        self._datagrams = courier.Datagrams(self.port, fence, told)
-        self.reactor.listenUDP(self.port, self._datagrams, interface=self.boot.ip_address, maxPacketSize=65536)
-        self.reactor.listenTCP(self.port, courier.AnswerFactory(fence, called), interface=self.boot.ip_address)
+        self._datagrams = connections.Datagrams(self.port, fence, told)
+        self.reactor.listenUDP(self.port, self._datagrams, interface=self.settings.ip_address, maxPacketSize=65536)
+        self.reactor.listenTCP(self.port, connections.AnswerFactory(fence, called), interface=self.settings.ip_address)
 
     def send(self, ip: int, message: messages.Datagram) -> None:
         """May be lost on its way."""
@@ -50,7 +50,7 @@
 
     def call(self, ip: int, message: messages.Call, timeout_s: float) -> Deferred:
         """Fires with the reply, or fails."""
-        return courier.call(self.reactor, ip, self.port, self._fence, message, timeout_s)
+        return connections.call(self.reactor, ip, self.port, self._fence, message, timeout_s)
 
     def in_thread(self, work: Callable[..., Any], *with_: Any) -> Deferred:
         """For what waits on the disk."""
@@ -61,14 +61,14 @@
         return time.time()
 
     def store(self) -> Store | None:
-        return Snapshot(self.boot.data_directory) if self.boot.data_directory else None
+        return Snapshot(self.settings.data_directory) if self.settings.data_directory else None
 
-    def history(self) -> Chronicle | None:
-        most = self.boot.limits.disk_mb * HISTORY_PART
-        return Chronicle(self.boot.data_directory, most) if self.boot.data_directory else None
+    def history(self) -> AuditLog | None:
+        most = self.settings.limits.disk_mb * HISTORY_PART
+        return AuditLog(self.settings.data_directory, most) if self.settings.data_directory else None
 
-    def servers(self, pool: BufferPool) -> Servers:
-        return Servers(self.reactor, pool)
+    def servers(self, pool: BufferPool) -> UpstreamPool:
+        return UpstreamPool(self.reactor, pool)
 
-    def platform(self, catalogue: Catalogue, listed: Callable[[bool], None]) -> Platform:
-        return Platform(self.reactor, self.boot, catalogue, listed)
+    def platform(self, endpoints: EndpointList, listed: Callable[[bool], None]) -> PlatformClient:
+        return PlatformClient(self.reactor, self.settings, endpoints, listed)
--- a/mapleline/balancer/logs.py
+++ b/mapleline/balancer/logs.py
@@ -13,11 +13,11 @@
 def configure(node: str) -> None:
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(JsonFormatter("%(message)s", timestamp=True, static_fields={"node": node}))
-    root = logging.getLogger("mapleline.system")
+    root = logging.getLogger("mapleline.balancer")
     root.handlers[:], root.propagate = [handler], False
     root.setLevel(logging.INFO)
 
 
 def say(part: str, text: str, **fields: object) -> None:
     """`part` is one of PARTS."""
-    logging.getLogger("mapleline.system").info("%s: %s", part, text, extra=fields)
+    logging.getLogger("mapleline.balancer").info("%s: %s", part, text, extra=fields)
--- a/mapleline/balancer/membership/leadership.py
+++ b/mapleline/balancer/membership/leadership.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from .register import Member
+from .table import Member
 
 
 def first(able: Iterable[Member]) -> int:
@@ -16,7 +16,7 @@
     return min(able, key=lambda m: (not m.disk, m.place), default=Member(0, 0, 0)).ip
 
 
-class Custody:
+class Leadership:
     """One ingress's knowledge of who has a duty, and its vote."""
 
     def __init__(self, me: int) -> None:
--- a/mapleline/balancer/membership/table.py
+++ b/mapleline/balancer/membership/table.py
@@ -43,7 +43,7 @@
         return crc32(self.ip.to_bytes(4, "big"))
 
 
-class Register:
+class MembershipTable:
     """The table of one ingress."""
 
     def __init__(self, me: Member, beat_s: float) -> None:
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -12,28 +12,41 @@
 
 from ..http1.buffers import BufferPool
 from ..http1.messages import Request
-from . import courier, messages
-from .archive.driver import Archive
-from .archive.operator import Operator
-from .archive.state import State
-from .catalogue import Catalogue
-from .config import ConfigFault, Table
-from .config import read as read_config
-from .custody import Custody, first
-from .desk import Desk
-from .doors import Door, House
-from .fence import Fence
-from .leases import Leases
-from .log import configure, say
-from .lookup import Directory
-from .messages import Beat, Busy, Chosen, Claim, Granted, Held, Lease, Leased, Parts, Probe, Tally, Total
-from .platform import EVERY_S, FIRST_S, STALE_S
-from .register import DISK, FORMED, LEAVING, READY, Member, Register
-from .servers import STREAM_FROM
-from .settings import Boot, SettingsFault
+from .configuration import ConfigurationError, Table
+from .configuration import read as read_config
+from .control.api import ControlApi
+from .control.control_plane import ControlPlane
+from .control.state import State
+from .discovery.directory import Directory
+from .discovery.endpoints import EndpointList
+from .discovery.platform_client import EVERY_S, FIRST_S, STALE_S
+from .environment import Environment
+from .logs import configure, say
+from .membership.leadership import Leadership, first
+from .membership.table import DISK, FORMED, LEAVING, READY, Member, MembershipTable
+from .proxy.listener import ClientConnection, Listener
+from .proxy.proxy import Proxy
+from .proxy.slow_start_leases import SlowStartLeases
+from .proxy.upstream import STREAM_FROM
+from .quota.client import QuotaClient
+from .settings import Settings, SettingsError
 from .settings import read as read_settings
-from .teller import Teller
-from .ways import Ways
+from .transport import connections, messages
+from .transport.fencing import Fence
+from .transport.messages import (
+    Chosen,
+    CounterIncrement,
+    CounterSync,
+    CounterValue,
+    Heartbeat,
+    LeaseGrant,
+    LeaseRequest,
+    LoadReport,
+    StateQuery,
+    StateReport,
+    Vote,
+    VoteRequest,
+)
 
 BEAT_S, FAR_BEATS = 0.5, 2  # seconds; and which beat goes to another region as well
 BUSY_S = 0.05
@@ -48,60 +61,61 @@
     """The parts of one ingress, joined."""
 
     def __init__(
-        self, reactor: Any, boot: Boot, ways: Ways | None = None, settings: Callable[[], Boot] | None = None
+        self, reactor: Any, settings: Settings, environment: Environment | None = None,
+        reload_settings: Callable[[], Settings] | None = None
     ) -> None:
-        """`ways`: to everything outside, sockets unless told otherwise; `settings` reads the file again."""
-        self.reactor, self.boot, self.settings = reactor, boot, settings or load_settings
-        self.ways = ways = ways or Ways(reactor, boot)
-        self.bounds = boot.protocol_bounds
-        self.zones = sorted(boot.zones)
-        self.rng = random.Random(f"{boot.node_name} {ways.unix()}")
+        """`ways`: to everything outside, sockets unless told otherwise; `reload_settings` reads the file again."""
+        self.reactor, self.settings, self.reload_settings = reactor, settings, reload_settings or load_settings
+        self.environment = environment = environment or Environment(reactor, settings)
+        self.bounds = settings.protocol_bounds
+        self.zones = sorted(settings.zones)
+        self.rng = random.Random(f"{settings.node_name} {environment.unix()}")
         self.started = reactor.seconds()
-        self.near = {n for n, zone in enumerate(self.zones) if boot.zones[zone] == boot.region}
+        self.near = {n for n, zone in enumerate(self.zones) if settings.zones[zone] == settings.region}
         self.leaving = False
-        me = Member(courier.number(boot.ip_address), self.zones.index(boot.zone), DISK if boot.data_directory else 0,
-                    incarnation=int(ways.unix() * 10) & 0xFFFFFFFF, beat=self.started)  # fmt: skip
-        self.register = Register(me, BEAT_S)
-        self.fence = Fence(self.register)
-        self.catalogue = Catalogue(boot.cloud_api.max_lag)
-        self.custody = Custody(me.ip)
+        me = Member(connections.number(settings.ip_address), self.zones.index(settings.zone), DISK if settings.data_directory else 0,
+                    incarnation=int(environment.unix() * 10) & 0xFFFFFFFF, beat=self.started)  # fmt: skip
+        self.membership = MembershipTable(me, BEAT_S)
+        self.fence = Fence(self.membership)
+        self.endpoints = EndpointList(settings.cloud_api.max_lag)
+        self.leadership = Leadership(me.ip)
         self.beats = 0
-        pool = BufferPool(most=int(boot.limits.memory_mb * HELD_PART))
-        self.servers = ways.servers(pool)
-        self.send = ways.send
-        self.archive = Archive(
-            reactor, boot, ways, self.register, self.rng, self.apply, self.teach, self.give_list, self.take_list
+        pool = BufferPool(most=int(settings.limits.memory_mb * HELD_PART))
+        self.servers = environment.servers(pool)
+        self.send = environment.send
+        self.control_plane = ControlPlane(
+            reactor, settings, environment, self.membership, self.rng, self.apply, self.teach, self.give_list, self.take_list
         )
-        self.teller = Teller(reactor, boot, ways, self.register, self.tenants)
-        self.desk = Desk(
-            reactor, boot, self.register, self.catalogue, self.servers, self.may_serve, self.teller.ask, self.rng
+        self.quota_client = QuotaClient(reactor, settings, environment, self.membership, self.tenants)
+        self.proxy = Proxy(
+            reactor, settings, self.membership, self.endpoints, self.servers, self.may_serve, self.quota_client.ask, self.rng
         )
-        self.leases = Leases(reactor, me.ip, self.rng, self.send, self._voters, self.desk.cold_numbers, me.disk)
-        self.desk.leases = self.leases
-        self.front = House(reactor, pool, self.desk.take, STREAM_FROM)
-        self.control = Operator(self.archive, self.status)
-        self.directory = Directory(reactor, boot, self.register, self.rng, self.in_touch)
-        self.houses = [self.front]
-        self.platform = ways.platform(self.catalogue, self.listed)
+        self.leases = SlowStartLeases(reactor, me.ip, self.rng, self.send, self._voters, self.proxy.cold_numbers, me.disk)
+        self.proxy.leases = self.leases
+        self.front = Listener(reactor, pool, self.proxy.take, STREAM_FROM)
+        self.control = ControlApi(self.control_plane, self.status)
+        self.directory = Directory(reactor, settings, self.membership, self.rng, self.in_touch)
+        self.listeners = [self.front]
+        self.platform = environment.platform(self.endpoints, self.listed)
 
     # -- start and end -------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        self.archive.load()
-        boot, listen = self.boot, self.boot.listen_addresses
-        self.ways.open(self.fence, self.told, self.archive.called)
+        self.control_plane.load()
+        settings, listen = self.settings, self.settings.listen_addresses
+        self.environment.open(self.fence, self.told, self.control_plane.called)
         pool = BufferPool(kept=4)  # never tight: what is said here is taken in whole
         for place, take in ((listen.ready_addr, self.readiness), (listen.control_addr, self.control.take),
                             (listen.directory_addr, self.directory.take)):  # fmt: skip
             if place is not None:
-                house = House(self.reactor, pool, take)
-                self.houses.append(house)
-                self.reactor.listenTCP(place[1], house, backlog=256, interface=place[0])
+                listener = Listener(self.reactor, pool, take)
+                self.listeners.append(listener)
+                self.reactor.listenTCP(place[1], listener, backlog=256, interface=place[0])
         if listen.front_addr is not None:
             self.reactor.listenTCP(listen.front_addr[1], self.front, backlog=1024, interface=listen.front_addr[0])
-        for tick in (self.beat, self.archive.start, self.sweep, self.poll, self.tell_busy, self.leases.tick):
+        for tick in (self.beat, self.control_plane.start, self.sweep, self.poll, self.tell_busy, self.leases.tick):
             tick()
-        say("node", "started", zone=boot.zone, disk=bool(boot.data_directory), initial=boot.initial_start)
+        say("node", "started", zone=settings.zone, disk=bool(settings.data_directory), initial=settings.initial_start)
 
 
     def leave(self) -> None:
@@ -109,20 +123,20 @@
         if self.leaving:
             return
         self.leaving, self.left_at = True, self.reactor.seconds()
-        say("node", "leaving", in_hand=len(self.desk.calls))
-        for house in self.houses:
-            house.leaving = True
+        say("node", "leaving", in_hand=len(self.proxy.calls))
+        for listener in self.listeners:
+            listener.leaving = True
         now = self.reactor.seconds()
-        self.register.tick(now, self.flags())
-        self.custody.hand_on(first(self._able(now)))
+        self.membership.tick(now, self.flags())
+        self.leadership.hand_on(first(self._able(now)))
         self.push()
         self.reactor.callLater(0.25 * self.bounds.grace_period, self._leave_when_done)
 
     def _leave_when_done(self) -> None:
         spent = self.reactor.seconds() - self.left_at
-        done = not self.desk.calls and self.archive.members.is_let_go()
+        done = not self.proxy.calls and self.control_plane.members.is_let_go()
         if done and spent > 0.45 * self.bounds.grace_period or spent > self.bounds.grace_period - 0.5:
-            say("node", "left", in_hand=len(self.desk.calls))
+            say("node", "left", in_hand=len(self.proxy.calls))
             return self.reactor.stop()
         self.reactor.callLater(0.1, self._leave_when_done)
 
@@ -130,15 +144,15 @@
 
     def tenants(self) -> int:
         """How many there are."""
-        return len(self.desk.table.tenants) if self.desk.table is not None else 0
+        return len(self.proxy.table.tenants) if self.proxy.table is not None else 0
 
     def may_serve(self) -> bool:
         """What is held is known to have been the newest lately enough."""
-        return self.desk.table is not None and self.in_touch()
+        return self.proxy.table is not None and self.in_touch()
 
     def contact_age(self) -> float:
         """For how long there was no contact with a majority of the core, in seconds."""
-        return self.reactor.seconds() - self.archive.since()
+        return self.reactor.seconds() - self.control_plane.since()
 
     def in_touch(self) -> bool:
         """Whether contact with a majority of the core is younger than what may be done without."""
@@ -146,68 +160,68 @@
         return self.contact_age() < life - LEASE_MARGIN_S
 
     def flags(self) -> int:
-        ready = self.may_serve() and not self.leaving and bool(self.catalogue.instances)
-        formed = self.archive.members.proposes
-        return READY * ready | LEAVING * self.leaving | DISK * self.register.me.disk | FORMED * formed
+        ready = self.may_serve() and not self.leaving and bool(self.endpoints.instances)
+        formed = self.control_plane.members.proposes
+        return READY * ready | LEAVING * self.leaving | DISK * self.membership.me.disk | FORMED * formed
 
-    def readiness(self, door: Door, request: Request) -> None:
-        door.reply(200 if self.flags() & READY else 503)
+    def readiness(self, client_conn: ClientConnection, request: Request) -> None:
+        client_conn.reply(200 if self.flags() & READY else 503)
 
     def status(self) -> dict[str, Any]:
         """What else is known here, for people."""
-        now, state = self.reactor.seconds(), self.archive.state
-        formed = self.archive.replica.is_voter and not state.former  # until then the next loss may be one too many
+        now, state = self.reactor.seconds(), self.control_plane.state
+        formed = self.control_plane.replica.is_voter and not state.former  # until then the next loss may be one too many
         return {
-            "node": self.boot.node_name, "ready": bool(self.flags() & READY), "formed": formed,
-            "ingresses": len(self.register.alive(now)), "servers": len(self.catalogue.instances),
-            "list": {"holder": courier.host(self.custody.holder), "term": self.custody.term},
-            "counts": self.desk.counts,
+            "node": self.settings.node_name, "ready": bool(self.flags() & READY), "formed": formed,
+            "ingresses": len(self.membership.alive(now)), "servers": len(self.endpoints.instances),
+            "list": {"holder": connections.host(self.leadership.holder), "term": self.leadership.term},
+            "counts": self.proxy.counts,
         }  # fmt: skip
 
     # -- heartbeats ----------------------------------------------------------------------------------------
 
-    def _beat(self, reply: bool = False) -> Beat:
+    def _beat(self, reply: bool = False) -> Heartbeat:
         now = self.reactor.seconds()
-        listed = self.catalogue
-        return Beat(self.register.rows(now), self.archive.held.number, listed.digest, listed.age_ms(now), reply,
-                    self.custody.term, self.custody.holder)  # fmt: skip
+        listed = self.endpoints
+        return Heartbeat(self.membership.rows(now), self.control_plane.held.number, listed.digest, listed.age_ms(now), reply,
+                    self.leadership.term, self.leadership.holder)  # fmt: skip
 
     def beat(self) -> None:
         self.reactor.callLater(BEAT_S, self.beat)
         now = self.reactor.seconds()
         self.beats += 1
-        self.register.tick(now, self.flags())
-        others = self.register.alive(now)
+        self.membership.tick(now, self.flags())
+        others = self.membership.alive(now)
         beat = self._beat()
-        for ip in self.register.watchers(now, self.near, self.beats, self.beats % FAR_BEATS == 0):
+        for ip in self.membership.watchers(now, self.near, self.beats, self.beats % FAR_BEATS == 0):
             self.send(ip, beat)
         if len(others) < 3 or self.beats % 8 == 0:
-            missing = self.register.missing(now)
-            asked = {courier.number(host) for host, _ in self.boot.seed_nodes}
+            missing = self.membership.missing(now)
+            asked = {connections.number(host) for host, _ in self.settings.seed_nodes}
             if len(others) >= 3:
                 asked = {self.rng.choice(sorted(asked | set(missing)))} if asked or missing else set()
             else:
                 asked |= set(missing)
-            for ip in sorted(asked - {self.register.me.ip}):
+            for ip in sorted(asked - {self.membership.me.ip}):
                 self.send(ip, self._beat(reply=True))
 
     def tell_busy(self) -> None:
         """The ingresses of the region know of each other what they have out."""
         self.reactor.callLater(BUSY_S, self.tell_busy)
-        told = self.desk.busy()
+        told = self.proxy.busy()
         if told is not None:
-            told = Busy(told.out, told.sick, self.fence.turn())
-            for m in self.register.alive(self.reactor.seconds()):
-                if m.ip != self.register.me.ip and self.boot.zones[self.zones[m.zone]] == self.boot.region:
+            told = LoadReport(told.out, told.sick, self.fence.turn())
+            for m in self.membership.alive(self.reactor.seconds()):
+                if m.ip != self.membership.me.ip and self.settings.zones[self.zones[m.zone]] == self.settings.region:
                     self.send(m.ip, told)
 
     def push(self) -> None:
         """News for all at once."""
         now = self.reactor.seconds()
-        self.register.tick(now, self.flags())
+        self.membership.tick(now, self.flags())
         beat = self._beat()
-        for member in self.register.alive(now):
-            if member.ip != self.register.me.ip:
+        for member in self.membership.alive(now):
+            if member.ip != self.membership.me.ip:
                 self.send(member.ip, beat)
 
     def teach(self) -> None:
@@ -215,63 +229,63 @@
         its own zone and whoever else it is the nearest for.
         """
         now = self.reactor.seconds()
-        core = [m for m in self.register.alive(now, DISK)]
+        core = [m for m in self.membership.alive(now, DISK)]
         beat = self._beat()
-        for member in self.register.alive(now):
-            if not member.disk and self._teacher(member, core) == self.register.me.ip:
+        for member in self.membership.alive(now):
+            if not member.disk and self._teacher(member, core) == self.membership.me.ip:
                 self.send(member.ip, beat)
 
     def _teacher(self, member: Member, core: list[Member]) -> int:
-        zone, regions = self.zones[member.zone], self.boot.zones
+        zone, regions = self.zones[member.zone], self.settings.zones
 
         def far(one: Member) -> tuple[bool, bool, int]:
             other = self.zones[one.zone]
             return regions[other] != regions[zone], other != zone, one.place ^ member.place
 
-        return min(core, key=far, default=self.register.me).ip
+        return min(core, key=far, default=self.membership.me).ip
 
     def told(self, ip: int, message: messages.Datagram) -> None:
         """A datagram has come."""
         now = self.reactor.seconds()
         match message:
-            case Beat():
-                fresh = self.register.merge(now, message.rows)
+            case Heartbeat():
+                fresh = self.membership.merge(now, message.rows)
                 if message.reply or fresh and self.beats > 0:
                     self.send(ip, self._beat())
-                if self.register.overtaken(ip, message.rows):
+                if self.membership.overtaken(ip, message.rows):
                     return  # of its sender something newer is known: its list would seem fresher than it is
-                self.archive.heard_of(ip, message.number, now)
-                self.custody.told(message.term, message.holder)
+                self.control_plane.heard_of(ip, message.number, now)
+                self.leadership.told(message.term, message.holder)
                 self._list_news(ip, message, now)
-            case Probe():
-                self.archive.probed(ip, message)
-            case Held():
-                self.archive.told(ip, message)
+            case StateQuery():
+                self.control_plane.probed(ip, message)
+            case StateReport():
+                self.control_plane.told(ip, message)
             case Chosen():
-                self.archive.replica.chosen(message)
-            case Busy() if self.fence.newest(ip, message.turn):
-                self.desk.heard(ip, message, now)
-            case Claim():
-                if self.custody.vote(message.term, self._listless(now)):
-                    self.send(ip, Granted(message.term))
-            case Granted():
+                self.control_plane.replica.chosen(message)
+            case LoadReport() if self.fence.newest(ip, message.turn):
+                self.proxy.heard(ip, message, now)
+            case VoteRequest():
+                if self.leadership.vote(message.term, self._listless(now)):
+                    self.send(ip, Vote(message.term))
+            case Vote():
                 self._granted(ip, message.term)
-            case Lease():
+            case LeaseRequest():
                 if (answer := self.leases.answer(ip, message)) is not None:
                     self.send(ip, answer)
-            case Leased():
+            case LeaseGrant():
                 self.leases.told(ip, message)
-            case Tally() | Total() | Parts():
-                self.teller.told(ip, message)
+            case CounterIncrement() | CounterValue() | CounterSync():
+                self.quota_client.told(ip, message)
 
-    def _list_news(self, ip: int, beat: Beat, now: float) -> None:
+    def _list_news(self, ip: int, beat: Heartbeat, now: float) -> None:
         fetched = now - beat.list_age_ms / 1000
-        if not beat.list_digest or fetched <= self.catalogue.fetched + 0.05:
+        if not beat.list_digest or fetched <= self.endpoints.fetched + 0.05:
             return
-        if beat.list_digest == self.catalogue.digest:
-            self.catalogue.same_at(self.register.told_at - beat.list_age_ms / 1000, beat.list_digest)
+        if beat.list_digest == self.endpoints.digest:
+            self.endpoints.same_at(self.membership.told_at - beat.list_age_ms / 1000, beat.list_digest)
         else:
-            self.archive.pull(ip, servers=True, state=False)
+            self.control_plane.pull(ip, servers=True, state=False)
 
 
     # -- the operator's word -------------------------------------------------------------------------------
@@ -279,85 +293,85 @@
 
     def apply(self, before: State | None) -> None:
         """Put what is held in force."""
-        state, body = self.archive.state, self.archive.held.body
+        state, body = self.control_plane.state, self.control_plane.held.body
         self.fence.system = state.system
-        if body is not None and (before is None or before.config != state.config or self.desk.table is None):
+        if body is not None and (before is None or before.config != state.config or self.proxy.table is None):
             try:
                 table = Table(read_config(body))
-            except ConfigFault as err:
+            except ConfigurationError as err:
                 return say("archive", "held configuration cannot be read", error=str(err))
-            self.desk.table = table
+            self.proxy.table = table
             self.front.idle_s, self.front.header_s = table.limits.idle_timeout, table.limits.header_timeout
             self.front.max_header, self.front.max_body = table.limits.max_header_bytes, table.limits.max_body_bytes
             say("archive", "configuration in force", version=table.version)
-        self.desk.evacuated = set(state.evacuated)
+        self.proxy.evacuated = set(state.evacuated)
         for zone, _ in {*state.changed} - {*(before.changed if before is not None else ())}:
             if zone not in state.evacuated:
-                self.desk.taken_back(zone)  # also where its beginning was never heard of
+                self.proxy.taken_back(zone)  # also where its beginning was never heard of
 
 
     def give_list(self) -> tuple[bytes, int]:
         """The list of servers and its age, for another ingress."""
         now = self.reactor.seconds()
-        return (self.catalogue.body, self.catalogue.age_ms(now)) if self.catalogue.digest else (b"", 0)
+        return (self.endpoints.body, self.endpoints.age_ms(now)) if self.endpoints.digest else (b"", 0)
 
     def take_list(self, fetched: float, body: bytes) -> None:
         """The list as another ingress has it."""
-        if self.catalogue.take_body(fetched, body):
-            self.desk.refresh()
+        if self.endpoints.take_body(fetched, body):
+            self.proxy.refresh()
 
     # -- the platform's list -------------------------------------------------------------------------------
 
     def poll(self) -> None:
         """One ingress asks the platform for all; who hears nothing new for long asks itself."""
         now = self.reactor.seconds()
-        empty = not self.catalogue.digest
+        empty = not self.endpoints.digest
         every = FIRST_S if empty else EVERY_S
         self.reactor.callLater(every * self.rng.uniform(0.9, 1.1), self.poll)
         if self.leaving:
             return
         able = self._able(now)
-        next_one = first(able) == self.register.me.ip
-        known = self.archive.held.voters() or now - self.started > UNKNOWN_S
+        next_one = first(able) == self.membership.me.ip
+        known = self.control_plane.held.voters() or now - self.started > UNKNOWN_S
         if next_one and known and self._listless(now):
             self._claim()
-        elif self.custody.mine and not next_one:
-            self.custody.hand_on(first(able))  # the core first: all fetch the list from its holder
-        age = now - self.catalogue.fetched
+        elif self.leadership.mine and not next_one:
+            self.leadership.hand_on(first(able))  # the core first: all fetch the list from its holder
+        age = now - self.endpoints.fetched
         alone = age > STALE_S and now - self.started > 2 * FIRST_S and self.rng.random() < 2 / (1 + len(able))
-        second = age > SECOND_S and first(m for m in able if m.ip != self.custody.holder) == self.register.me.ip
-        asks = self.custody.mine or next_one or second or alone
+        second = age > SECOND_S and first(m for m in able if m.ip != self.leadership.holder) == self.membership.me.ip
+        asks = self.leadership.mine or next_one or second or alone
         if asks and now - self.started > FIRST_S / 2:
             self.platform.fetch()
 
     def _able(self, now: float) -> list[Member]:
-        return [m for m in self.register.alive(now) if not m.flags & LEAVING]
+        return [m for m in self.membership.alive(now) if not m.flags & LEAVING]
 
     def _listless(self, now: float) -> bool:
         """The holder of the list is not among those that could ask for it."""
-        return self.custody.holder not in {m.ip for m in self._able(now)}
+        return self.leadership.holder not in {m.ip for m in self._able(now)}
 
     def _claim(self) -> None:
-        term = self.custody.claim()
+        term = self.leadership.claim()
         for ip in self._voters():
-            if ip != self.register.me.ip:
-                self.send(ip, Claim(term))
-            elif self.custody.vote(term, True):
+            if ip != self.membership.me.ip:
+                self.send(ip, VoteRequest(term))
+            elif self.leadership.vote(term, True):
                 self._granted(ip, term)
 
     def _voters(self) -> list[int]:
         """The core; without one, all there are."""
-        return self.archive.held.voters() or sorted(self.register.members)
+        return self.control_plane.held.voters() or sorted(self.membership.members)
 
     def _granted(self, by: int, term: int) -> None:
-        if self.custody.granted(term, by, self._voters()):
+        if self.leadership.granted(term, by, self._voters()):
             say("custody", "has the list", term=term)
             self.platform.fetch()
 
     def listed(self, changed: bool) -> None:
         """The platform has answered."""
         if changed:
-            self.desk.refresh()
+            self.proxy.refresh()
             self.push()
 
     # -- once in a while -----------------------------------------------------------------------------------
@@ -365,13 +379,13 @@
     def sweep(self) -> None:
         self.reactor.callLater(SWEEP_S, self.sweep)
         now = self.reactor.seconds()
-        for house in self.houses:
-            house.sweep(now)
+        for listener in self.listeners:
+            listener.sweep(now)
         most = 2
-        if self.desk.table is not None:
-            least = min((s.max_connections for s in self.desk.table.services.values()), default=100)
-            most = max(1, least // (3 * max(1, len(self.register.members))))
-        self.servers.sweep(list(self.desk.targets.values()), now, most)
+        if self.proxy.table is not None:
+            least = min((s.max_connections for s in self.proxy.table.services.values()), default=100)
+            most = max(1, least // (3 * max(1, len(self.membership.members))))
+        self.servers.sweep(list(self.proxy.targets.values()), now, most)
         self.reread()
         unbelieved = self.fence.news()
         if unbelieved:
@@ -380,22 +394,22 @@
     def reread(self) -> None:
         """The settings file may have changed, with or without a signal."""
         try:
-            boot = self.settings()
-        except (SettingsFault, OSError):
+            settings = self.reload_settings()
+        except (SettingsError, OSError):
             return
-        if boot.seed_nodes != self.boot.seed_nodes:
-            self.boot = self.boot.model_copy(update={"seed_nodes": boot.seed_nodes})
-            say("register", "seeds exchanged", seeds=len(boot.seed_nodes))
+        if settings.seed_nodes != self.settings.seed_nodes:
+            self.settings = self.settings.model_copy(update={"seed_nodes": settings.seed_nodes})
+            say("register", "seeds exchanged", seeds=len(settings.seed_nodes))
 
 
 _read: dict[str, Any] = {}
 
 
-def load_settings() -> Boot:
+def load_settings() -> Settings:
     """The settings file that `MAPLELINE_CONFIG` names; parsed again only if its text differs."""
     path = os.environ.get("MAPLELINE_CONFIG")
     if not path:
-        raise SettingsFault("MAPLELINE_CONFIG: not set; it names the settings file")
+        raise SettingsError("MAPLELINE_CONFIG: not set; it names the settings file")
     text = Path(path).read_text()
     if _read.get("text") != text:
         _read["boot"], _read["text"] = read_settings(text), text
@@ -405,14 +419,14 @@
 def main() -> int:
     """The role `desk`: all that one ingress of the system is."""
     try:
-        boot = load_settings()
-    except (SettingsFault, OSError) as err:
+        settings = load_settings()
+    except (SettingsError, OSError) as err:
         sys.stderr.write(f"mapleline: {err}\n")
         return 2
     from .reactor import install
 
     reactor = install()
-    configure(boot.node_name)
+    configure(settings.node_name)
     from twisted.python import log as twisted_log
 
     def fault(event: dict) -> None:
@@ -421,7 +435,7 @@
             say("node", "fault", trace=failure.getTraceback() if failure else str(event.get("message")))
 
     twisted_log.addObserver(fault)
-    node = Node(reactor, boot)
+    node = Node(reactor, settings)
 
     def term(*_: object) -> None:
         reactor.callFromThread(node.leave)
--- a/mapleline/balancer/proxy/listener.py
+++ b/mapleline/balancer/proxy/listener.py
@@ -9,27 +9,27 @@
 from twisted.internet.protocol import ServerFactory
 from twisted.python.failure import Failure
 
-from ..http1.buffers import BufferPool
-from ..http1.messages import Malformed, Request
-from ..http1.server import ServerConnection
-from ..http1.upload import Upload
-from ..net.streams import Stream
+from ...http1.buffers import BufferPool
+from ...http1.messages import Malformed, Request
+from ...http1.server import ServerConnection
+from ...http1.upload import Upload
+from ...net.streams import Stream
 
 WHOLE = 1 << 30  # of who takes every body in whole
 LINGER_S = 6.0  # for who still sends a body that nobody wants, to read why
 
 
-class Door(Stream):
+class ClientConnection(Stream):
     """One connection: requests go to the house's `take`, one at a time.
 
     A body beyond the house's `stream_from`, or any of some size while memory is tight, goes on as it comes: its
     request has an `upload`, and is read no faster than a server takes it.
     """
 
-    def __init__(self, house: House) -> None:
-        self.house = house
-        self.machine = ServerConnection(house.pool, house.stream_from, house.max_header, house.max_body)
-        self.since = house.reactor.seconds()  #: of the last answer, or of the first byte of a request
+    def __init__(self, listener: Listener) -> None:
+        self.listener = listener
+        self.machine = ServerConnection(listener.pool, listener.stream_from, listener.max_header, listener.max_body)
+        self.since = listener.reactor.seconds()  #: of the last answer, or of the first byte of a request
         self.in_hand: Any = None  #: what `take` made of the request
         self.upload: Upload | None = None  #: takes the rest of the request in hand
         self.source: Any = None  #: gives the rest of the answer in hand
@@ -38,11 +38,11 @@
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self.house.open.add(self)
+        self.listener.open.add(self)
 
     def dataReceived(self, data: bytes) -> None:
         if not self.machine.busy and not self.machine.partial:
-            self.since = self.house.reactor.seconds()
+            self.since = self.listener.reactor.seconds()
         self.machine.receive(data)
         if self.upload is not None:
             return self._more(self.upload)
@@ -83,10 +83,10 @@
                 self.upload = Upload(request.length, self.go_on, partial(self._spent, request))
                 self.hold()  # until a server takes what there is
             self._reserve(2 * len(request.body))  # held to be sent again, and once more on its way out
-            self.in_hand = self.house.take(self, request)
+            self.in_hand = self.listener.take(self, request)
 
     def _reserve(self, size: int) -> None:
-        self.house.pool.held += size - self.reserved
+        self.listener.pool.held += size - self.reserved
         self.reserved = size
 
     def _spent(self, request: Request) -> None:
@@ -97,10 +97,10 @@
             self.in_hand.spent = True
 
     def _lines(self) -> bytes:
-        if self.house.leaving:
+        if self.listener.leaving:
             self.machine.closing = True
-        elif not self.machine.closing and self.house.idle_s:
-            return b"Keep-Alive: timeout=%d\r\n" % max(1, int(self.house.idle_s))
+        elif not self.machine.closing and self.listener.idle_s:
+            return b"Keep-Alive: timeout=%d\r\n" % max(1, int(self.listener.idle_s))
         return b""
 
     def reply(self, status: int, body: bytes = b"", lines: bytes = b"") -> None:
@@ -117,11 +117,11 @@
     def _rest(self, unread: bool = False) -> None:
         self.in_hand = self.upload = self.source = None
         self._reserve(0)
-        self.since = self.house.reactor.seconds()
+        self.since = self.listener.reactor.seconds()
         if self.machine.closing:
             self._close(unread)
         else:
-            self.house.reactor.callLater(0, self._next)
+            self.listener.reactor.callLater(0, self._next)
 
     def begin(self, status: int, lines: bytes, length: int | None, source: Any) -> None:
         """The answer goes out as it comes: `part`s, then `ended`.  `source` is paused and resumed."""
@@ -154,7 +154,7 @@
 
     def connectionLost(self, reason: Failure) -> None:
         super().connectionLost(reason)
-        self.house.open.discard(self)
+        self.listener.open.discard(self)
         self.machine.clear()
         self._reserve(0)
         call, self.in_hand, self.upload, self.source = self.in_hand, None, None, None
@@ -162,34 +162,34 @@
             call.left()
 
 
-class House(ServerFactory):
+class Listener(ServerFactory):
     """The connections at one address."""
 
     noisy = False
 
     def __init__(
-        self, reactor: Any, pool: BufferPool, take: Callable[[Door, Request], Any], stream_from: int = WHOLE
+        self, reactor: Any, pool: BufferPool, take: Callable[[ClientConnection, Request], Any], stream_from: int = WHOLE
     ) -> None:
         self.reactor, self.pool, self.take, self.stream_from = reactor, pool, take, stream_from
-        self.open: set[Door] = set()
+        self.open: set[ClientConnection] = set()
         self.leaving = False
         self.idle_s, self.header_s = 0.0, 10.0
         self.max_header, self.max_body = 16384, 64 << 20
 
-    def buildProtocol(self, addr: Any) -> Door:
-        return Door(self)
+    def buildProtocol(self, addr: Any) -> ClientConnection:
+        return ClientConnection(self)
 
     def sweep(self, now: float) -> None:
         """Close what has been silent for too long."""
-        for door in list(self.open):
-            if door.machine.busy:
+        for client_conn in list(self.open):
+            if client_conn.machine.busy:
                 continue
-            if door.machine.closing:
-                if now - door.since > LINGER_S:
-                    door.transport.abortConnection()
+            if client_conn.machine.closing:
+                if now - client_conn.since > LINGER_S:
+                    client_conn.transport.abortConnection()
                 continue
-            if door.machine.partial:
-                if now - door.since > 3 * self.header_s:
-                    door.transport.abortConnection()
-            elif now - door.since > (self.idle_s or 15.0) + 2.0 or (self.leaving and now - door.since > 1.0):
-                door.transport.loseConnection()
+            if client_conn.machine.partial:
+                if now - client_conn.since > 3 * self.header_s:
+                    client_conn.transport.abortConnection()
+            elif now - client_conn.since > (self.idle_s or 15.0) + 2.0 or (self.leaving and now - client_conn.since > 1.0):
+                client_conn.transport.loseConnection()
--- a/mapleline/balancer/proxy/proxy.py
+++ b/mapleline/balancer/proxy/proxy.py
@@ -7,20 +7,20 @@
 from typing import Any
 from zlib import crc32
 
-from ..http1.messages import Request, Response, write_chunk
-from ..http1.upload import Upload
-from ..policy.placing import Target, choose, too_late
-from ..policy.window import Ask, Tenancy
-from . import verdict
-from .catalogue import Catalogue, Instance
-from .config import Route, Table
-from .doors import Door
-from .leases import Leases
-from .messages import Busy
-from .register import READY, Register
-from .servers import Attempt, Link, Servers
-from .settings import Boot
-from .verdict import Verdict, of_response
+from ...http1.messages import Request, Response, write_chunk
+from ...http1.upload import Upload
+from ...policy.placing import Target, choose, too_late
+from ...policy.window import Ask, Tenancy
+from ..configuration import Route, Table
+from ..discovery.endpoints import EndpointList, Instance
+from ..membership.table import READY, MembershipTable
+from ..settings import Settings
+from ..transport.messages import LoadReport
+from . import outcome
+from .listener import ClientConnection
+from .outcome import Outcome, of_response
+from .slow_start_leases import SlowStartLeases
+from .upstream import Attempt, Link, UpstreamPool
 
 HOP = frozenset({b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
                  b"content-length", b"expect"})  # fmt: skip
@@ -40,20 +40,20 @@
 UNREACHABLE_MOST = 4  # servers that could not be reached are no servers that it was sent to
 
 
-class Call:
+class RequestContext:
     """One request in hand."""
 
-    __slots__ = ("again", "arrived", "attempts", "desk", "door", "end_at", "hedge", "id", "kind", "over", "passing",
+    __slots__ = ("again", "arrived", "attempts", "proxy", "client_conn", "end_at", "hedge", "id", "kind", "over", "passing",
                  "request", "route", "sent", "service", "spent", "tenant", "timer", "tried", "unreachable", "upload",
                  "worst")  # fmt: skip
 
-    def __init__(self, desk: Desk, door: Door, request: Request, now: float) -> None:
-        self.desk, self.door, self.request, self.arrived = desk, door, request, now
+    def __init__(self, proxy: Proxy, client_conn: ClientConnection, request: Request, now: float) -> None:
+        self.proxy, self.client_conn, self.request, self.arrived = proxy, client_conn, request, now
         self.attempts: list[Attempt] = []  #: out now
         self.sent = self.unreachable = 0
         self.tried: list[str] = []
-        self.worst, self.over, self.timer, self.hedge = Verdict.NEVER, False, None, None
-        self.upload: Upload | None = door.upload  #: the rest of its body, still coming
+        self.worst, self.over, self.timer, self.hedge = Outcome.NEVER, False, None, None
+        self.upload: Upload | None = client_conn.upload  #: the rest of its body, still coming
         self.spent = False  #: more of the body has gone out than is held
         self.passing: Attempt | None = None  #: its answer is on its way out in parts
         self.id = request.headers.get(b"request-id", b"")
@@ -71,7 +71,7 @@
     def answer(self, status: int, body: bytes = b"", lines: bytes = b"") -> None:
         if not self.over:
             self.end()
-            self.door.reply(status, body, lines)
+            self.client_conn.reply(status, body, lines)
 
     def end(self) -> None:
         """Out of hand: its answer is out, or nobody wants one."""
@@ -81,33 +81,33 @@
         for timer in (self.timer, self.hedge):
             if timer is not None and timer.active():
                 timer.cancel()
-        self.desk.calls.discard(self)
+        self.proxy.calls.discard(self)
 
     def refuse(self, status: int, back_s: float, why: bytes) -> None:
         """Refused before it ran: says when to come back."""
         self.answer(status, why, b"Retry-After: %.2f\r\n" % max(0.05, back_s))
 
 
-class Desk:
+class Proxy:
     """Decides and sends; told of the configuration, the servers and the other ingresses by its node."""
 
     def __init__(
-        self, reactor: Any, boot: Boot, register: Register, catalogue: Catalogue, servers: Servers,
+        self, reactor: Any, settings: Settings, membership: MembershipTable, endpoints: EndpointList, servers: UpstreamPool,
         may_serve: Callable[[], bool], ask: Callable[[Ask], None], rng: random.Random,
     ) -> None:  # fmt: skip
-        self.reactor, self.boot, self.register, self.catalogue = reactor, boot, register, catalogue
+        self.reactor, self.settings, self.membership, self.endpoints = reactor, settings, membership, endpoints
         self.servers, self.may_serve, self.ask, self.rng = servers, may_serve, ask, rng
         self.table: Table | None = None
         self.evacuated: set[str] = set()
         self.cooling: dict[str, float] = {}  #: zones taken back, whose servers count as cold until a list is as new
-        self.leases: Leases | None = None  #: who alone sends to which cold server; without them nobody does
+        self.leases: SlowStartLeases | None = None  #: who alone sends to which cold server; without them nobody does
         self.targets: dict[str, Target] = {}
-        self.calls: set[Call] = set()
+        self.calls: set[RequestContext] = set()
         self.usual: dict[tuple[str, str], float] = {}  #: answer time by service and prefix
         self.longest: dict[str, float] = {}  #: deadlines of first tries, by prefix
         self.sizes: dict[tuple[str, str], float] = {}  #: bytes of an answer, likewise
-        self.near: dict[int, tuple[float, Busy]] = {}  #: what others of the region have out
-        self.told = Busy({}, {})
+        self.near: dict[int, tuple[float, LoadReport]] = {}  #: what others of the region have out
+        self.told = LoadReport({}, {})
         self.credit: dict[str, float] = {}  #: further tries saved up, by service
         self.tenancies: dict[str, Tenancy] = {}
         self.counts: dict[str, int] = {}
@@ -119,11 +119,11 @@
 
     def refresh(self) -> None:
         """The list has changed."""
-        listed = self.catalogue.instances
+        listed = self.endpoints.instances
         for id, one in listed.items():
             target = self.targets.get(id)
             if target is None:
-                region = self.boot.zones.get(one.zone, "")
+                region = self.settings.zones.get(one.zone, "")
                 target = self.targets[id] = Target(id, one.service, one.zone, region, one.slots)
             target.cold_until = max(target.cold_until, one.cold_until)
         for id in [id for id in self.targets if id not in listed]:
@@ -131,18 +131,18 @@
         if self.leases is not None:
             self.leases.tend()
 
-    def busy(self) -> Busy | None:
+    def busy(self) -> LoadReport | None:
         """What is out at servers of this region, and which are sick, if that differs from what was last told."""
         now = self.reactor.seconds()
-        near = [(crc32(t.id.encode()), t) for t in self.targets.values() if t.region == self.boot.region]
+        near = [(crc32(t.id.encode()), t) for t in self.targets.values() if t.region == self.settings.region]
         tenths = ((id, int(10 * t.seen(now))) for id, t in near if t.bad)
-        told = Busy({id: t.out for id, t in near if t.out}, {id: tenth for id, tenth in tenths if tenth > 2})
+        told = LoadReport({id: t.out for id, t in near if t.out}, {id: tenth for id, tenth in tenths if tenth > 2})
         if told == self.told:
             return None
         self.told = told
         return told
 
-    def heard(self, ip: int, told: Busy, now: float) -> None:
+    def heard(self, ip: int, told: LoadReport, now: float) -> None:
         """Another ingress of the region has told that."""
         self.near[ip] = (now, told)
         sums: dict[int, int] = {}
@@ -161,21 +161,21 @@
         """The zone's evacuation is over, and its servers may have turned cold shortly before: only a list that is
         fetched so much later than this shows it.
         """
-        self.cooling[zone] = self.reactor.seconds() + self.boot.cloud_api.max_lag
+        self.cooling[zone] = self.reactor.seconds() + self.settings.cloud_api.max_lag
         if self.leases is not None:
             self.leases.tend()
 
     def is_cold(self, one: Instance, now: float) -> bool:
         """Also in the second after: any span of one that begins while it is cold counts whole."""
         ends = max(one.cold_until, one.ended + AFTER_S)
-        return now < ends or self.catalogue.fetched < self.cooling.get(one.zone, -1e9)
+        return now < ends or self.endpoints.fetched < self.cooling.get(one.zone, -1e9)
 
     def cold_rate(self, one: Instance, now: float, rate: float) -> float:
         """Requests a second for the one that sends to it: what a cold server bears, and in the second after what the
         rule leaves (docs/design/cold.md: two holders send 2 + 1.35 x this in a second at most).
         """
-        bounds = self.boot.protocol_bounds
-        if now < one.cold_until or self.catalogue.fetched < self.cooling.get(one.zone, -1e9):
+        bounds = self.settings.protocol_bounds
+        if now < one.cold_until or self.endpoints.fetched < self.cooling.get(one.zone, -1e9):
             return rate
         return max(rate, (rate * bounds.cold_overshoot + bounds.cold_slack - 2.5) / 1.35)
 
@@ -183,11 +183,11 @@
         """The cold servers that this one should be the only one to send to: the first by lot of those in a zone asks
         for them.  Views of who is there may differ: it is the lease that counts.
         """
-        cold = [one for one in self.catalogue.instances.values()
+        cold = [one for one in self.endpoints.instances.values()
                 if one.ready and one.zone not in self.evacuated and self.is_cold(one, now)]  # fmt: skip
         if not cold:
             return []
-        ready, zones = self.register.alive(now, READY), sorted(self.boot.zones)
+        ready, zones = self.membership.alive(now, READY), sorted(self.settings.zones)
         near = {name: [m.ip for m in ready if m.zone == n] for n, name in enumerate(zones)}
         everywhere = [m.ip for m in ready]
 
@@ -196,7 +196,7 @@
             ips = near.get(one.zone) or everywhere
             return min(ips, key=lambda ip: crc32(b"%d %s" % (ip, id)), default=0)
 
-        return [crc32(one.id.encode()) for one in cold if lot(one) == self.register.me.ip]
+        return [crc32(one.id.encode()) for one in cold if lot(one) == self.membership.me.ip]
 
     def owns_cold(self, one: Instance, now: float) -> bool:
         return self.leases is not None and self.leases.holds(crc32(one.id.encode()), now)
@@ -205,7 +205,7 @@
         """Servers of a service that a request may go to now."""
         found = []
         rate = self.table.services[service].cold_rate_s if service in self.table.services else 0.0
-        for one in self.catalogue.instances.values():
+        for one in self.endpoints.instances.values():
             target = self.targets.get(one.id)
             if target is None or one.service != service or not one.ready or one.zone in self.evacuated:
                 continue
@@ -220,15 +220,15 @@
 
     # -- a request's path ----------------------------------------------------------------------------------
 
-    def take(self, door: Door, request: Request) -> Call:
+    def take(self, client_conn: ClientConnection, request: Request) -> RequestContext:
         """A client's request has come in whole."""
         now = self.reactor.seconds()
-        call = Call(self, door, request, now)
+        call = RequestContext(self, client_conn, request, now)
         self.calls.add(call)
         self._admit(call, now)
         return call
 
-    def _admit(self, call: Call, now: float) -> None:
+    def _admit(self, call: RequestContext, now: float) -> None:
         table, headers = self.table, call.request.headers
         if table is None or not self.may_serve():
             self.count("unknowing")
@@ -250,7 +250,7 @@
         longest = self.longest[route.path_prefix] = max(wait, self.longest.get(route.path_prefix, 0.0))
         call.again = wait < AGAIN_PART * longest  # a later try has what the earlier ones left of the deadline
         call.service = self._service(route)
-        earned = BUDGET_PART * self.boot.protocol_bounds.retry_budget_ratio
+        earned = BUDGET_PART * self.settings.protocol_bounds.retry_budget_ratio
         credit = self.credit.get(call.service, self._slack() / 2)
         self.credit[call.service] = min(self._slack(), credit + earned)
         call.timer = self.reactor.callLater(max(0.0, wait - MARGIN_S), self._late, call)
@@ -259,7 +259,7 @@
             tenancy = self.tenancies.get(owner)
             limits = (tenant.rate_per_s, tenant.burst_size)
             if tenancy is None or tenancy.limits != limits:
-                bounds = self.boot.protocol_bounds
+                bounds = self.settings.protocol_bounds
                 tenancy = self.tenancies[owner] = Tenancy(owner, *limits, bounds.quota_window,
                                                           bounds.quota_overshoot, bounds.quota_slack)  # fmt: skip
             self.ask(Ask(tenancy, tenant.home_regions, lambda answer: self._counted(call, tenancy, answer)))
@@ -272,7 +272,7 @@
             return shares[0][0]
         return self.rng.choices([name for name, _ in shares], [weight for _, weight in shares])[0]
 
-    def _counted(self, call: Call, tenancy: Tenancy, answer: Any) -> bool:
+    def _counted(self, call: RequestContext, tenancy: Tenancy, answer: Any) -> bool:
         """The tally has answered (None: it has not); says whether the units stay on it."""
         if call.over:
             return False
@@ -291,16 +291,16 @@
 
     def _slack(self) -> float:
         """This ingress's part of the fleet's slack: half of it divided by all that are known."""
-        return max(1.0, 0.5 * self.boot.protocol_bounds.retry_budget_slack / max(1, len(self.register.members)))
+        return max(1.0, 0.5 * self.settings.protocol_bounds.retry_budget_slack / max(1, len(self.membership.members)))
 
-    def _homes(self, call: Call) -> set[str] | None:
+    def _homes(self, call: RequestContext) -> set[str] | None:
         homes = set(call.route.home_regions) or None
         tenant = self.table.tenants.get(call.tenant) if call.tenant else None
         if tenant is not None and tenant.home_regions:
             homes = set(tenant.home_regions) if homes is None else homes & set(tenant.home_regions)
         return homes
 
-    def _dispatch(self, call: Call) -> None:
+    def _dispatch(self, call: RequestContext) -> None:
         now = self.reactor.seconds()
         if call.over:
             return
@@ -311,7 +311,7 @@
         targets = self.usable(call.service, homes, now) if left > LEAST_S else []
         kilobytes = ((call.request.length or len(call.request.body)) + self.sizes.get(self._key(call), 0.0)) / 1000
         kept = self.table.homes.get(call.service, ()) if homes is None else ()
-        best = choose(now, targets, self.boot.zone, self.boot.region, call.tried, self.rng, kilobytes, kept)
+        best = choose(now, targets, self.settings.zone, self.settings.region, call.tried, self.rng, kilobytes, kept)
         if best is None:
             self.count("no_server")
             return None if call.attempts else self._give_up(call, False)
@@ -319,7 +319,7 @@
         if call.sent == 0 and not call.again and too_late(wait, usual, call.route.target_latency):
             self.count("full")
             return call.refuse(503, min(BACK_MOST_S, wait * usual), b"full")
-        one = self.catalogue.instances[best.id]
+        one = self.endpoints.instances[best.id]
         if self.is_cold(one, now):
             best.cold_store -= 1.0
         call.tried.append(best.id)
@@ -335,14 +335,14 @@
             call.hedge = self.reactor.callLater(HEDGE * self._usual(call), self._hedge, call)
         self.servers.send(attempt, one.address)
 
-    def _usual(self, call: Call) -> float:
+    def _usual(self, call: RequestContext) -> float:
         """The time that an answer on its route takes."""
         return self.usual.get(self._key(call), USUAL_FIRST_S)
 
-    def _key(self, call: Call) -> tuple[str, str]:
+    def _key(self, call: RequestContext) -> tuple[str, str]:
         return call.service, call.route.path_prefix
 
-    def _hedge(self, call: Call) -> None:
+    def _hedge(self, call: RequestContext) -> None:
         """No answer for long: the first one of two servers counts.  Breaking the other off would gain nothing."""
         now = self.reactor.seconds()
         if not call.over and call.passing is None and call.attempts and self._again(call):
@@ -350,13 +350,13 @@
             call.attempts[0].target.judged(now, True, DOUBT)
             self._dispatch(call)
 
-    def _still_allowed(self, call: Call) -> bool:
+    def _still_allowed(self, call: RequestContext) -> bool:
         """The key was not taken away while the request waited."""
         table = self.table
         owner = table.owner(call.request.headers.get(b"authorization", b"").decode("latin-1"))
         return owner == call.tenant
 
-    def _head(self, call: Call, one: Instance, left: float) -> bytes:
+    def _head(self, call: RequestContext, one: Instance, left: float) -> bytes:
         request = call.request
         host = request.headers.get(b"host", b"")
         lines = [b"%b %b HTTP/1.1\r\nHost: %b\r\n" % (request.method, request.target, host)]
@@ -372,30 +372,30 @@
             lines.append(b"Content-Length: %d\r\n" % (call.upload.length if call.upload is not None else len(body)))
         return b"%b\r\n%b" % (b"".join(lines), body)
 
-    def _begun(self, call: Call, attempt: Attempt, response: Response, link: Link) -> Door | None:
+    def _begun(self, call: RequestContext, attempt: Attempt, response: Response, link: Link) -> ClientConnection | None:
         """A long answer has begun: it goes out as it comes, if it is the request's answer and the first of two."""
-        if call.over or call.passing is not None or of_response(response) is Verdict.NEVER \
-                or not verdict.may_pass(call.kind, response):
+        if call.over or call.passing is not None or of_response(response) is Outcome.NEVER \
+                or not outcome.may_pass(call.kind, response):
             return None
         call.passing = attempt
-        call.door.begin(response.status, self._lines(response), response.length, link)
-        return call.door
+        call.client_conn.begin(response.status, self._lines(response), response.length, link)
+        return call.client_conn
 
-    def _ended(self, call: Call, attempt: Attempt) -> None:
+    def _ended(self, call: RequestContext, attempt: Attempt) -> None:
         """An attempt is over, by an answer or without one."""
         now, target, response = self.reactor.seconds(), attempt.target, attempt.response
         if attempt in call.attempts:
             call.attempts.remove(attempt)
-        if attempt.verdict is not Verdict.NEVER:
+        if attempt.verdict is not Outcome.NEVER:
             call.worst = max(call.worst, attempt.verdict)
         self._learn(call, attempt, now)
         if attempt is call.passing and not call.over:
             self.count("served" if response.status < 300 else "passed")
             call.end()
-            return call.door.ended(attempt.why == "answer")
+            return call.client_conn.ended(attempt.why == "answer")
         if call.over or call.passing is not None:
             return
-        good = response is not None and attempt.verdict is Verdict.RAN and verdict.may_pass(call.kind, response)
+        good = response is not None and attempt.verdict is Outcome.RAN and outcome.may_pass(call.kind, response)
         if good and response.status < 500:
             return self._pass(call, response)
         if response is not None and response.status == 421:
@@ -413,9 +413,9 @@
             return self._pass(call, response)
         self._give_up(call, False)
 
-    def _again(self, call: Call) -> bool:
+    def _again(self, call: RequestContext) -> bool:
         """A further try is allowed, and the budget bears it."""
-        if call.spent or not verdict.may_repeat(call.kind, call.worst) or call.sent >= call.route.max_attempts:
+        if call.spent or not outcome.may_repeat(call.kind, call.worst) or call.sent >= call.route.max_attempts:
             return False
         if call.end_at - self.reactor.seconds() < 2 * LEAST_S:
             return False
@@ -426,7 +426,7 @@
         self.credit[call.service] = credit - 1.0
         return True
 
-    def _learn(self, call: Call, attempt: Attempt, now: float) -> None:
+    def _learn(self, call: RequestContext, attempt: Attempt, now: float) -> None:
         target, response = attempt.target, attempt.response
         if response is None:
             if attempt.why == "unreachable":
@@ -437,7 +437,7 @@
         load = response.headers.get(b"server-load", b"").split(b",")
         if len(load) == 3 and all(part.strip().isdigit() for part in load):
             target.told, target.told_at = float(load[0]) + float(load[1]), now
-        if attempt.verdict is Verdict.NEVER:
+        if attempt.verdict is Outcome.NEVER:
             if response.status != 421:
                 target.told, target.told_at = max(target.told, target.slots + 6.0), now
             return
@@ -449,7 +449,7 @@
             size = self.sizes.get(key, len(response.body))
             self.sizes[key] = size + USUAL_GAIN * (len(response.body) - size)
 
-    def _pass(self, call: Call, response: Response) -> None:
+    def _pass(self, call: RequestContext, response: Response) -> None:
         """The server's answer, unchanged."""
         self.count("served" if response.status < 300 else "passed")
         call.answer(response.status, response.body, self._lines(response))
@@ -458,24 +458,24 @@
     def _lines(response: Response) -> bytes:
         return b"".join(b"%b: %b\r\n" % item for item in response.headers.items() if item[0] not in HOP)
 
-    def _give_up(self, call: Call, timed_out: bool) -> None:
+    def _give_up(self, call: RequestContext, timed_out: bool) -> None:
         """No server has answered it, and none will be asked: told at once."""
-        status = verdict.final_status(call.worst, timed_out)
+        status = outcome.final_status(call.worst, timed_out)
         self.count(f"own.{status}")
         if status == 503:
             call.refuse(503, BACK_S, b"no server")
         else:
             call.answer(status, b"gone" if status == 502 else b"late")
 
-    def _late(self, call: Call) -> None:
+    def _late(self, call: RequestContext) -> None:
         """The deadline: an attempt that is out may have run, or runs still."""
         if call.over:
             return
         if call.passing is not None:  # the client has waited as long as it would: it sees a part, and no end
             call.end()
-            call.door.ended(False)
+            call.client_conn.ended(False)
             return call.call_off()
         if any(attempt.written for attempt in call.attempts):
-            call.worst = max(call.worst, Verdict.MAYBE)
+            call.worst = max(call.worst, Outcome.MAYBE)
         self._give_up(call, True)
         call.call_off()
--- a/mapleline/balancer/proxy/slow_start_leases.py
+++ b/mapleline/balancer/proxy/slow_start_leases.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from .messages import Lease, Leased
+from ..transport.messages import LeaseGrant, LeaseRequest
 
 LEASE_S = 1.5  # more than a second and `DIAL_S`: the span of the rule meets two holders at most (docs/design/cold.md)
 RENEW_S = 0.4  # one lost question, and the way there and back, cost no lease
@@ -36,7 +36,7 @@
         return given
 
 
-class Leases:
+class SlowStartLeases:
     """What one process holds, and its questions to the core.
 
     `wanted(now)` says which numbers it should hold; `voters()` who the core is.
@@ -69,21 +69,21 @@
         self.asked = {nonce: at for nonce, at in self.asked.items() if now - at < LEASE_S}
         self.nonce = (self.nonce + 1) & 0x7FFFFFFF
         self.asked[self.nonce] = now
-        question = Lease(self.nonce, self.life, numbers)
+        question = LeaseRequest(self.nonce, self.life, numbers)
         for ip in self.voters():
             if ip != self.me:
                 self.send(ip, question)
             elif (answer := self.answer(ip, question)) is not None:
                 self.told(ip, answer)
 
-    def answer(self, ip: int, question: Lease) -> Leased | None:
+    def answer(self, ip: int, question: LeaseRequest) -> LeaseGrant | None:
         """What this one grants; None where it is no voter."""
         if self.voter is None:
             return None
         given = self.voter.ask(self.reactor.seconds(), ip, question.life, question.numbers)
-        return Leased(question.nonce, len(self.voters()), given)
+        return LeaseGrant(question.nonce, len(self.voters()), given)
 
-    def told(self, ip: int, answer: Leased) -> None:
+    def told(self, ip: int, answer: LeaseGrant) -> None:
         """A voter has answered."""
         asked = self.asked.get(answer.nonce)
         if asked is None:
--- a/mapleline/balancer/proxy/upstream.py
+++ b/mapleline/balancer/proxy/upstream.py
@@ -9,14 +9,14 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ..http1.buffers import BUFFER_SIZE, BufferPool
-from ..http1.client import ClientConnection
-from ..http1.messages import Response
-from ..http1.upload import Upload
-from ..net.dial import dial
-from ..net.streams import Stream
-from ..policy.placing import Target
-from .verdict import Verdict, of_loss, of_response
+from ...http1.buffers import BUFFER_SIZE, BufferPool
+from ...http1.client import ClientConnection
+from ...http1.messages import Response
+from ...http1.upload import Upload
+from ...net.dial import dial
+from ...net.streams import Stream
+from ...policy.placing import Target
+from .outcome import Outcome, of_loss, of_response
 
 DIAL_S = 0.35  # a first packet that was dropped comes again after a second, and later than that is too late
 IDLE_S = 8.0  # kept at most, where the server says nothing
@@ -44,7 +44,7 @@
         self.upload = upload  #: the rest of the request's body, still coming
         self.carrier: Link | None = None
         self.response: Response | None = None
-        self.verdict = Verdict.NEVER
+        self.verdict = Outcome.NEVER
         self.written = False  #: a byte of it may have gone out
         self.sent_at = 0.0
         self.free = True  #: a slot was likely free when it was sent
@@ -77,7 +77,7 @@
 class Link(Stream):
     """One connection to one server."""
 
-    def __init__(self, servers: Servers, target: Target) -> None:
+    def __init__(self, servers: UpstreamPool, target: Target) -> None:
         self.servers, self.target = servers, target
         self.machine = ClientConnection(servers.pool, STREAM_FROM, belongs)
         self.attempt: Attempt | None = None
@@ -204,7 +204,7 @@
     return said == attempt.id
 
 
-class Servers:
+class UpstreamPool:
     """Sends attempts over the connections that are kept at each target, or over new ones."""
 
     def __init__(self, reactor: Any, pool: BufferPool) -> None:
--- a/mapleline/balancer/quota/client.py
+++ b/mapleline/balancer/quota/client.py
@@ -7,12 +7,12 @@
 
 from msgspec.structs import replace
 
-from ..policy.window import Ask
-from .ledger import Names, holders, shard_of
-from .messages import Parts, Tally, Total
-from .register import LEAVING, Register
-from .settings import Boot
-from .ways import Ways
+from ...policy.window import Ask
+from ..environment import Environment
+from ..membership.table import LEAVING, MembershipTable
+from ..settings import Settings
+from ..transport.messages import CounterIncrement, CounterSync, CounterValue
+from .counters import CounterTable, holders, shard_of
 
 AGAIN_S = 0.045  # the nearer holder is asked again, and the other one as well
 MOST_S = 0.16  # then the request is refused: a fifth of the shortest aim seen
@@ -26,25 +26,25 @@
 
     __slots__ = ("ask", "asked", "left", "message", "order", "timers")
 
-    def __init__(self, ask: Ask, message: Tally, left: float, order: list[int]) -> None:
+    def __init__(self, ask: Ask, message: CounterIncrement, left: float, order: list[int]) -> None:
         self.ask, self.message, self.left, self.order = ask, message, left, order
         self.asked: set[int] = set()
         self.timers: list[Any] = []
 
 
-class Teller:
+class QuotaClient:
     """`tenants()` tells how many there are."""
 
     def __init__(
-        self, reactor: Any, boot: Boot, ways: Ways, register: Register, tenants: Callable[[], int]
+        self, reactor: Any, settings: Settings, environment: Environment, membership: MembershipTable, tenants: Callable[[], int]
     ) -> None:
-        self.reactor, self.boot, self.register, self.tenants = reactor, boot, register, tenants
-        self.send = ways.send
-        began = ways.unix() - reactor.seconds()
+        self.reactor, self.settings, self.membership, self.tenants = reactor, settings, membership, tenants
+        self.send = environment.send
+        began = environment.unix() - reactor.seconds()
         self.unix = lambda: began + reactor.seconds()  # windows are named by it: a step of the clock moves none
-        self.zones = sorted(boot.zones)
-        self.me = register.me
-        self.names = Names(register.life(register.me.ip))
+        self.zones = sorted(settings.zones)
+        self.me = membership.me
+        self.names = CounterTable(membership.life(membership.me.ip))
         self.open: dict[int, _Open] = {}
         self.misses: dict[int, int] = {}
         self.suspect: dict[int, float] = {}
@@ -56,20 +56,20 @@
     def _holders(self, tenant: str, homes: tuple[str, ...]) -> list[int]:
         now = self.reactor.seconds()
         able = []
-        for m in self.register.alive(now):
+        for m in self.membership.alive(now):
             zone = self.zones[m.zone]
             if m.flags & LEAVING or self.suspect.get(m.ip, -1.0) > now:
                 continue
-            if not homes or self.boot.zones[zone] in homes:
-                able.append((m.ip, m.zone, self.boot.zones[zone], m.disk))
+            if not homes or self.settings.zones[zone] in homes:
+                able.append((m.ip, m.zone, self.settings.zones[zone], m.disk))
         return holders(shard_of(tenant, self.tenants()), ",".join(homes), able)
 
     def _distance(self, ip: int) -> tuple[int, bool]:
-        member = self.register.members.get(ip)
+        member = self.membership.members.get(ip)
         if ip == self.me.ip or member is None:
             return 0, False
         zone = self.zones[member.zone]
-        away = 0 if zone == self.boot.zone else 1 if self.boot.zones[zone] == self.boot.region else 2
+        away = 0 if zone == self.settings.zone else 1 if self.settings.zones[zone] == self.settings.region else 2
         return away, True
 
     def ask(self, ask: Ask) -> None:
@@ -82,7 +82,7 @@
             return
         window, left = ask.tenancy.place(self.unix())
         self.nonce = (self.nonce + 1) & 0x7FFFFFFF
-        one = _Open(ask, Tally(self.nonce, ask.tenancy.name, window, 1.0, list(homes), ask.tenancy.limit), left, order)
+        one = _Open(ask, CounterIncrement(self.nonce, ask.tenancy.name, window, 1.0, list(homes), ask.tenancy.limit), left, order)
         self.open[self.nonce] = one
         self._send(one, order[0])
         if self.nonce in self.open:
@@ -130,13 +130,13 @@
 
     # -- as a holder ---------------------------------------------------------------------------------------
 
-    def told(self, ip: int, message: Tally | Total | Parts) -> None:
+    def told(self, ip: int, message: CounterIncrement | CounterValue | CounterSync) -> None:
         """A datagram has come."""
-        if isinstance(message, Tally):
+        if isinstance(message, CounterIncrement):
             total = self._count(ip, message)
             if total is not None:
                 self.send(ip, total)
-        elif isinstance(message, Total):
+        elif isinstance(message, CounterValue):
             self._total(ip, message)
         else:
             self.unheard.pop(ip, None)
@@ -146,12 +146,12 @@
                 tenants = {part.tenant for part in message.parts}
                 others = {ip for name in tenants for ip in self._holders(name, self.homes.get(name, ()))}
                 # who isn't a holder by our register counts for those who can't reach one: it gets the whole
-                known = [] if ip in others else self.names.parts(0.0, self.register.life(ip), tenants, all=True)
-                self.send(ip, Parts(known, answer=True))
+                known = [] if ip in others else self.names.parts(0.0, self.membership.life(ip), tenants, all=True)
+                self.send(ip, CounterSync(known, answer=True))
 
-    def _count(self, ip: int, message: Tally) -> Total | None:
+    def _count(self, ip: int, message: CounterIncrement) -> CounterValue | None:
         homes = self.homes[message.tenant] = tuple(message.homes)
-        name, sender = (message.tenant, message.window), self.register.life(ip)
+        name, sender = (message.tenant, message.window), self.membership.life(ip)
         if not message.ask:
             return self.names.take_off(sender, message.nonce, *name)
         before, previous = self.names.add(sender, message.nonce, *name, message.units, message.limit)
@@ -160,10 +160,10 @@
                                 for other in self._holders(message.tenant, homes)):  # fmt: skip
             before = max(before, 2 * self.names.own(message.tenant, message.window))  # a cut: it lets in as much
             previous = max(previous, 2 * self.names.own(message.tenant, message.window - 1))
-        alone = self.register.alone(now)
-        return Total(message.nonce, before * alone, previous * alone)
+        alone = self.membership.alone(now)
+        return CounterValue(message.nonce, before * alone, previous * alone)
 
-    def _total(self, ip: int, total: Total) -> None:
+    def _total(self, ip: int, total: CounterValue) -> None:
         self.misses.pop(ip, None)
         self.suspect.pop(ip, None)
         one = self.open.get(total.nonce)
@@ -184,7 +184,7 @@
                 if ip != self.me.ip:
                     to.setdefault(ip, set()).add(tenant)
         for ip, tenants in to.items():
-            parts = self.names.parts(now, self.register.life(ip), tenants)
+            parts = self.names.parts(now, self.membership.life(ip), tenants)
             if parts:
                 self.unheard.setdefault(ip, now)
-                self.send(ip, Parts(parts))
+                self.send(ip, CounterSync(parts))
--- a/mapleline/balancer/quota/counters.py
+++ b/mapleline/balancer/quota/counters.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from .messages import Part
+from ..transport.messages import CounterRows
 
 SHARD = 16  # tenants: what two holders tell each other fits one datagram
 KEPT = 2  # windows for which a name lives
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Name:
+class Counter:
     """One tenant's count in one window: a row (version, count) for each holder that ever counted it, by its life
     (`Register.life`): a holder that is back, empty, counts in a row of its own beside that of its earlier life.
 
@@ -61,7 +61,7 @@
         return version - told >= max(MUCH, MUCH_PART * self.limit) or version > told and now - at >= WHILE_S
 
 
-class Names:
+class CounterTable:
     """The counts that this ingress holds; `me` and whoever sends or is told are lives (`Register.life`).
 
     What was added is remembered by sender and nonce, the last few thousand: coming again it adds nothing; taken off it
@@ -71,16 +71,16 @@
 
     def __init__(self, me: int) -> None:
         self.me = me
-        self._names: dict[tuple[str, int], Name] = {}
+        self._names: dict[tuple[str, int], Counter] = {}
         self._counted: dict[tuple[int, int], float] = {}  #: units that stand, by sender and nonce
         self._order: deque[tuple[int, int]] = deque()
 
-    def _name(self, tenant: str, window: int) -> Name:
+    def _name(self, tenant: str, window: int) -> Counter:
         name = self._names.get((tenant, window))
         if name is None:
             for key in [k for k in self._names if k[0] == tenant and k[1] <= window - KEPT]:
                 del self._names[key]
-            name = self._names[tenant, window] = Name()
+            name = self._names[tenant, window] = Counter()
         return name
 
     def add(
@@ -115,7 +115,7 @@
         if len(self._order) > NONCES:
             self._counted.pop(self._order.popleft(), None)
 
-    def take(self, parts: list[Part]) -> None:
+    def take(self, parts: list[CounterRows]) -> None:
         """What another holder knows.  Of our own row it knows more only if we have lost it."""
         for part in parts:
             name = self._name(part.tenant, part.window)
@@ -127,13 +127,13 @@
                     version, count = version + 1, count + own
                 name.rows[ip] = version, count
 
-    def parts(self, now: float, to: int, tenants: set[str], all: bool = False) -> list[Part]:
+    def parts(self, now: float, to: int, tenants: set[str], all: bool = False) -> list[CounterRows]:
         """What another holder is to be told of these tenants; `all`: whether or not it is due."""
         found = []
         for (tenant, window), name in self._names.items():
             if tenant in tenants and (all or name.due(now, self.me, to)):
                 name.told[to] = name.rows.get(self.me, (0, 0.0))[0], now
-                found.append(Part(tenant, window, [(ip, *row) for ip, row in name.rows.items()]))
+                found.append(CounterRows(tenant, window, [(ip, *row) for ip, row in name.rows.items()]))
         return found
 
     def tenants(self) -> list[str]:
--- a/mapleline/balancer/settings.py
+++ b/mapleline/balancer/settings.py
@@ -12,7 +12,7 @@
                    "cloud_api.duty_list"})  # fmt: skip
 
 
-class SettingsFault(Exception):
+class SettingsError(Exception):
     """A settings file that the program can't start from; the text names the key."""
 
 
@@ -89,7 +89,7 @@
     ttl_max: Seconds = 5.0
 
 
-class Boot(_Part):
+class Settings(_Part):
     """A whole settings file."""
 
     node_name: str
@@ -119,7 +119,7 @@
             continue
         key, is_pair, value = line.partition("=")
         if not is_pair:
-            raise SettingsFault(f"line {number}: no '=' in {line!r}")
+            raise SettingsError(f"line {number}: no '=' in {line!r}")
         leaf: Any = value
         if key in LISTS:
             leaf = [part for part in value.split(",") if part]
@@ -129,16 +129,16 @@
         for name in rest[:-1]:
             table = table.setdefault(name, {})
             if not isinstance(table, dict):
-                raise SettingsFault(f"line {number}: {key}: {name} has a value already")
+                raise SettingsError(f"line {number}: {key}: {name} has a value already")
         table[rest[-1]] = leaf
     return found
 
 
-def read(text: str) -> Boot:
+def read(text: str) -> Settings:
     """The checked settings.  Raises SettingsFault with the key at fault."""
     try:
-        return Boot.model_validate(tree(text))
+        return Settings.model_validate(tree(text))
     except ValidationError as err:
         first = err.errors()[0]
         key = ".".join(str(part) for part in first["loc"])
-        raise SettingsFault(f"{key}: {first['msg']}") from None
+        raise SettingsError(f"{key}: {first['msg']}") from None
--- a/mapleline/balancer/transport/connections.py
+++ b/mapleline/balancer/transport/connections.py
@@ -12,9 +12,9 @@
 from twisted.protocols.basic import Int32StringReceiver
 from twisted.python.failure import Failure
 
-from ..net.dial import dial
+from ...net.dial import dial
 from . import messages
-from .fence import Fence, Outstanding, Taken, Unbelieved
+from .fencing import Fence, Outstanding, Taken, UnexpectedReplyError
 
 LARGEST = 16 << 20
 USER_TIMEOUT_MS = 3000
@@ -111,7 +111,7 @@
         self.transport.loseConnection()
         try:
             reply = self.fence.believe(self.out, data)
-        except Unbelieved:
+        except UnexpectedReplyError:
             if done is not None and not done.called:
                 done.errback(Failure())
             return
--- a/mapleline/balancer/transport/fencing.py
+++ b/mapleline/balancer/transport/fencing.py
@@ -17,15 +17,15 @@
 
 import msgspec
 
+from ..membership.table import MembershipTable
 from . import messages
-from .register import Register
 
 STAMPS = struct.Struct("<III")  #: of a datagram: system, incarnation of the sender, of the wanted receiver
 CALL = struct.Struct("<IIIII")  #: of a call and a reply: the same, the call's number, the sender's address
-TO_ANY_LIFE = messages.Beat  #: what teaches incarnations must come through to a receiver that has a new one
+TO_ANY_LIFE = messages.Heartbeat  #: what teaches incarnations must come through to a receiver that has a new one
 
 
-class Unbelieved(Exception):
+class UnexpectedReplyError(Exception):
     """A reply that is not the answer to the call that is out; the text says why."""
 
 
@@ -53,8 +53,8 @@
 class Fence:
     """One process's.  It learns incarnations from what it lets in; the register keeps them."""
 
-    def __init__(self, register: Register, system: int = 0) -> None:
-        self.register, self.me = register, register.me
+    def __init__(self, membership: MembershipTable, system: int = 0) -> None:
+        self.membership, self.me = membership, membership.me
         self.system = system  #: the identity agreed on when the core was founded, 32 bits; 0 until it is known
         self.dropped: Counter[str] = Counter()  #: what was not believed, by why
         self._said = 0
@@ -67,7 +67,7 @@
 
     def seal(self, ip: int, message: messages.Datagram) -> bytes:
         """A datagram as it goes out."""
-        wanted = 0 if isinstance(message, TO_ANY_LIFE) else self.register.incarnation(ip)
+        wanted = 0 if isinstance(message, TO_ANY_LIFE) else self.membership.incarnation(ip)
         return STAMPS.pack(self.system, self.me.incarnation, wanted) + messages.encode(message)
 
     def open(self, ip: int, data: bytes) -> tuple[messages.Datagram | None, bytes | None]:
@@ -79,7 +79,7 @@
         why = self._why_not(ip, system, incarnation, 0 if refusal else wanted)
         if refusal:
             if why is None:
-                self.register.outdo(wanted)
+                self.membership.outdo(wanted)
             return self._drop(why or "refused"), None
         if why is not None:
             return self._drop(why), self._refusal(ip) if why != "system" else None
@@ -92,16 +92,16 @@
         """Why nothing of this is believed, or None; either way its sender's newest incarnation is known then."""
         if system and self.system and system != self.system:
             return "system"
-        if incarnation < self.register.incarnation(ip):
+        if incarnation < self.membership.incarnation(ip):
             return "older"
-        self.register.learn(ip, incarnation)
+        self.membership.learn(ip, incarnation)
         if wanted and wanted != self.me.incarnation:
-            self.register.outdo(wanted)  # a clock set back: another life of ours was newer than we are
+            self.membership.outdo(wanted)  # a clock set back: another life of ours was newer than we are
             return "not_me"
         return None
 
     def _refusal(self, ip: int) -> bytes:
-        return STAMPS.pack(self.system, self.me.incarnation, self.register.incarnation(ip))
+        return STAMPS.pack(self.system, self.me.incarnation, self.membership.incarnation(ip))
 
     def _drop(self, why: str) -> None:
         self.dropped[why] += 1
@@ -115,7 +115,7 @@
 
     def newest(self, ip: int, turn: int) -> bool:
         """Whether nothing newer has come from there: an overtaken one or a double is not believed."""
-        key = self.register.incarnation(ip), turn
+        key = self.membership.incarnation(ip), turn
         if key <= self._turns.get(ip, (-1, 0)):
             self._drop("overtaken")
             return False
@@ -127,7 +127,7 @@
     def request(self, ip: int, message: messages.Call) -> tuple[Outstanding, bytes]:
         """A call as it goes out."""
         self._number = (self._number + 1) & 0xFFFFFFFF
-        call = Outstanding(ip, self.register.incarnation(ip), self._number)
+        call = Outstanding(ip, self.membership.incarnation(ip), self._number)
         stamps = CALL.pack(self.system, self.me.incarnation, call.wanted, call.number, self.me.ip)
         return call, stamps + messages.encode(message)
 
@@ -140,7 +140,7 @@
         if why == "system":
             return Taken(self._drop(why))
         if why is not None:
-            known = self.register.incarnation(ip)
+            known = self.membership.incarnation(ip)
             return Taken(self._drop(why), CALL.pack(self.system, self.me.incarnation, known, number, self.me.ip))
         try:
             return Taken(messages.decode_call(memoryview(data)[CALL.size :]), b"", ip, incarnation, number)
@@ -162,7 +162,7 @@
             except msgspec.DecodeError:
                 why = "undecodable"
         self._drop(why)
-        raise Unbelieved(why)
+        raise UnexpectedReplyError(why)
 
     def _why_not_reply(self, call: Outstanding, data: bytes) -> str | None:
         if call.over:
@@ -176,7 +176,7 @@
         if why is not None:
             return why
         if len(data) == CALL.size:
-            self.register.outdo(wanted)
+            self.membership.outdo(wanted)
             return "refused"
         if wanted != self.me.incarnation:
             return "not_me"
--- a/mapleline/balancer/transport/messages.py
+++ b/mapleline/balancer/transport/messages.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from .archive.agreement import NONE, Ballot
-from .archive.orders import Order
-from .archive.state import State
+from ..control.commands import Command
+from ..control.consensus import NONE, Ballot
+from ..control.state import State
 
 
-class Beat(msgspec.Struct, array_like=True, tag=1):
+class Heartbeat(msgspec.Struct, array_like=True, tag=1):
     """A heartbeat: the whole register, and the versions held of everything else."""
 
     rows: bytes
@@ -21,7 +21,7 @@
     holder: int = 0
 
 
-class Probe(msgspec.Struct, array_like=True, tag=2):
+class StateQuery(msgspec.Struct, array_like=True, tag=2):
     """Asks a machine with a disk, or another ingress that can reach the core, what it holds.
 
     `disk`, `seen`: the disk that was known there, and the highest turn of its record that it told.
@@ -32,7 +32,7 @@
     seen: int = 0
 
 
-class Held(msgspec.Struct, array_like=True, tag=3):
+class StateReport(msgspec.Struct, array_like=True, tag=3):
     """The answer, of what is on the disk.
 
     `turn`: of the record; `accepted`: the number of the state that was accepted last, whether chosen or not; `number`:
@@ -60,7 +60,7 @@
     number: int
 
 
-class Tally(msgspec.Struct, array_like=True, tag=4):
+class CounterIncrement(msgspec.Struct, array_like=True, tag=4):
     """Adds to a name's count and asks for it; a repeat has the same nonce and adds nothing.
 
     With `ask` false: what was added under that nonce is taken off, or will not be added if it comes later.
@@ -75,7 +75,7 @@
     ask: bool = True
 
 
-class Total(msgspec.Struct, array_like=True, tag=5):
+class CounterValue(msgspec.Struct, array_like=True, tag=5):
     """The count before this add, and that of the window before."""
 
     nonce: int
@@ -83,7 +83,7 @@
     previous: float
 
 
-class Busy(msgspec.Struct, array_like=True, tag=7):
+class LoadReport(msgspec.Struct, array_like=True, tag=7):
     """Requests that the sender has out, and tenths that end badly, by the checksum of a server's id."""
 
     out: dict[int, int]
@@ -91,7 +91,7 @@
     turn: int = 0  #: the sender's count of these: an older one says nothing
 
 
-class Part(msgspec.Struct, array_like=True, frozen=True):
+class CounterRows(msgspec.Struct, array_like=True, frozen=True):
     """One name: what each holder counted, as (address, version, count); the higher version of a row wins."""
 
     tenant: str
@@ -99,20 +99,20 @@
     rows: list[tuple[int, int, float]]
 
 
-class Parts(msgspec.Struct, array_like=True, tag=6):
+class CounterSync(msgspec.Struct, array_like=True, tag=6):
     """One holder to the other; answered by an empty one, which is itself not answered."""
 
-    parts: list[Part]
+    parts: list[CounterRows]
     answer: bool = False
 
 
-class Claim(msgspec.Struct, array_like=True, tag=8):
+class VoteRequest(msgspec.Struct, array_like=True, tag=8):
     """Asks a machine of the core to vote for the sender as the holder of the list."""
 
     term: int
 
 
-class Granted(msgspec.Struct, array_like=True, tag=9):
+class Vote(msgspec.Struct, array_like=True, tag=9):
     """The vote."""
 
     term: int
@@ -161,7 +161,7 @@
 class Propose(msgspec.Struct, array_like=True, tag=17):
     """An operator's order, for a replica to propose; it may come twice."""
 
-    order: Order
+    order: Command
     body: bytes | None = None
 
 
@@ -172,7 +172,7 @@
     text: str = ""
 
 
-class Pull(msgspec.Struct, array_like=True, tag=12):
+class FetchState(msgspec.Struct, array_like=True, tag=12):
     """Give the state that you hold if it is above `number` (whole, or as who has no disk needs it), with the body of
     its configuration unless that is `content`; and the list of servers.
     """
@@ -184,14 +184,14 @@
     servers: bool = False
 
 
-class Pulled(msgspec.Struct, array_like=True, tag=13):
+class FetchedState(msgspec.Struct, array_like=True, tag=13):
     state: State | None = None
     body: bytes | None = None
     list_body: bytes = b""
     list_age_ms: int = 0
 
 
-class Lease(msgspec.Struct, array_like=True, tag=40):
+class LeaseRequest(msgspec.Struct, array_like=True, tag=40):
     """Asks a machine of the core for these numbers, for a life of the sender (`leases.py`)."""
 
     nonce: int
@@ -199,7 +199,7 @@
     numbers: list[int]
 
 
-class Leased(msgspec.Struct, array_like=True, tag=41):
+class LeaseGrant(msgspec.Struct, array_like=True, tag=41):
     """Those that it grants, and how many the core are as it knows."""
 
     nonce: int
@@ -207,9 +207,9 @@
     numbers: list[int]
 
 
-Datagram = Beat | Probe | Held | Chosen | Tally | Total | Parts | Busy | Claim | Granted | Lease | Leased
-Call = Prepare | Accept | Propose | Pull
-Reply = Promised | Accepted | Proposed | Pulled
+Datagram = Heartbeat | StateQuery | StateReport | Chosen | CounterIncrement | CounterValue | CounterSync | LoadReport | VoteRequest | Vote | LeaseRequest | LeaseGrant
+Call = Prepare | Accept | Propose | FetchState
+Reply = Promised | Accepted | Proposed | FetchedState
 
 encode = msgspec.msgpack.Encoder().encode
 decode_datagram = msgspec.msgpack.Decoder(Datagram).decode
--- a/mapleline/cli/__init__.py
+++ b/mapleline/cli/__init__.py
@@ -4,8 +4,8 @@
 
 import sys
 
-#: The global load balancer's commands (system/commands.py); the others are those of the ingress alone.
-SYSTEM = frozenset({"desk", "settings", "config", "evacuate", "core", "status", "archive", "try"})
+#: The global load balancer's commands (balancer/cli/commands.py); `desk` is an alias of `balancer`; the others are those of the ingress alone.
+BALANCER = frozenset({"balancer", "desk", "settings", "config", "evacuate", "core", "status", "archive", "try"})
 NEEDS = "this command needs more packages: pip install 'mapleline[{extra}]' (no module {name})"
 
 
@@ -15,13 +15,13 @@
     0 done, 1 a command that found what it looks for (faults, a broken aim), 2 wrong use or unusable
     configuration, 3 a missing package.
     """
-    if sys.argv[1:2] and sys.argv[1] in SYSTEM:
+    if sys.argv[1:2] and sys.argv[1] in BALANCER:
         try:
-            from ..system.commands import main as system
+            from ..balancer.cli.commands import main as balancer
         except ModuleNotFoundError as err:
             sys.stderr.write(f"mapleline: {NEEDS.format(extra='system', name=err.name)}\n")
             return 3
-        return system(sys.argv[1:])
+        return balancer(sys.argv[1:])
     try:
         from .commands import group
     except ModuleNotFoundError as err:
--- a/mapleline/cli/commands.py
+++ b/mapleline/cli/commands.py
@@ -172,7 +172,7 @@
 @click.option("--grown", is_flag=True, help="Eight machines with a disk, and two losses to be borne at once.")
 def lab_days(seeds: int, first: int, jobs: int, grown: bool) -> None:
     """Play days of a whole small system by lot, on a clock of its own; status 1 if one breaks a rule."""
-    from ..lab.days import sweep
+    from ..simulation.scenarios import sweep
 
     broken = sweep(range(first, first + seeds), jobs, click.echo, grown)
     click.echo(f"{seeds} days, {broken} with a rule broken")
@@ -190,7 +190,7 @@
     """Play simulated days and print a digest of all that crossed a machine's border in each."""
     import json
 
-    from ..lab.digest import measure_all
+    from ..simulation.behaviour_digest import measure_all
 
     days = [day.to_json() for day in measure_all(range(first, first + seeds), jobs, grown)]
     if to is not None:
--- a/mapleline/simulation/behaviour_digest.py
+++ b/mapleline/simulation/behaviour_digest.py
@@ -15,7 +15,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from .days import play
+from .scenarios import play
 
 DIGEST_BYTES = 16
 
--- a/mapleline/simulation/directed_scenarios.py
+++ b/mapleline/simulation/directed_scenarios.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from .days import GRACE_S, ZONES, Day
+from .scenarios import GRACE_S, ZONES, Day
 from .world import START_S, Machine
 
 CATCH_UP_S = 4.0
@@ -20,11 +20,11 @@
 
 def lasts(length: float, closing: str = "none", **more: Any) -> Callable[[Callable], Callable]:
     """Registers a day of that many seconds after its calm beginning."""
-    def register(troubles: Callable[[Day], None]) -> Callable[[Day], None]:
+    def membership(troubles: Callable[[Day], None]) -> Callable[[Day], None]:
         DAYS[troubles] = {"length": length, "closing": closing, "load": 0.15, **more}
         return troubles
 
-    return register
+    return membership
 
 
 def every(day: Day, period_s: float, until_s: float, *works: Callable[[], Any]) -> None:
--- a/mapleline/simulation/invariants.py
+++ b/mapleline/simulation/invariants.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from ..system.settings import Bounds
+from ..balancer.settings import Bounds
 
 TWO_SIDED = "non_idempotent", "upload"
 REPLACE, READ = "/config/replace", "/config/read"
--- a/mapleline/simulation/operators.py
+++ b/mapleline/simulation/operators.py
@@ -12,12 +12,12 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from ..system.config import read as read_config
-from .judge import FOR_GOOD, READ, REPLACE, SILENCE_S, Answer, Order
+from ..balancer.configuration import read as read_config
+from .invariants import FOR_GOOD, READ, REPLACE, SILENCE_S, Answer, Order
 from .world import Machine, digest
 
 if TYPE_CHECKING:
-    from .days import Day
+    from .scenarios import Day
 
 HOST = "day.example"
 PAUSE_S, PAUSE_MOST_S = 0.2, 1.0
@@ -109,10 +109,10 @@
                 self.record.answers.append(row)
             told(status, said)
 
-        door = world.ask(machine, method, path, {}, body, answered, "control")
+        client_conn = world.ask(machine, method, path, {}, body, answered, "control")
 
         def hang_up() -> None:
-            world.hang_up(door)
+            world.hang_up(client_conn)
             answered(0, b"", b"")
 
         world.after(SILENCE_S, hang_up)
--- a/mapleline/simulation/scenarios.py
+++ b/mapleline/simulation/scenarios.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..system import settings
-from .judge import Record, Sent, judge
+from ..balancer import settings
+from .invariants import Record, Sent, judge
 from .operators import COLD_RATE, HOST, KINDS, TENANTS, Operators
 from .world import BOUNDS, START_S, Machine, Server, World
 
--- a/mapleline/simulation/slow_start_scenarios.py
+++ b/mapleline/simulation/slow_start_scenarios.py
@@ -10,8 +10,8 @@
 from collections import Counter
 from collections.abc import Callable
 
-from .days import ZONES, Day
-from .judge import judge
+from .invariants import judge
+from .scenarios import ZONES, Day
 from .world import Machine, Server
 
 COLD_S = 3.0
--- a/mapleline/simulation/world.py
+++ b/mapleline/simulation/world.py
@@ -18,22 +18,24 @@
 from twisted.internet.error import ConnectionRefusedError, TimeoutError
 from twisted.python.failure import Failure
 
+from ..balancer import settings
+from ..balancer.configuration import Config
+from ..balancer.control.consensus import Record
+from ..balancer.control.snapshot import named
+from ..balancer.discovery.endpoints import ListedInstance
+from ..balancer.environment import Environment
+from ..balancer.node import Node
+from ..balancer.proxy.upstream import DIAL_S, Attempt, UpstreamPool
+from ..balancer.transport import messages
+from ..balancer.transport.connections import number
+from ..balancer.transport.fencing import Fence, UnexpectedReplyError
 from ..http1.messages import Request, Response
-from ..system import messages, settings
-from ..system.archive.agreement import Record
-from ..system.archive.snapshot import named
-from ..system.catalogue import Listed
-from ..system.config import Config
-from ..system.courier import number
-from ..system.fence import Fence, Unbelieved
-from ..system.node import Node
-from ..system.servers import DIAL_S, Attempt, Servers
-from ..system.ways import Ways
 
 IN_ZONE_S, ZONES_S, REGIONS_S = 0.0001, 0.0014, 0.02
 START_S, SYNC_S, LAG_S = 0.6, 0.004, 0.8
 SEED_LAG_S = 3.0  # of the list by which operators choose whom to ask
 QUEUE = 8
+PORTS = {"proxy": "8388", "control": "8381", "directory": "8383"}
 SETTINGS = """\
 node_name={name}
 ip_address={ip}
@@ -161,7 +163,7 @@
     return f"{crc32(config.model_dump_json().encode()):08x}"
 
 
-class Machine(Ways):
+class Machine(Environment):
     """One machine of the system, and the process that runs on it."""
 
     def __init__(self, world: World, zone: str, nth: int, disk: bool) -> None:
@@ -184,7 +186,7 @@
     def up(self) -> bool:
         return self.node is not None and self._told is not None
 
-    def boot(self, initial: bool) -> settings.Boot:
+    def boot(self, initial: bool) -> settings.Settings:
         world = self.world
         text = SETTINGS.format(
             name=self.name, ip=self.address, zone=self.zone, region=world.zones[self.zone],
@@ -202,22 +204,22 @@
         """Version and digest of the configuration that it serves by; None while it serves by none."""
         if not self.up or self.frozen or not self.node.may_serve():
             return None
-        table = self.node.desk.table
+        table = self.node.proxy.table
         if self._digest[0] is not table:
             self._digest = table, digest(table.config)
         return table.version, self._digest[1]
 
     def formed(self) -> bool:
         """Its disk counts for what is acknowledged."""
-        return self.up and self.node.archive.replica.is_voter
+        return self.up and self.node.control_plane.replica.is_voter
 
     def proposes(self) -> bool:
         """It is the one that orders are passed on to, as far as it knows."""
-        return self.up and self.node.archive.members.coordinates(self.world.now)
+        return self.up and self.node.control_plane.members.coordinates(self.world.now)
 
     def evacuated(self) -> set[str]:
         """Zones whose servers get nothing from it."""
-        return set(self.node.desk.evacuated) if self.up else set()
+        return set(self.node.proxy.evacuated) if self.up else set()
 
     # -- lives ---------------------------------------------------------------------------------------------
 
@@ -323,7 +325,7 @@
         def answered(data: bytes) -> None:
             try:
                 reply = fence.believe(out, data)
-            except Unbelieved:
+            except UnexpectedReplyError:
                 return None if done.called else done.errback(Failure())
             if not done.called:
                 done.callback(reply)
@@ -379,18 +381,18 @@
     def history(self) -> None:
         """None is kept."""
 
-    def servers(self, pool: Any) -> Servers:
+    def servers(self, pool: Any) -> UpstreamPool:
         return Lines(self)
 
-    def platform(self, catalogue: Any, listed: Callable[[bool], None]) -> Any:
-        return Asking(self, catalogue, listed)
+    def platform(self, endpoints: Any, listed: Callable[[bool], None]) -> Any:
+        return Asking(self, endpoints, listed)
 
 
 class Asking:
     """`platform.Platform` for what a node needs of it."""
 
-    def __init__(self, machine: Machine, catalogue: Any, listed: Callable[[bool], None]) -> None:
-        self.machine, self.catalogue, self.listed, self.busy = machine, catalogue, listed, False
+    def __init__(self, machine: Machine, endpoints: Any, listed: Callable[[bool], None]) -> None:
+        self.machine, self.endpoints, self.listed, self.busy = machine, endpoints, listed, False
 
     def fetch(self) -> None:
         world, machine = self.machine.world, self.machine
@@ -402,13 +404,13 @@
 
         def come(found: list) -> None:
             self.busy = False
-            self.listed(self.catalogue.take_list(began, found))
+            self.listed(self.endpoints.take_list(began, found))
 
         way = 2 * world.way(machine.zone, world.zone_names[0])
         world.after(way, lambda: life.run(come, world.listing()))
 
 
-class Lines(Servers):
+class Lines(UpstreamPool):
     """To the servers of the world."""
 
     def __init__(self, machine: Machine) -> None:
@@ -508,7 +510,7 @@
         self.world.after(one.way, one.life.run, one.attempt.end, "answer", Response(status, headers, b"whole", True))
 
 
-class Door:
+class ClientConnection:
     """Who asks an ingress: a client, or an operator."""
 
     upload = None
@@ -555,7 +557,7 @@
         self.arrivals: list[tuple[float, float, Server, Arrived]] = []
         self.runs: list[tuple[float, float, Server, Arrived]] = []
         self.list_calls: list[tuple[float, str]] = []
-        self.open: dict[Machine, dict[Door, None]] = {}
+        self.open: dict[Machine, dict[ClientConnection, None]] = {}
         self._listed: deque[tuple[float, list]] = deque()
         speeds = (0.8, 1.0, 1.25)
         for service, count in (servers or {}).items():
@@ -704,8 +706,8 @@
 
     def lost(self, machine: Machine) -> None:
         """Its process has ended: those who waited for an answer have none."""
-        for door in list(self.open.pop(machine, ())):
-            door.reply(0)
+        for client_conn in list(self.open.pop(machine, ())):
+            client_conn.reply(0)
 
     # -- the platform --------------------------------------------------------------------------------------
 
@@ -716,7 +718,7 @@
 
     def _show(self) -> None:
         self._listed.append((self.now, [
-            Listed(s.id, s.service, f"{s.address[0]}:{s.address[1]}", s.zone, "draining" if s.draining else "ready",
+            ListedInstance(s.id, s.service, f"{s.address[0]}:{s.address[1]}", s.zone, "draining" if s.draining else "ready",
                    s.slots, f"{max(0, int(1000 * (s.cold_until - self.now)))}ms")
             for s in self.servers.values() if not s.gone
         ]))  # fmt: skip
@@ -738,8 +740,8 @@
     # -- who asks ------------------------------------------------------------------------------------------
 
     def ask(self, machine: Machine, method: str, path: str, headers: dict[str, str], body: bytes,
-            told: Callable[[int, bytes, bytes], None], of: str = "desk") -> Door | None:  # fmt: skip
-        """One request at an ingress (its `desk`, `control` or `directory`); `told` gets the answer, status 0 if the
+            told: Callable[[int, bytes, bytes], None], of: str = "proxy") -> ClientConnection | None:  # fmt: skip
+        """One request at an ingress (its `proxy`, `control` or `directory`); `told` gets the answer, status 0 if the
         connection ends without one.  Answers to operators are lost at times: then it hears nothing.
         """
         if not machine.up:
@@ -748,22 +750,22 @@
         waiting = self.open.setdefault(machine, {})
 
         def answered(status: int, body: bytes, lines: bytes) -> None:
-            waiting.pop(door, None)
-            self.observe("answer", machine.name, of, b"%d\r\n%b\r\n%b" % (status, lines, body))
+            waiting.pop(client_conn, None)
+            self.observe("answer", machine.name, PORTS[of], b"%d\r\n%b\r\n%b" % (status, lines, body))
             if of != "control" or not self.lose_answers or self.rng.random() >= self.lose_answers:
                 self.after(IN_ZONE_S, told, status, body, lines)
 
-        door = Door(answered, machine.life)
-        waiting[door] = None
+        client_conn = ClientConnection(answered, machine.life)
+        waiting[client_conn] = None
         fields = {name.lower().encode(): value.encode() for name, value in headers.items()}
         request = Request(method.encode(), path.encode(), fields, body, True, False, b"1", len(body))
-        self.observe("request", of, machine.name, b"%b\r\n%b" % (repr((method, path, headers)).encode(), body))
+        self.observe("request", PORTS[of], machine.name, b"%b\r\n%b" % (repr((method, path, headers)).encode(), body))
         node = machine.node
-        take = {"desk": node.desk.take, "control": node.control.take, "directory": node.directory.take}[of]
-        machine.life.run(take, door, request)
-        return door
+        take = {"proxy": node.proxy.take, "control": node.control.take, "directory": node.directory.take}[of]
+        machine.life.run(take, client_conn, request)
+        return client_conn
 
-    def hang_up(self, door: Door | None) -> None:
+    def hang_up(self, client_conn: ClientConnection | None) -> None:
         """The caller closes the connection; a process that is frozen sees it only after the request."""
-        if door is not None:
-            door.life.run(setattr, door, "connected", False)
+        if client_conn is not None:
+            client_conn.life.run(setattr, client_conn, "connected", False)
--- a/tests/balancer/cli/test_commands.py
+++ b/tests/balancer/cli/test_commands.py
@@ -9,8 +9,8 @@
 from contextlib import redirect_stderr, redirect_stdout
 from pathlib import Path
 
-from mapleline.system.commands import main
-from mapleline.system.trial import configuration
+from mapleline.balancer.cli.commands import main
+from mapleline.balancer.cli.trial import configuration
 
 STATUS = {
     "system": 99, "epoch": 4, "number": 17, "config_version": 7, "evacuated": ["z2"], "ballot": [5, 1, 9],
--- a/tests/balancer/control/test_consensus_model.py
+++ b/tests/balancer/control/test_consensus_model.py
@@ -17,14 +17,31 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 from hypothesis.strategies import booleans, integers, sampled_from, sets
 
-from mapleline.system.archive import orders, state
-from mapleline.system.archive.agreement import NONE, Acceptor, Proposal, Record, Step
-from mapleline.system.archive.contact import NEVER, Contact
-from mapleline.system.archive.membership import Seen, bears, due
-from mapleline.system.archive.orders import CONFLICT, DONE, Evacuate, Forget, Replace, batch
-from mapleline.system.archive.snapshot import named, whole
-from mapleline.system.archive.state import Replica, founded, genesis, reformed, settled
-from mapleline.system.messages import Accept, Accepted, Chosen, Held, Prepare, Probe, Promised, Pull, Pulled
+from mapleline.balancer.control import commands, state
+from mapleline.balancer.control.commands import (
+    CONFLICT,
+    DONE,
+    RemoveReplica,
+    ReplaceConfiguration,
+    SetEvacuation,
+    batch,
+)
+from mapleline.balancer.control.consensus import NONE, Acceptor, Proposal, Record, Step
+from mapleline.balancer.control.read_lease import NEVER, ReadLease
+from mapleline.balancer.control.reconfiguration import ReplicaStatus, bears, due
+from mapleline.balancer.control.snapshot import named, whole
+from mapleline.balancer.control.state import Replica, founded, genesis, reformed, settled
+from mapleline.balancer.transport.messages import (
+    Accept,
+    Accepted,
+    Chosen,
+    FetchedState,
+    FetchState,
+    Prepare,
+    Promised,
+    StateQuery,
+    StateReport,
+)
 
 PROBE_S, NEAR, LOST_S, ORDER_S = 1.0, 8, 5.0, 3.6
 STEPS = 70
@@ -90,7 +107,7 @@
         machine.initial = machine.initial and self.disk is not None  # a first start is one that had seen nothing
         self.acceptor = self.state = self.proposal = None
         self.contents, self.syncs, self.orders = set(), [], []
-        self.contact, self.high, self.seen, self.probes = Contact(), {}, {}, {}
+        self.contact, self.high, self.seen, self.probes = ReadLease(), {}, {}, {}
         self.round, self.taken, self.outcomes, self.mine, self.wish = 0, [], [], True, None
         self.load()
 
@@ -172,7 +189,7 @@
         nonce = next(self.world.nonces)
         self.probes[nonce] = ip, now
         disk = self.seen.get(ip, (0,))[0]
-        self.world.send(self.ip, ip, Probe(nonce, disk, self.high.get((ip, disk), 0)))
+        self.world.send(self.ip, ip, StateQuery(nonce, disk, self.high.get((ip, disk), 0)))
 
     def probed(self, ip, probe):
         acceptor = self.acceptor
@@ -186,8 +203,8 @@
         age_ms = int(age * 1000) + 1 if age < 60 else -1
         number = self.number()
         if acceptor is None or self.disk is None:
-            return self.world.send(self.ip, ip, (Held(probe.nonce, 0, 0, number, number, 0, age_ms), 0))
-        held = Held(probe.nonce, acceptor.disk, acceptor.turn, acceptor.accepted, number, acceptor.kept, age_ms)
+            return self.world.send(self.ip, ip, (StateReport(probe.nonce, 0, 0, number, number, 0, age_ms), 0))
+        held = StateReport(probe.nonce, acceptor.disk, acceptor.turn, acceptor.accepted, number, acceptor.kept, age_ms)
         self.world.send(self.ip, ip, (held, acceptor.turn))
 
     def held(self, ip, told):
@@ -220,7 +237,7 @@
             then()
 
         content = self.state.config[1] if self.state is not None and self.state.config is not None else 0
-        self.world.call(self, ip, Pull(self.number(), content, self.disk is not None), pulled)
+        self.world.call(self, ip, FetchState(self.number(), content, self.disk is not None), pulled)
 
     def learn(self, told, body):
         if self.state is not None and (told.number <= self.state.number or told.system != self.state.system):
@@ -246,7 +263,7 @@
             self.contact.keep(told)
         proposed = self.proposal.state if self.proposal is not None else None
         wanted = {held.config[1] for held in (told, proposed) if held is not None and held.config is not None}
-        wanted |= {one.order.content for one in self.orders if isinstance(one.order, Replace)}
+        wanted |= {one.order.content for one in self.orders if isinstance(one.order, ReplaceConfiguration)}
         if self.acceptor is not None:
             wanted |= named(self.acceptor.record)
         self.contents &= wanted
@@ -259,7 +276,7 @@
                 self.prepare(call[0], answer, known)
             case Accept():
                 self.accept(call, answer)
-            case Pull():
+            case FetchState():
                 self.give(call, answer)
 
     def give(self, call, answer):
@@ -267,7 +284,7 @@
         if held is not None and held.number > call.number:
             told = held if call.whole else held.brief()
             body = b"" if held.config is not None and held.config[1] != call.content else None
-        answer(Pulled(told, body))
+        answer(FetchedState(told, body))
 
     def votes(self):
         founding = self.state is None or any(r.ip == self.ip for r in self.state.former)
@@ -318,7 +335,7 @@
     def order(self, order):
         if not self.is_voter:
             return
-        if isinstance(order, Replace):
+        if isinstance(order, ReplaceConfiguration):
             self.contents.add(order.content)
         self.orders.append(Asked(order, self.world.now + ORDER_S))
 
@@ -349,7 +366,7 @@
             fresh = now - at < 2 * PROBE_S and bool(disk)
             replica = Replica(ip, disk, ip) if fresh or ip not in known else known[ip]
             whole_ = fresh and kept > 0 and kept + NEAR >= base.number
-            seen.append(Seen(replica, whole_, self.world.machines[ip].leaving, self.world.silent(self.ip, ip)))
+            seen.append(ReplicaStatus(replica, whole_, self.world.machines[ip].leaving, self.world.silent(self.ip, ip)))
         return due(base, seen, self.world.losses, 1, LOST_S)
 
     def found(self, base):
@@ -477,7 +494,7 @@
     def told(self, source, to, message):
         life = self.machines[to].life
         if life is not None:
-            {Probe: life.probed, tuple: life.held, Chosen: life.told_chosen}[type(message)](source, message)
+            {StateQuery: life.probed, tuple: life.held, Chosen: life.told_chosen}[type(message)](source, message)
 
     def call(self, caller, to, message, then):
         source = caller.ip
@@ -583,7 +600,7 @@
         """One that remembers more asks first: until then nobody could tell."""
         disk = machine.disk.record.disk if machine.disk is not None and machine.disk.record is not None else 0
         if (machine.ip, disk) in self.stale:
-            machine.life.probed(next(iter(self.machines)), Probe(0, disk, self.stale[machine.ip, disk]))
+            machine.life.probed(next(iter(self.machines)), StateQuery(0, disk, self.stale[machine.ip, disk]))
 
     def alive(self, ip):
         """Whom that one hears of."""
@@ -668,13 +685,13 @@
         if back == 0 or not self.version:
             self.version += 1
         if self.machines[at].life is not None:
-            self.machines[at].life.order(Replace(max(1, self.version - back), 100 * self.version + 1 + content))
+            self.machines[at].life.order(ReplaceConfiguration(max(1, self.version - back), 100 * self.version + 1 + content))
 
     def rivals(self, one, other):
         self.version += 1
         for at, content in ((one, 1), (other, 2)):
             if self.machines[at].life is not None:
-                self.machines[at].life.order(Replace(self.version, 100 * self.version + 1 + content))
+                self.machines[at].life.order(ReplaceConfiguration(self.version, 100 * self.version + 1 + content))
 
     def reshape(self, at, ips):
         """Any other set: the rules hold for each, not only for those that membership asks for."""
@@ -694,7 +711,7 @@
         """The operator is told."""
         link = [one for one in self.links.values() if one.chosen and one.state == told]
         assert link, f"answered of {told.number} before it is chosen"
-        if not isinstance(order, Replace):
+        if not isinstance(order, ReplaceConfiguration):
             return
         pair = order.version, order.content
         if len(told.past) >= state.PAST_MOST and order.version < min(told.past)[0]:
@@ -720,7 +737,7 @@
         parent = self.links.get(proposal.found_ballot) if proposal.found is base else None
         if parent is None:
             parent = next((one for one in self.links.values() if one.state == base), None)
-        zones = {one.order.zone for one in taken if isinstance(one.order, Evacuate)}
+        zones = {one.order.zone for one in taken if isinstance(one.order, SetEvacuation)}
         self.links[proposal.ballot] = Link(parent, base, proposal.state, zones)
 
     def durable(self, life, record):
@@ -898,7 +915,7 @@
     def goes_on(self, lot):
         self.version += 1
         at = next(life for life in self.lives() if life.is_voter)
-        at.order(Replace(self.version, 100 * self.version + 9))
+        at.order(ReplaceConfiguration(self.version, 100 * self.version + 9))
         asked = at.orders[-1]
         for _ in range(5):
             self.round_of(lot)
@@ -960,7 +977,7 @@
 
     def evacuate():
         at = disk()
-        world.order(at, Evacuate(lot.choice("ab"), lot.random() < 0.5))
+        world.order(at, SetEvacuation(lot.choice("ab"), lot.random() < 0.5))
         reach(at)
 
     def shape(at):
@@ -977,7 +994,7 @@
     def forget():
         at, gone = disk(), disk()
         if gone not in world.alive(at):
-            world.order(at, Forget(gone))
+            world.order(at, RemoveReplica(gone))
             reach(at)
 
     def cut():
@@ -1182,14 +1199,14 @@
 
 
 def _believes_older(self, ip, probe):
-    PROBED(self, ip, Probe(probe.nonce))
+    PROBED(self, ip, StateQuery(probe.nonce))
 
 
 def _gives_accepted(self, call, answer):
     held = self.acceptor.state if self.acceptor is not None else None
     if held is None or held.number <= max(call.number, self.number()):
         return GIVE(self, call, answer)
-    answer(Pulled(held if call.whole else held.brief(), b""))
+    answer(FetchedState(held if call.whole else held.brief(), b""))
 
 
 def _answers_early(self, proposal):
@@ -1220,13 +1237,13 @@
 SYNCED, PROMISE = Acceptor.synced, Acceptor.prepare
 PROMISED, ACCEPTED, CHOSEN, TAKE = Proposal.promised, Proposal.accepted, Acceptor.chosen, Acceptor.accept
 PREPARE, ACCEPT, NEXT, BEGIN, AGREE, GIVE = Life.prepare, Life.accept, Life.next, Life.begin, Life.agree, Life.give
-ACCEPT_AT, PROBED, RELAY, WIPE, REPLACED = Life.accept_at, Life.probed, Contact.relay, World.wipe, state.replaced
+ACCEPT_AT, PROBED, RELAY, WIPE, REPLACED = Life.accept_at, Life.probed, ReadLease.relay, World.wipe, state.replaced
 REFORMED, DUE = state.reformed, due
 HERE = sys.modules[__name__]
 MUTANTS = {
     "a quorum less one": [(state, "majority", lambda voters, heard: sum(
         any(r.is_at(*one) for one in heard) for r in voters) >= max(1, len(voters) // 2))],
-    "contact with one less": [(Contact, "_majority", lambda self, voters: sorted((max(
+    "contact with one less": [(ReadLease, "_majority", lambda self, voters: sorted((max(
         (at for one, at in self.asked.items() if r.is_at(*one)), default=NEVER) for r in voters),
         reverse=True)[max(0, len(voters) // 2 - 1)])],
     "a promise that is not on the disk": [(Life, "prepare", _prepares_at_once)],
@@ -1236,19 +1253,19 @@
     "its own change without what was accepted": [(Proposal, "base", property(lambda self: self.known))],
     "asks those it knows, not those that promises show": [(Proposal, "promised", _asks_known_only)],
     "the new voters are not asked to accept": [(Proposal, "accepted", _known_accepts)],
-    "voters change at once": [(where, "reformed", _reforms_at_once) for where in (orders, state, HERE)],
+    "voters change at once": [(where, "reformed", _reforms_at_once) for where in (commands, state, HERE)],
     "settled before it is chosen": [(Life, "next", _settles_any)],
     "the new set alone": [(state.State, "quorum", lambda self, heard: state.majority(self.voters, heard))],
-    "a second change of members": [(orders, "reformed", _reforms_again), (HERE, "reformed", _reforms_again),
+    "a second change of members": [(commands, "reformed", _reforms_again), (HERE, "reformed", _reforms_again),
                                    (HERE, "due", _due_again)],
     "a wiped disk keeps its identity": [(World, "wipe", _same_identity)],
     "another disk counts at once": [(Replica, "is_at", lambda self, ip, disk: self.ip == ip)],
     "an older folder is believed": [(Life, "probed", _believes_older)],
-    "the highest content wins": [(orders, "replaced", _highest_content)],
+    "the highest content wins": [(commands, "replaced", _highest_content)],
     "a ballot that others use": [(Life, "begin", _begins_as_anyone)],
     "a ballot that an earlier life used": [(Life, "begin", _begins_as_before)],
     "contact from when the answer came": [(Life, "agree", _agrees_from_now)],
-    "an age at second hand from the answer": [(Contact, "relay", _relays_from_now)],
+    "an age at second hand from the answer": [(ReadLease, "relay", _relays_from_now)],
     "chosen under another ballot": [(Acceptor, "chosen", _any_ballot)],
     "what was accepted is told as chosen": [(Life, "give", _gives_accepted)],
     "answered before it is chosen": [(Life, "accept_at", _answers_early)],
@@ -1318,7 +1335,7 @@
     """1 alone accepts two changes at once, and later the one that was chosen in their place; then it starts anew."""
     world = _core()
     world.replace(1, 0, 0)
-    world.order(1, Evacuate("a", True))
+    world.order(1, SetEvacuation("a", True))
     world.ballot(1, True, [2], [], _first)
     world.wire = []
     world.machines[2].life.ask(1)
@@ -1411,7 +1428,7 @@
 
     @rule(at=disk, begin=booleans())
     def evacuate(self, at, begin):
-        self.world.order(at, Evacuate("a", begin))
+        self.world.order(at, SetEvacuation("a", begin))
 
     @rule(at=disk, ips=some)
     def reshape(self, at, ips):
--- a/tests/balancer/control/test_recovery.py
+++ b/tests/balancer/control/test_recovery.py
@@ -11,15 +11,15 @@
 
 from twisted.internet.defer import maybeDeferred
 
-from mapleline.lab.days import ZONES
-from mapleline.lab.operators import configuration
-from mapleline.lab.world import World
-from mapleline.system.archive import earlier
-from mapleline.system.archive.orders import DONE, Replace
-from mapleline.system.archive.replica import LocalReplica
-from mapleline.system.archive.state import digest
-from mapleline.system.messages import Accepted, Prepare, Promised, encode
-from mapleline.system.register import FORMED
+from mapleline.balancer.control import migration
+from mapleline.balancer.control.commands import DONE, ReplaceConfiguration
+from mapleline.balancer.control.replica import LocalReplica
+from mapleline.balancer.control.state import digest
+from mapleline.balancer.membership.table import FORMED
+from mapleline.balancer.transport.messages import Accepted, Prepare, Promised, encode
+from mapleline.simulation.operators import configuration
+from mapleline.simulation.scenarios import ZONES
+from mapleline.simulation.world import World
 
 SIZE = 20_000  # of a configuration
 COPIES = 24  # of the state, that go to and fro in a change of two members' sets
@@ -66,8 +66,8 @@
             if left[0]:
                 body = body_of(self.version + 1)
                 machine = at if at is not None and at.up else self.up()[0]
-                order = Replace(self.version + 1, digest(body))
-                machine.node.archive.order(order, body, 4.5).addCallback(
+                order = ReplaceConfiguration(self.version + 1, digest(body))
+                machine.node.control_plane.order(order, body, 4.5).addCallback(
                     lambda outcome: world.after(0.0 if outcome.status == DONE else 0.2, next_one, outcome)
                 )
 
@@ -78,13 +78,13 @@
             world.run(0.05)
 
     def newest(self) -> int:
-        return max(m.node.archive.state.number for m in self.up() if m.node.archive.state is not None)
+        return max(m.node.control_plane.state.number for m in self.up() if m.node.control_plane.state is not None)
 
     def is_whole(self, machine) -> bool:
         """A voter, and on its disk is what all others hold."""
-        if not machine.up or machine.node.archive.state is None or not machine.node.flags() & FORMED:
+        if not machine.up or machine.node.control_plane.state is None or not machine.node.flags() & FORMED:
             return False
-        if any(m.node.archive.state.former for m in self.up()):
+        if any(m.node.control_plane.state.former for m in self.up()):
             return False  # who votes is changing still
         record = machine.disk.record
         kept = record.state if record.is_decided else record.decided
@@ -128,8 +128,8 @@
             core.world.run(5.0)
             done = core.version
             self.assertEqual(done, changes)
-            sizes.append(len(encode(four.node.archive.state)))
-            self.assertEqual({r.ip for r in four.node.archive.state.voters}, {m.ip for m in core.machines})
+            sizes.append(len(encode(four.node.control_plane.state)))
+            self.assertEqual({r.ip for r in four.node.control_plane.state.voters}, {m.ip for m in core.machines})
         grown = sizes[3] - sizes[0]
         self.assertLess(grown, 8000)
         for kind, (few, _, more, most) in found.items():
@@ -148,7 +148,7 @@
         took = core.come_back(one)
         self.assertLess(took.seconds, 4.0)
         self.assertLess(took.bytes, 12 * SIZE)  # not 300 of them
-        self.assertEqual(one.node.desk.table.version, 303)
+        self.assertEqual(one.node.proxy.table.version, 303)
 
     def test_all_that_lose_power_at_once_after_many_changes_go_on_with_the_last(self):
         core = Core(8)
@@ -182,14 +182,14 @@
 class TestUpgrade(Laboratory):
     def test_machines_with_folders_of_the_earlier_format_found_a_core(self):
         """Nothing there voted on a core of ours; a folder that was spoilt may have, and founds none."""
-        for fault, founded in ((earlier.FAULT, True), ("torn, empty or foreign", False)):
+        for fault, founded in ((migration.FAULT, True), ("torn, empty or foreign", False)):
             world = World(9, ZONES, others=0)
             for machine in world.core:
                 machine.disk.load = lambda fault=fault: (None, {}, [f"core, r-636f6e666967: {fault}"])
             world.start()
             world.run(8.0)
             with self.subTest(fault):
-                self.assertEqual({m.node.archive.state is not None for m in world.core}, {founded})
+                self.assertEqual({m.node.control_plane.state is not None for m in world.core}, {founded})
 
 
 class TestOlderFolder(Laboratory):
@@ -229,7 +229,7 @@
                     core = Core(seed)
                     core.put(5)
                     now = core.world.now
-                    first = sorted(core.machines, key=lambda m: m.node.register.me.place)
+                    first = sorted(core.machines, key=lambda m: m.node.membership.me.place)
                     victim = first[place]
                     other = next(m for m in core.machines if m is not victim)
                     old, votes, ballots = self.put_back(core, victim)
@@ -239,7 +239,7 @@
                     self.assertEqual((votes, ballots), ([], []))
                     self.assertNotEqual(victim.disk.record.disk, old)
                     self.assertTrue(core.is_whole(victim))
-                    voters = core.machines[0].node.archive.state.voters
+                    voters = core.machines[0].node.control_plane.state.voters
                     self.assertIn((victim.ip, victim.disk.record.disk), {(r.ip, r.disk) for r in voters})
 
     def test_a_folder_of_another_machine_is_no_ones(self):
@@ -259,7 +259,7 @@
         for seed in range(11, 17):
             core = Core(seed)
             core.put(5)
-            victim = min(core.machines, key=lambda m: m.node.register.me.place)
+            victim = min(core.machines, key=lambda m: m.node.membership.me.place)
             with believed, mock.patch.object(LocalReplica, "witness"):
                 _, votes, ballots = self.put_back(core, victim)
                 core.put(20, at=next(m for m in core.machines if m is not victim))
--- a/tests/balancer/control/test_snapshot.py
+++ b/tests/balancer/control/test_snapshot.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from mapleline.system import chronicle, offline
-from mapleline.system.archive import earlier, snapshot
-from mapleline.system.archive.agreement import Record
-from mapleline.system.archive.snapshot import Snapshot, named
-from mapleline.system.archive.state import Replica, State, digest
-from mapleline.system.chronicle import Chronicle
+from mapleline.balancer.cli import data_folder
+from mapleline.balancer.control import audit_log, migration, snapshot
+from mapleline.balancer.control.audit_log import AuditLog
+from mapleline.balancer.control.consensus import Record
+from mapleline.balancer.control.snapshot import Snapshot, named
+from mapleline.balancer.control.state import Replica, State, digest
 
 ME, DISK = 1, 7
 
@@ -410,7 +410,7 @@
                     self.assertEqual((record, len(bad)), (None, 1))
                     self.assertIn(path.name, bad[0])
                     self.assertIn("missing" if spoilt is None else "", bad[0])
-                    found = offline.check_archive(self.folder)
+                    found = data_folder.check_archive(self.folder)
                     self.assertTrue(found.is_error() and path.name in found.error and "\n" not in found.error)
                     if spoilt is not None:
                         self.assertEqual(path.read_bytes(), spoilt)  # a look changes nothing
@@ -432,7 +432,7 @@
         (self.word / f"c-{digest(body(9)):016x}").write_bytes(b"")
         store = Snapshot(str(self.folder))
         self.assertEqual(store.load(), (*STEPS[3], []))
-        self.assertIn("of system 99", offline.check_archive(self.folder).ok)
+        self.assertIn("of system 99", data_folder.check_archive(self.folder).ok)
         self.assertEqual(len(self.listed()), 6)
         store.save(*STEPS[4])
         self.assertEqual(self.listed(), sorted(["replica", *(f"c-{c:016x}" for c in STEPS[4][1])]))
@@ -498,41 +498,41 @@
 
 class TestOperatorsTools(Folder):
     def test_a_folder_is_told_in_a_line_and_one_that_holds_nothing_is_a_fault(self):
-        self.assertIn("holds no word", offline.check_archive(self.folder).error)
+        self.assertIn("holds no word", data_folder.check_archive(self.folder).error)
         self.filled(2)
-        self.assertEqual(offline.check_archive(self.folder).ok,
+        self.assertEqual(data_folder.check_archive(self.folder).ok,
                          "state 1 of system 99, epoch 1: a voter of 3; config 1, evacuated: none")
         self.filled(3)
-        self.assertIn("; accepted beyond it, and not known to be chosen", offline.check_archive(self.folder).ok)
+        self.assertIn("; accepted beyond it, and not known to be chosen", data_folder.check_archive(self.folder).ok)
 
     def test_a_dump_is_restored_into_an_empty_folder_only_and_has_no_vote(self):
         self.filled(2)
-        dump = offline.dump_archive(self.folder).ok
+        dump = data_folder.dump_archive(self.folder).ok
         self.assertEqual(json.loads(dump)["state"]["config"][0], 1)
-        self.assertEqual(offline.dump_config(self.folder).ok, body(1).decode())
+        self.assertEqual(data_folder.dump_config(self.folder).ok, body(1).decode())
         with tempfile.TemporaryDirectory() as other:
-            self.assertEqual(offline.restore_archive(Path(other), dump.encode()).ok, "state 1 written")
+            self.assertEqual(data_folder.restore_archive(Path(other), dump.encode()).ok, "state 1 written")
             record, contents, bad = Snapshot(other).load()
             self.assertEqual((record.decided, contents, bad), (state(1, 1), bodies(1), []))
             self.assertEqual((record.ip, record.disk, record.state), (0, 0, None))
-            self.assertIn("no voter of 3", offline.check_archive(Path(other)).ok)
-            self.assertIn("already", offline.restore_archive(Path(other), dump.encode()).error)
+            self.assertIn("no voter of 3", data_folder.check_archive(Path(other)).ok)
+            self.assertIn("already", data_folder.restore_archive(Path(other), dump.encode()).error)
         for text, why in ((b"{}", "no dump"), (b"[]", "no dump"), (dump[:-9].encode(), "no dump"),
                           (dump.replace('"contents": {', '"contents": {}, "x": {').encode(), "missing"),
                           (b'{"mapleline": 1, "word": []}', "config put")):  # fmt: skip
             with tempfile.TemporaryDirectory() as other:
-                fault = offline.restore_archive(Path(other), text).error
+                fault = data_folder.restore_archive(Path(other), text).error
                 self.assertIn(why, fault)
                 self.assertNotIn("\n", fault)
                 self.assertEqual(list(Path(other).glob("word/*")), [])
 
     def test_a_content_that_is_not_the_one_it_is_named_after_is_not_restored(self):
         self.filled(2)
-        dump = json.loads(offline.dump_archive(self.folder).ok)
+        dump = json.loads(data_folder.dump_archive(self.folder).ok)
         [name] = dump["contents"]
         dump["contents"][name] = "bm90IGl0"
         with tempfile.TemporaryDirectory() as other:
-            self.assertIn(name, offline.restore_archive(Path(other), json.dumps(dump).encode()).error)
+            self.assertIn(name, data_folder.restore_archive(Path(other), json.dumps(dump).encode()).error)
             self.assertEqual(list(Path(other).glob("word/*")), [])
 
 
@@ -553,30 +553,30 @@
     def test_it_is_named_never_believed_put_aside_whole_and_its_configuration_carried_over(self):
         was = {path.name: path.read_bytes() for path in self.word.iterdir()}
         for at in (self.folder, self.folder):
-            fault = offline.check_archive(at).error
+            fault = data_folder.check_archive(at).error
             self.assertIn("earlier format: config 7, evacuated: z1;", fault)
             self.assertIn("--config", fault)
-            self.assertEqual(offline.dump_config(at).ok, body(7).decode())
-            self.assertEqual(json.loads(offline.dump_archive(at).ok)["mapleline"], 1)
+            self.assertEqual(data_folder.dump_config(at).ok, body(7).decode())
+            self.assertEqual(json.loads(data_folder.dump_archive(at).ok)["mapleline"], 1)
             self.assertEqual({p.name: p.read_bytes() for p in self.word.iterdir()}, was)
         store = Snapshot(str(self.folder))
         record, _, bad = store.load()
         self.assertEqual((record, len(bad)), (None, 1))
         self.assertIn("earlier format", bad[0])
         store.put_aside()
-        self.assertEqual({p.name: p.read_bytes() for p in (self.folder / earlier.FOLDER).iterdir()}, was)
+        self.assertEqual({p.name: p.read_bytes() for p in (self.folder / migration.FOLDER).iterdir()}, was)
         store.save(*STEPS[0])
         self.assertEqual(self.loaded(), (STEPS[0][0], {}, []))
         # still to be had until there is one in the new format
-        self.assertIn("beside it word-1, of the earlier format", offline.check_archive(self.folder).ok)
-        self.assertEqual(offline.dump_config(self.folder).ok, body(7).decode())
+        self.assertIn("beside it word-1, of the earlier format", data_folder.check_archive(self.folder).ok)
+        self.assertEqual(data_folder.dump_config(self.folder).ok, body(7).decode())
         store.save(*STEPS[2])
-        self.assertEqual(offline.dump_config(self.folder).ok, body(1).decode())
+        self.assertEqual(data_folder.dump_config(self.folder).ok, body(1).decode())
 
     def test_a_spoilt_one_is_told_as_such(self):
         name = "r-" + b"config".hex()
         (self.word / name).write_bytes((self.word / name).read_bytes()[:-1])
-        for tool in (offline.check_archive, offline.dump_archive, offline.dump_config):
+        for tool in (data_folder.check_archive, data_folder.dump_archive, data_folder.dump_config):
             self.assertIn(f"{name}: torn", tool(self.folder).error)
 
 
@@ -584,7 +584,7 @@
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.history = Chronicle(folder.name, 3000)
+        self.history = AuditLog(folder.name, 3000)
 
     def test_versions_are_kept_once_and_pruned_from_the_oldest(self):
         bodies = {n: os.urandom(1000) for n in range(1, 5)}
@@ -606,7 +606,7 @@
                 self.history.order(float(n), "config", n, True, 0.1)
             return self.history.path.stat().st_size
 
-        with mock.patch.object(chronicle, "ROWS_MOST", 40), mock.patch.object(chronicle, "ORDERS_MOST", 40):
+        with mock.patch.object(audit_log, "ROWS_MOST", 40), mock.patch.object(audit_log, "ORDERS_MOST", 40):
             after_few = grown(range(1, 101))
             after_many = grown(range(101, 501))
             rows = self.history.rows(1000)
