--- a/tests/balancer/proxy/proxy_harness.py
+++ b/tests/balancer/proxy/proxy_harness.py
@@ -5,14 +5,14 @@
 
 from twisted.internet.task import Clock
 
+from mapleline.balancer import configuration, settings
+from mapleline.balancer.discovery.endpoints import EndpointList, ListedInstance
+from mapleline.balancer.membership.table import READY, Member, MembershipTable
+from mapleline.balancer.proxy.proxy import Proxy
+from mapleline.balancer.proxy.slow_start_leases import SlowStartLeases
+from mapleline.balancer.proxy.upstream import UpstreamPool
 from mapleline.http1.messages import Request, Response
 from mapleline.http1.upload import Upload
-from mapleline.system import config, settings
-from mapleline.system.catalogue import Catalogue, Listed
-from mapleline.system.desk import Desk
-from mapleline.system.leases import Leases
-from mapleline.system.register import READY, Member, Register
-from mapleline.system.servers import Servers
 
 APPROVED = Path(__file__).parent / "approved"
 
@@ -25,7 +25,7 @@
         case.assertEqual(text, path.read_text() if path.exists() else "", f"{name}: see {path}.received")
 
 
-class Door:
+class ClientConnection:
     """A client's connection."""
 
     def __init__(self, world, name):
@@ -42,7 +42,7 @@
         self.world.say(f"{self.name} <- {'the end' if whole else 'cut off'}")
 
 
-class Lines(Servers):
+class Lines(UpstreamPool):
     """Servers that never answer by themselves; the address says which is which."""
 
     def __init__(self, world):
@@ -65,33 +65,33 @@
 
     def __init__(self, boot, whole, servers, answers_for=None):
         self.clock, self.lines, self.lists = Clock(), [], 0
-        leases = Leases(self.clock, 1, random.Random(5), lambda *_: None, lambda: [1], self.cold_numbers, True)
+        leases = SlowStartLeases(self.clock, 1, random.Random(5), lambda *_: None, lambda: [1], self.cold_numbers, True)
         self.clock.advance(100.0)
         self.serving = True
         boot = settings.read(boot)
-        self.register = Register(Member(1, 0, READY, beat=100.0), 1e6)
-        self.catalogue = Catalogue()
+        self.membership = MembershipTable(Member(1, 0, READY, beat=100.0), 1e6)
+        self.endpoints = EndpointList()
         self.servers = Lines(self)
         self.asks = []
-        self.desk = Desk(self.clock, boot, self.register, self.catalogue, self.servers, lambda: self.serving,
+        self.proxy = Proxy(self.clock, boot, self.membership, self.endpoints, self.servers, lambda: self.serving,
                          self.asks.append, random.Random(7))  # fmt: skip
-        self.desk.table = config.Table(config.read(whole))
-        self.desk.leases = leases
+        self.proxy.table = configuration.Table(configuration.read(whole))
+        self.proxy.leases = leases
         self.list(servers)
 
     def cold_numbers(self, now):
-        return self.desk.cold_numbers(now)
+        return self.proxy.cold_numbers(now)
 
     def say(self, text):
         self.lines.append(f"{self.clock.seconds() - 100.0:6.2f}  {text}")
 
     def list(self, servers):
         """(id, service, zone) and what else the platform's list says of each."""
-        found = [Listed(id, service, f"10.9.0.{n}:80", zone, **more)
+        found = [ListedInstance(id, service, f"10.9.0.{n}:80", zone, **more)
                  for n, (id, service, zone, more) in enumerate(servers, 1)]  # fmt: skip
         self.lists += 1
-        self.catalogue.take_list(self.clock.seconds() + 1e-6 * self.lists, found)
-        self.desk.refresh()
+        self.endpoints.take_list(self.clock.seconds() + 1e-6 * self.lists, found)
+        self.proxy.refresh()
 
     def ask(self, name, method=b"GET", path=b"/one/x", key=b"k1", long=0, **fields):
         """A client's request."""
@@ -100,10 +100,10 @@
             headers[b"authorization"] = b"Bearer " + key
         headers.update({k.encode().replace(b"_", b"-"): v for k, v in fields.items()})
         self.say(f"{name} -> {method.decode()} {path.decode()}")
-        body, door = b"scan" if method == b"POST" else b"", Door(self, name)
+        body, client_conn = b"scan" if method == b"POST" else b"", ClientConnection(self, name)
         if long:
-            door.upload = Upload(long, lambda: None, lambda: None)
-        return self.desk.take(door, Request(method, path, headers, body, True, bool(long), b"1", long or len(body)))
+            client_conn.upload = Upload(long, lambda: None, lambda: None)
+        return self.proxy.take(client_conn, Request(method, path, headers, body, True, bool(long), b"1", long or len(body)))
 
     def count(self, before=0.0, previous=0.0, left=0.5, silent=False):
         """The tally's holder answers the oldest question, or doesn't."""
--- a/tests/balancer/proxy/test_listener.py
+++ b/tests/balancer/proxy/test_listener.py
@@ -4,8 +4,8 @@
 
 from twisted.internet.task import Clock
 
+from mapleline.balancer.proxy.listener import Listener
 from mapleline.http1.buffers import BUFFER_SIZE, BufferPool
-from mapleline.system.doors import House
 
 
 class Transport:
@@ -42,91 +42,91 @@
 class TestDoors(unittest.TestCase):
     def setUp(self):
         self.clock, self.taken = Clock(), []
-        self.house = House(self.clock, BufferPool(), lambda door, request: self.taken.append((door, request)))
-        self.house.idle_s = 15.0
+        self.listener = Listener(self.clock, BufferPool(), lambda client_conn, request: self.taken.append((client_conn, request)))
+        self.listener.idle_s = 15.0
 
-    def door(self):
-        door = self.house.buildProtocol(None)
-        door.transport, door.connected = Transport(), 1
-        door.connectionMade()
-        return door
+    def client_conn(self):
+        client_conn = self.listener.buildProtocol(None)
+        client_conn.transport, client_conn.connected = Transport(), 1
+        client_conn.connectionMade()
+        return client_conn
 
     def test_requests_in_pieces_and_behind_each_other_are_answered_in_order(self):
-        door = self.door()
+        client_conn = self.client_conn()
         for piece in (b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Le", b"ngth: 4\r\n\r\nsc",
                       b"anGET /b HTTP/1.1\r\nHost: x\r\n\r\n"):  # fmt: skip
-            door.dataReceived(piece)
+            client_conn.dataReceived(piece)
         self.assertEqual([r.body for _, r in self.taken], [b"scan"])
-        door.reply(200, b"first")
+        client_conn.reply(200, b"first")
         self.clock.advance(0)
         self.assertEqual([r.target for _, r in self.taken], [b"/a", b"/b"])
-        self.house.leaving = True
-        door.reply(503, b"second", b"Retry-After: 0.30\r\n")
-        self.assertEqual(door.transport.sent, (
+        self.listener.leaving = True
+        client_conn.reply(503, b"second", b"Retry-After: 0.30\r\n")
+        self.assertEqual(client_conn.transport.sent, (
             b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nKeep-Alive: timeout=15\r\n\r\nfirst"
             b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 6\r\nRetry-After: 0.30\r\n"
             b"Connection: close\r\n\r\nsecond"))
-        self.assertEqual(door.transport.ended, "closed")
+        self.assertEqual(client_conn.transport.ended, "closed")
 
     def test_a_long_body_goes_on_as_it_comes_and_no_faster_than_a_server_takes_it(self):
-        self.house.stream_from = 4 * BUFFER_SIZE
-        door = self.door()
-        door.dataReceived(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n")
-        door.dataReceived(bytes(70000))
+        self.listener.stream_from = 4 * BUFFER_SIZE
+        client_conn = self.client_conn()
+        client_conn.dataReceived(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n")
+        client_conn.dataReceived(bytes(70000))
         [(_, request)] = self.taken
-        self.assertEqual((len(request.body), request.length, door.transport.paused), (70000, 100000, True))
+        self.assertEqual((len(request.body), request.length, client_conn.transport.paused), (70000, 100000, True))
         server = Transport()
         server.flushed = True
-        door.upload.attach(server, lambda: self.taken.append("out"))
-        self.assertFalse(door.transport.paused)
+        client_conn.upload.attach(server, lambda: self.taken.append("out"))
+        self.assertFalse(client_conn.transport.paused)
         server.flushed = False
-        door.dataReceived(bytes(20000))
-        self.assertEqual((len(server.sent), door.transport.paused, request.body), (20000, True, b""))
+        client_conn.dataReceived(bytes(20000))
+        self.assertEqual((len(server.sent), client_conn.transport.paused, request.body), (20000, True, b""))
         server.flushed = True
-        door.upload.flushed()
-        self.assertFalse(door.transport.paused)
-        door.dataReceived(bytes(10000))
+        client_conn.upload.flushed()
+        self.assertFalse(client_conn.transport.paused)
+        client_conn.dataReceived(bytes(10000))
         self.assertEqual((len(server.sent), self.taken[1:]), (30000, ["out"]))
-        door.reply(200, b"kept")
-        self.assertEqual((door.transport.ended, self.house.pool.held), ("", 0))
+        client_conn.reply(200, b"kept")
+        self.assertEqual((client_conn.transport.ended, self.listener.pool.held), ("", 0))
 
     def test_who_is_answered_amid_a_long_body_reads_why_before_the_connection_ends(self):
-        self.house.stream_from = 4 * BUFFER_SIZE
-        door = self.door()
-        door.dataReceived(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n" + bytes(70000))
-        door.reply(429, b"over")
-        self.assertEqual((door.transport.ended, door.transport.paused), ("half", False))
-        self.assertIn(b"Connection: close", door.transport.sent)
-        door.dataReceived(bytes(30000) + b"GET /smuggled HTTP/1.1\r\nHost: x\r\n\r\n")
+        self.listener.stream_from = 4 * BUFFER_SIZE
+        client_conn = self.client_conn()
+        client_conn.dataReceived(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n" + bytes(70000))
+        client_conn.reply(429, b"over")
+        self.assertEqual((client_conn.transport.ended, client_conn.transport.paused), ("half", False))
+        self.assertIn(b"Connection: close", client_conn.transport.sent)
+        client_conn.dataReceived(bytes(30000) + b"GET /smuggled HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertEqual(len(self.taken), 1)
-        self.house.sweep(self.clock.seconds() + 7.0)
-        self.assertEqual(door.transport.ended, "aborted")
+        self.listener.sweep(self.clock.seconds() + 7.0)
+        self.assertEqual(client_conn.transport.ended, "aborted")
 
     def test_a_long_answer_goes_out_in_parts_and_one_cut_off_never_looks_whole(self):
         for length, whole, end in ((9, True, b"part"), (None, True, b"\r\n0\r\n\r\n"), (9, False, b"part")):
-            door, source = self.door(), Transport()
-            door.dataReceived(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
-            door.begin(200, b"Server-Stamp: s\r\n", length, source)
-            door.part(b"first")
-            door.part(b"part")
-            door.ended(whole)
-            self.assertTrue(door.transport.sent.endswith(end))
-            self.assertEqual(door.transport.ended, "" if whole else "closed")
+            client_conn, source = self.client_conn(), Transport()
+            client_conn.dataReceived(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
+            client_conn.begin(200, b"Server-Stamp: s\r\n", length, source)
+            client_conn.part(b"first")
+            client_conn.part(b"part")
+            client_conn.ended(whole)
+            self.assertTrue(client_conn.transport.sent.endswith(end))
+            self.assertEqual(client_conn.transport.ended, "" if whole else "closed")
 
     def test_bodies_beyond_their_part_of_the_memory_go_on_at_once(self):
-        self.house.pool.most, self.house.stream_from = 20 * BUFFER_SIZE, 1 << 20
+        self.listener.pool.most, self.listener.stream_from = 20 * BUFFER_SIZE, 1 << 20
         for _ in range(5):
             head = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000\r\n\r\n"
-            self.door().dataReceived(head + bytes(8 * BUFFER_SIZE))
+            self.client_conn().dataReceived(head + bytes(8 * BUFFER_SIZE))
         self.assertEqual([r.more for _, r in self.taken], [True] * 3)  # the first two have what room there was
-        self.assertLessEqual(self.house.pool.out, 20)
+        self.assertLessEqual(self.listener.pool.out, 20)
 
     def test_a_head_or_a_body_beyond_the_limits_is_refused(self):
-        self.house.max_header, self.house.max_body = 200, 10
+        self.listener.max_header, self.listener.max_body = 200, 10
         for data, status in ((b"GET /a HTTP/1.1\r\nHost: x\r\nA: " + b"b" * 300 + b"\r\n\r\n", b"431"),
                              (b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 11\r\n\r\n", b"413"),
                              (b"GET /a HTTP/1.1\r\n\r\n", b"400")):  # fmt: skip
-            door = self.door()
-            door.dataReceived(data)
-            self.assertEqual((door.transport.sent[9:12], door.transport.ended), (status, "closed"))
+            client_conn = self.client_conn()
+            client_conn.dataReceived(data)
+            self.assertEqual((client_conn.transport.sent[9:12], client_conn.transport.ended), (status, "closed"))
         self.assertEqual(self.taken, [])
--- a/tests/balancer/proxy/test_proxy.py
+++ b/tests/balancer/proxy/test_proxy.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from .desk_world import World, approve
+from .proxy_harness import World, approve
 
 BOOT = """\
 node_name=edge-1
@@ -118,7 +118,7 @@
         w = self.world
         w.ask("book", b"POST", b"/book/7", deadline_ms=b"900")
         w.wait(0.9)
-        w.desk.catalogue.instances.clear()
+        w.proxy.endpoints.instances.clear()
         w.ask("none", b"POST", b"/book/8")
         self.approve("deadline")
 
@@ -155,19 +155,19 @@
         self.approve("quota")
 
     def test_a_key_taken_away_while_the_tally_is_asked(self):
-        from mapleline.system import config
+        from mapleline.balancer import configuration
 
         w = self.world
         w.ask("q1", key=b"k2")
         later = {**WHOLE, "config_version": 8, "tenant_table": {"t1": {"api_keys": ["k1"]}}}
-        w.desk.table = config.Table(config.read(json.dumps(later).encode()))
+        w.proxy.table = configuration.Table(configuration.read(json.dumps(later).encode()))
         w.count(before=0.0)
         self.approve("key_taken_away")
 
     def test_who_gets_nothing(self):
         w = self.world
         w.list([("i-a", "s1", "z1", {"state": "draining"}), *SERVERS[1:]])
-        w.desk.evacuated = {"z2"}
+        w.proxy.evacuated = {"z2"}
         w.ask("q1")
         w.answer()
         w.list([("i-d", "s1", "z1", {"cold_left": "3s"}), ("i-e", "s1", "z2", {})])
--- a/tests/balancer/proxy/test_upstream.py
+++ b/tests/balancer/proxy/test_upstream.py
@@ -8,12 +8,12 @@
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
 
+from mapleline.balancer.proxy import outcome, upstream
+from mapleline.balancer.proxy.outcome import Outcome
+from mapleline.balancer.proxy.upstream import Attempt, Link, UpstreamPool
 from mapleline.http1.buffers import BufferPool
 from mapleline.http1.upload import Upload
 from mapleline.policy.placing import Target
-from mapleline.system import servers, verdict
-from mapleline.system.servers import Attempt, Link, Servers
-from mapleline.system.verdict import Verdict
 
 REQUEST = b"POST /book/7 HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nscan"
 
@@ -68,7 +68,7 @@
     def setUp(self):
         self.clock, self.dialed = Clock(), []
         self.clock.connectTCP = lambda host, port, factory, timeout: self.dialed.append(factory)
-        self.servers = Servers(self.clock, BufferPool())
+        self.servers = UpstreamPool(self.clock, BufferPool())
         self.target = Target("i-a", "s1", "z1", "r1", 2)
 
     def attempt(self, id=b"q1", repeatable=False, upload=None):
@@ -107,12 +107,12 @@
                     if part:
                         link.dataReceived(part)
                     self.lost(link, clean)
-                    self.ends(attempt, "closed" if clean else "lost", Verdict.MAYBE)
+                    self.ends(attempt, "closed" if clean else "lost", Outcome.MAYBE)
 
     def test_a_connection_that_never_came_up_has_carried_nothing(self):
         attempt = self.attempt()
         self.dialed.pop().clientConnectionFailed(None, Failure(ConnectionLost()))
-        self.ends(attempt, "unreachable", Verdict.NEVER)
+        self.ends(attempt, "unreachable", Outcome.NEVER)
 
     def test_answers_of_others_are_passed_over(self):
         others = [answer(b"q9"), answer(b"q9", 503, lines=b"Not-Executed: 1\r\n"), answer(b"q9", 421), answer(b"")]
@@ -124,7 +124,7 @@
                 link.dataReceived(other)
                 self.assertEqual(attempt.why, "")
                 link.dataReceived(answer())
-                self.ends(attempt, "answer", Verdict.RAN)
+                self.ends(attempt, "answer", Outcome.RAN)
                 self.assertEqual((attempt.response.headers[b"request-id"], attempt.response.body), (b"q1", b"whole"))
                 self.assertTrue(link.transport.ended)
                 self.assertNotIn(link, self.target.links)
@@ -137,32 +137,32 @@
             link.dataReceived(surplus)
             if not attempt.why:
                 self.lost(link, True)
-            self.assertEqual((attempt.verdict, attempt.response), (Verdict.MAYBE, None))
+            self.assertEqual((attempt.verdict, attempt.response), (Outcome.MAYBE, None))
             link.dataReceived(answer())  # behind what cannot be told apart
-            self.assertEqual((attempt.verdict, attempt.response, link.attempt), (Verdict.MAYBE, None, None))
+            self.assertEqual((attempt.verdict, attempt.response, link.attempt), (Outcome.MAYBE, None, None))
 
     def test_an_answer_without_an_id_frees_only_what_came_first(self):
         nobody = answer(b"", 503, lines=b"Not-Executed: 1\r\n")
         attempt = self.attempt()
         self.up().dataReceived(nobody)
-        self.ends(attempt, "answer", Verdict.NEVER)
+        self.ends(attempt, "answer", Outcome.NEVER)
         self.target.links.clear()
         link, attempt = self.kept(), self.attempt()
         link.dataReceived(nobody)  # perhaps a late one of the request before
         self.assertEqual(attempt.why, "")
         self.lost(link)
-        self.ends(attempt, "lost", Verdict.MAYBE)
+        self.ends(attempt, "lost", Outcome.MAYBE)
 
     def test_the_same_request_never_goes_twice_over_one_connection(self):
         first = self.attempt()
         link = self.up()
         link.dataReceived(answer(b"q1", 503, lines=b"Not-Executed: 1\r\n"))
-        self.ends(first, "answer", Verdict.NEVER)
+        self.ends(first, "answer", Outcome.NEVER)
         self.assertEqual(self.target.links, [link])
         again = self.attempt()
         self.assertIsNone(link.attempt)  # a second copy of that answer would free what runs
         self.up().dataReceived(answer())
-        self.ends(again, "answer", Verdict.RAN)
+        self.ends(again, "answer", Outcome.RAN)
 
     def test_nothing_goes_over_a_connection_with_surplus_bytes(self):
         link = self.kept()
@@ -170,32 +170,32 @@
         attempt = self.attempt()
         self.assertTrue(link.transport.ended and link.attempt is None)
         self.up().dataReceived(answer())
-        self.ends(attempt, "answer", Verdict.RAN)
+        self.ends(attempt, "answer", Outcome.RAN)
         self.target.links.clear()
         link = self.kept()
         link.dataReceived(answer(b"q0"))  # read, in the turn in which the next request is sent
         attempt = self.attempt()
         self.assertTrue(link.transport.ended and link.attempt is None)
         self.up().dataReceived(answer())
-        self.ends(attempt, "answer", Verdict.RAN)
+        self.ends(attempt, "answer", Outcome.RAN)
         self.target.links.clear()
         attempt = self.attempt()
         link = self.up()
         link.dataReceived(answer() + b"more")
-        self.ends(attempt, "answer", Verdict.RAN)
+        self.ends(attempt, "answer", Outcome.RAN)
         self.assertTrue(link.transport.ended)
 
     def test_a_connection_that_rested_long_is_not_for_all(self):
         link = self.kept()
-        self.clock.advance(servers.SURE_S + 0.1)
+        self.clock.advance(upstream.SURE_S + 0.1)
         self.attempt()
         self.assertEqual((len(self.dialed), link.attempt), (1, None))
         repeatable = self.attempt(b"q2", repeatable=True)
         self.assertIs(link.attempt, repeatable)
 
     def test_an_answer_before_the_request_is_out_is_taken_and_the_connection_is_not(self):
-        for status, lines, said in ((200, b"", Verdict.RAN), (503, b"Not-Executed: 1\r\n", Verdict.NEVER),
-                                    (421, b"", Verdict.NEVER), (503, b"", Verdict.RAN)):  # fmt: skip
+        for status, lines, said in ((200, b"", Outcome.RAN), (503, b"Not-Executed: 1\r\n", Outcome.NEVER),
+                                    (421, b"", Outcome.NEVER), (503, b"", Outcome.RAN)):  # fmt: skip
             attempt = self.attempt()
             link = self.up(room=9)  # the kernel has taken a part
             link.dataReceived(answer(b"q1", status, lines=lines))
@@ -218,16 +218,16 @@
         link.dataReceived(b"HTTP/1.1 100 Continue\r\n\r\n")
         self.assertEqual(attempt.why, "")
         link.dataReceived(b"HTTP/1.1 103 Early Hints\r\nNot-Executed: 1\r\n\r\n" + answer())
-        self.ends(attempt, "answer", Verdict.RAN)
+        self.ends(attempt, "answer", Outcome.RAN)
 
     def test_what_holds_these(self):
         """Each defence taken out lets one of the tests above find the fault."""
         cases = [
-            (mock.patch.object(servers, "belongs", lambda a, r: True), self.test_answers_of_others_are_passed_over),
+            (mock.patch.object(upstream, "belongs", lambda a, r: True), self.test_answers_of_others_are_passed_over),
             (mock.patch.object(Link, "kept", False), self.test_an_answer_without_an_id_frees_only_what_came_first),
             (mock.patch.object(Link, "unread", False), self.test_nothing_goes_over_a_connection_with_surplus_bytes),
-            (mock.patch.object(servers, "SURE_S", 99.0), self.test_a_connection_that_rested_long_is_not_for_all),
-            (mock.patch.object(servers, "of_loss", lambda _: Verdict.NEVER), self.test_silence_a_reset_and_a_close),
+            (mock.patch.object(upstream, "SURE_S", 99.0), self.test_a_connection_that_rested_long_is_not_for_all),
+            (mock.patch.object(upstream, "of_loss", lambda _: Outcome.NEVER), self.test_silence_a_reset_and_a_close),
         ]
         for mutant, test in cases:
             self.setUp()
@@ -241,5 +241,5 @@
 
         for status in (200, 404, 408, 429, 500, 503, 504):
             for kind in ("idempotent", "non_idempotent", "upload"):
-                passes = verdict.may_pass(kind, Response(status, {}, b"", True))
+                passes = outcome.may_pass(kind, Response(status, {}, b"", True))
                 self.assertEqual(passes, kind == "idempotent" or status not in (408, 429, 503), (status, kind))
--- a/tests/balancer/test_parts.py
+++ b/tests/balancer/test_parts.py
@@ -4,18 +4,20 @@
 import random
 import unittest
 
+from mapleline.balancer import configuration, settings
+from mapleline.balancer.cli import data_folder
+from mapleline.balancer.control.commands import RemoveReplica, ReplaceConfiguration, SetEvacuation, batch
+from mapleline.balancer.control.read_lease import ReadLease
+from mapleline.balancer.control.reconfiguration import ReplicaStatus, due
+from mapleline.balancer.control.state import PAST_MOST, Replica, State, genesis, reformed, settled
+from mapleline.balancer.membership.leadership import Leadership, first
+from mapleline.balancer.membership.table import DISK, READY, Member, MembershipTable
+from mapleline.balancer.proxy import outcome
+from mapleline.balancer.proxy.outcome import Outcome
+from mapleline.balancer.quota.counters import CounterTable, holders
 from mapleline.policy.estimate import weighted
 from mapleline.policy.placing import Target, choose
 from mapleline.policy.window import Tenancy
-from mapleline.system import config, offline, settings, verdict
-from mapleline.system.archive.contact import Contact
-from mapleline.system.archive.membership import Seen, due
-from mapleline.system.archive.orders import Evacuate, Forget, Replace, batch
-from mapleline.system.archive.state import PAST_MOST, Replica, State, genesis, reformed, settled
-from mapleline.system.custody import Custody, first
-from mapleline.system.ledger import Names, holders
-from mapleline.system.register import DISK, READY, Member, Register
-from mapleline.system.verdict import Verdict
 
 BOOT = """\
 node_name=edge-1
@@ -55,14 +57,14 @@
         for line, key in (("cloud_api.rate_per_s=none", "cloud_api.rate_per_s"), ("ip_address", "ip_address"),
                           ("protocol_bounds=contact_window=4", "protocol_bounds.contact_window"),
                           ("seed_nodes=10.1.0.13", "seed_nodes")):  # fmt: skip
-            with self.assertRaises(settings.SettingsFault) as caught:
+            with self.assertRaises(settings.SettingsError) as caught:
                 settings.read(BOOT + line + "\n")
             self.assertIn(key, str(caught.exception))
 
 
 class TestConfig(unittest.TestCase):
     def test_the_longest_prefix_of_the_host_and_the_keys_owner(self):
-        table = config.Table(config.read(operators()))
+        table = configuration.Table(configuration.read(operators()))
         for host, path, prefix in (("a.example", "/one/x", "/one/"), ("a.example:80", "/one/two/x", "/one/two/"),
                                    ("a.example", "/on", None), ("b.example", "/one/x", None)):  # fmt: skip
             route = table.route(host, path)
@@ -80,17 +82,17 @@
             (operators(tenant_table=shared), "tenant_table.t2.api_keys"),
             (operators()[:-9], "the configuration"),
         ):
-            with self.assertRaises(config.ConfigFault) as caught:
-                config.read(text)
+            with self.assertRaises(configuration.ConfigurationError) as caught:
+                configuration.read(text)
             self.assertIn(key, str(caught.exception))
 
 
     def test_homes_that_have_nothing_in_common_are_warned_of(self):
         tenants = {"t1": {"api_keys": ["k1"], "home_regions": ["west"]}}
-        text = offline.check_config(operators(r2={"home_regions": ["east"]}, tenant_table=tenants)).ok
+        text = data_folder.check_config(operators(r2={"home_regions": ["east"]}, tenant_table=tenants)).ok
         self.assertIn("warning: tenant_table.t1 has no home in common with r2:", text)
-        self.assertNotIn("warning", offline.check_config(operators(tenant_table=tenants)).ok)
-        self.assertIn("route_table.r2.timeout", offline.check_config(operators(r2={"timeout": "0ms"})).error)
+        self.assertNotIn("warning", data_folder.check_config(operators(tenant_table=tenants)).ok)
+        self.assertIn("route_table.r2.timeout", data_folder.check_config(operators(r2={"timeout": "0ms"})).error)
 
 
 def core(*ips, **fields):
@@ -114,7 +116,7 @@
 
     def test_the_first_content_of_a_number_stands_for_ever(self):
         def put(state, *orders):
-            state, outcomes = batch(state, [Replace(*one) for one in orders], 1, 0)
+            state, outcomes = batch(state, [ReplaceConfiguration(*one) for one in orders], 1, 0)
             return state, [outcome.status for outcome in outcomes]
 
         state, said = put(core(1, 2, 3), (7, 70), (7, 71), (7, 70))
@@ -129,14 +131,14 @@
         self.assertEqual((state, said), (before, [200, 200]))
 
     def test_an_evacuation_twice_is_one_and_a_core_that_could_bear_no_loss_is_not_made(self):
-        state, said = batch(core(1, 2, 3, 4), [Evacuate("z", True), Evacuate("z", True), Forget(4), Forget(3)], 1, 0)
+        state, said = batch(core(1, 2, 3, 4), [SetEvacuation("z", True), SetEvacuation("z", True), RemoveReplica(4), RemoveReplica(3)], 1, 0)
         self.assertEqual((state.evacuated, len(state.voters)), (("z",), 3))
         self.assertEqual([outcome.status for outcome in said], [200, 200, 200, 503])
-        state, said = batch(settled(state), [Forget(4), Forget(3), Evacuate("z", False)], 1, 0)
+        state, said = batch(settled(state), [RemoveReplica(4), RemoveReplica(3), SetEvacuation("z", False)], 1, 0)
         self.assertEqual((state.evacuated, len(state.voters), [o.status for o in said]), ((), 3, [200, 409, 200]))
 
     def test_contact_counts_from_the_slowest_question_of_a_majority(self):
-        contact, state = Contact(), core(1, 2, 3, 4)
+        contact, state = ReadLease(), core(1, 2, 3, 4)
         self.assertEqual(contact.since(state), float("-inf"))
         for ip, at in ((1, 10.0), (2, 8.0)):
             contact.agree(ip, ip, at)
@@ -155,36 +157,36 @@
 
 class TestMembership(unittest.TestCase):
     def due(self, state, *seen, losses=1, zones=1):
-        rows = {r.ip: Seen(r, True) for r in state.voters} | {one.replica.ip: one for one in seen}
+        rows = {r.ip: ReplicaStatus(r, True) for r in state.voters} | {one.replica.ip: one for one in seen}
         return due(state, rows.values(), losses, zones, lost_s=8.0)
 
     def test_one_change_at_a_time_and_never_below_what_is_to_be_borne(self):
         state = core(1, 2, 3, 4)
         new, back = Replica(5, 5, 5), Replica(2, 22, 2)
         self.assertIsNone(self.due(state))
-        self.assertIsNone(self.due(state, Seen(new, whole=False)))  # a learner
-        self.assertEqual(self.due(state, Seen(new, True)), (*state.voters, new))
-        self.assertIsNone(self.due(reformed(state, (*state.voters, new)), Seen(Replica(6, 6, 6), True)))
-        self.assertEqual(self.due(state, Seen(back, True), Seen(new, True)), tuple(sorted({*state.voters} - {
+        self.assertIsNone(self.due(state, ReplicaStatus(new, whole=False)))  # a learner
+        self.assertEqual(self.due(state, ReplicaStatus(new, True)), (*state.voters, new))
+        self.assertIsNone(self.due(reformed(state, (*state.voters, new)), ReplicaStatus(Replica(6, 6, 6), True)))
+        self.assertEqual(self.due(state, ReplicaStatus(back, True), ReplicaStatus(new, True)), tuple(sorted({*state.voters} - {
             state.voters[1]} | {back})))  # its first disk is gone: that first
-        self.assertIsNone(self.due(state, Seen(state.voters[0], True, silent=7.9)))
-        self.assertEqual(self.due(state, Seen(state.voters[0], True, silent=8.1)), state.voters[1:])
-        self.assertEqual(self.due(state, Seen(state.voters[3], True, leaving=True)), state.voters[:3])
-        self.assertIsNone(self.due(core(1, 2, 3), Seen(state.voters[0], True, leaving=True)))  # two can't bear a loss
-        self.assertIsNone(self.due(state, Seen(Replica(5, 5, 5), True, leaving=True)))
+        self.assertIsNone(self.due(state, ReplicaStatus(state.voters[0], True, silent=7.9)))
+        self.assertEqual(self.due(state, ReplicaStatus(state.voters[0], True, silent=8.1)), state.voters[1:])
+        self.assertEqual(self.due(state, ReplicaStatus(state.voters[3], True, leaving=True)), state.voters[:3])
+        self.assertIsNone(self.due(core(1, 2, 3), ReplicaStatus(state.voters[0], True, leaving=True)))  # two can't bear a loss
+        self.assertIsNone(self.due(state, ReplicaStatus(Replica(5, 5, 5), True, leaving=True)))
 
     def test_a_zone_never_holds_what_a_majority_needs(self):
         state = core(1, 2, 3, 4)
         twin, third = Replica(5, 5, 4), Replica(6, 6, 4)
-        with_twin = self.due(state, Seen(twin, True))
+        with_twin = self.due(state, ReplicaStatus(twin, True))
         self.assertEqual(len(with_twin), 5)
         state = settled(reformed(state, with_twin))
-        self.assertIsNone(self.due(state, Seen(third, True)))  # three of six in one zone
+        self.assertIsNone(self.due(state, ReplicaStatus(third, True)))  # three of six in one zone
 
 
 class TestRegister(unittest.TestCase):
     def test_news_is_as_old_as_it_is_however_it_came(self):
-        a, b, c = (Register(Member(ip, 0, DISK if ip == 1 else 0, incarnation=5), 0.85) for ip in (1, 2, 3))
+        a, b, c = (MembershipTable(Member(ip, 0, DISK if ip == 1 else 0, incarnation=5), 0.85) for ip in (1, 2, 3))
         a.tick(100.0, DISK | READY)
         b.merge(100.1, a.rows(100.1))
         b.tick(102.0, READY)
@@ -198,8 +200,8 @@
         self.assertEqual(sorted(c.members), [1, 3])
 
     def test_a_restart_outranks_and_a_ring_names_the_watchers(self):
-        a = Register(Member(1, 0, 0, incarnation=5), 3.0)
-        others = [Register(Member(ip, 0, 0, incarnation=1), 3.0) for ip in range(2, 12)]
+        a = MembershipTable(Member(1, 0, 0, incarnation=5), 3.0)
+        others = [MembershipTable(Member(ip, 0, 0, incarnation=1), 3.0) for ip in range(2, 12)]
         for other in others:
             other.tick(10.0, READY)
             a.merge(10.0, other.rows(10.0))
@@ -210,7 +212,7 @@
             other.tick(10.1, READY)
             a.merge(10.1, other.rows(10.1))
         self.assertEqual([len(a.watchers(10.1, {0}, 0, far)) for far in (False, True)], [2, 3])
-        again = Register(Member(2, 0, 0, incarnation=9), 3.0)
+        again = MembershipTable(Member(2, 0, 0, incarnation=9), 3.0)
         again.tick(11.0, 0)
         a.merge(11.0, again.rows(11.0))
         self.assertEqual((a.members[2].incarnation, a.members[2].flags), (9, 0))
@@ -219,7 +221,7 @@
 
 
     def test_who_is_alone_knows_how_many_there_were(self):
-        one = Register(Member(1, 0, READY, beat=100.0), 0.5)
+        one = MembershipTable(Member(1, 0, READY, beat=100.0), 0.5)
         for ip in range(2, 12):
             one.know(ip, 0, READY)
             one.members[ip].beat = 100.0
@@ -230,7 +232,7 @@
     def test_news_is_everywhere_before_anybody_is_taken_for_lost(self):
         """Beats in turn, none lost: rows as old as can be at 11, 40 and 82 ingresses in two regions."""
         for n in (11, 40, 82):
-            all = {ip: Register(Member(ip, ip % 4, 0, incarnation=1), 0.5) for ip in range(1, n + 1)}
+            all = {ip: MembershipTable(Member(ip, ip % 4, 0, incarnation=1), 0.5) for ip in range(1, n + 1)}
             for one in all.values():
                 for other in all.values():
                     one.know(other.me.ip, other.me.zone, READY)
@@ -251,7 +253,7 @@
 class TestCustody(unittest.TestCase):
     def test_the_holder_names_the_next_and_a_majority_does_once_it_is_lost(self):
         core = [1, 2, 3, 4]
-        a, b, c = Custody(1), Custody(2), Custody(3)
+        a, b, c = Leadership(1), Leadership(2), Leadership(3)
         term = a.claim()
         self.assertEqual([a.granted(term, ip, core) for ip in (1, 9, 2, 2, 3)], [False, False, False, False, True])
         self.assertTrue(b.told(a.term, a.holder))
@@ -266,7 +268,7 @@
 
     def test_two_claims_of_one_term_never_both_have_a_majority(self):
         core = [1, 2, 3, 4]
-        seats = {ip: Custody(ip) for ip in core}
+        seats = {ip: Leadership(ip) for ip in core}
         terms = {ip: seats[ip].claim() for ip in (1, 2)}
         for voter, order in ((1, (1, 2)), (2, (2, 1)), (3, (1, 2)), (4, (2, 1))):
             for ip in order:
@@ -301,7 +303,7 @@
         self.assertLess(tenancy.judge(tenancy.limit + 1, 0, 0.5, 100.0 + 9 * tenancy.window), 0.6 * tenancy.window)
 
     def test_a_repeat_adds_nothing_and_a_refused_try_is_taken_off(self):
-        names = Names(1)
+        names = CounterTable(1)
         self.assertEqual(names.add(1, 1, "t", 8, 1.0), (0.0, 0.0))
         self.assertEqual(names.add(2, 1, "t", 8, 1.0), (1.0, 0.0))
         self.assertEqual(names.add(2, 1, "t", 8, 1.0), (1.0, 0.0))
@@ -323,7 +325,7 @@
         self.assertEqual(len(holders(0, "", [(1, 0, "east", True), (2, 0, "east", False)])), 1)
 
     def test_holders_tell_each_other_and_a_new_one_gets_what_the_lost_one_had(self):
-        a, b, c = Names(1), Names(2), Names(3)
+        a, b, c = CounterTable(1), CounterTable(2), CounterTable(3)
         for nonce in range(4):
             a.add(9, nonce, "t", 8, 1.0)
         b.add(9, 9, "t", 8, 1.0)
@@ -337,7 +339,7 @@
             a.take(b.parts(1.0, 1, {"t"}, all=True))
             c.take(a.parts(1.0, 3, {"t"}, all=True))
         self.assertEqual([names.add(9, 12, "t", 8, 0) for names in (a, b, c)], [(6.0, 0.0)] * 3)
-        again = Names(1)  # the first is back, empty, and has counted one since
+        again = CounterTable(1)  # the first is back, empty, and has counted one since
         again.add(9, 13, "t", 8, 1.0)
         again.take(b.parts(2.0, 1, {"t"}, all=True))
         b.take(again.parts(2.0, 2, {"t"}))
@@ -375,10 +377,10 @@
 
 class TestVerdict(unittest.TestCase):
     def test_only_the_servers_word_or_an_unwritten_request_promises(self):
-        self.assertEqual(verdict.of_answer(503, True), Verdict.NEVER)
-        self.assertEqual(verdict.of_answer(421, False), Verdict.NEVER)
-        self.assertEqual(verdict.of_answer(503, False), Verdict.RAN)
-        self.assertEqual((verdict.of_loss(False), verdict.of_loss(True)), (Verdict.NEVER, Verdict.MAYBE))
-        self.assertFalse(verdict.may_repeat("upload", Verdict.MAYBE))
-        self.assertEqual([verdict.final_status(v, t) for v, t in ((Verdict.NEVER, True), (Verdict.MAYBE, True),
-                                                                  (Verdict.RAN, False))], [503, 504, 502])  # fmt: skip
+        self.assertEqual(outcome.of_answer(503, True), Outcome.NEVER)
+        self.assertEqual(outcome.of_answer(421, False), Outcome.NEVER)
+        self.assertEqual(outcome.of_answer(503, False), Outcome.RAN)
+        self.assertEqual((outcome.of_loss(False), outcome.of_loss(True)), (Outcome.NEVER, Outcome.MAYBE))
+        self.assertFalse(outcome.may_repeat("upload", Outcome.MAYBE))
+        self.assertEqual([outcome.final_status(v, t) for v, t in ((Outcome.NEVER, True), (Outcome.MAYBE, True),
+                                                                  (Outcome.RAN, False))], [503, 504, 502])  # fmt: skip
--- a/tests/balancer/transport/test_fencing.py
+++ b/tests/balancer/transport/test_fencing.py
@@ -9,27 +9,36 @@
 
 from twisted.internet.defer import Deferred
 
-from mapleline.lab.days import AFTER_S, ZONES, Day, play
-from mapleline.lab.world import World
-from mapleline.system import courier, messages
-from mapleline.system.archive.members import Members
-from mapleline.system.fence import CALL, STAMPS, Fence, Unbelieved
-from mapleline.system.ledger import Names
-from mapleline.system.messages import Accepted, Beat, Busy, Promised, Pull, Pulled, Tally, Total
-from mapleline.system.register import DISK, READY, Member, Register
-from mapleline.system.teller import Teller
-
-BEAT = Beat(b"", 0, 0, 0)
-TALLY = Tally(1, "t", 8, 1.0, [], 5.0)
+from mapleline.balancer.control.replica_monitor import ReplicaMonitor
+from mapleline.balancer.membership.table import DISK, READY, Member, MembershipTable
+from mapleline.balancer.quota.client import QuotaClient
+from mapleline.balancer.quota.counters import CounterTable
+from mapleline.balancer.transport import connections, messages
+from mapleline.balancer.transport.fencing import CALL, STAMPS, Fence, UnexpectedReplyError
+from mapleline.balancer.transport.messages import (
+    Accepted,
+    CounterIncrement,
+    CounterValue,
+    FetchedState,
+    FetchState,
+    Heartbeat,
+    LoadReport,
+    Promised,
+)
+from mapleline.simulation.scenarios import AFTER_S, ZONES, Day, play
+from mapleline.simulation.world import World
+
+BEAT = Heartbeat(b"", 0, 0, 0)
+TALLY = CounterIncrement(1, "t", 8, 1.0, [], 5.0)
 BELIEVES_ALL = mock.patch.object(Fence, "_why_not", lambda *_: None)
 
 
 def fence(ip, incarnation, system=0, **known):
     """Of an ingress that knows others by `i2=incarnation`."""
-    register = Register(Member(ip, 0, 0, incarnation, 1, 0.0), 0.5)
+    membership = MembershipTable(Member(ip, 0, 0, incarnation, 1, 0.0), 0.5)
     for name, other in known.items():
-        register.members[int(name[1:])] = Member(int(name[1:]), 0, READY | DISK, other, 7, 0.0)
-    return Fence(register, system)
+        membership.members[int(name[1:])] = Member(int(name[1:]), 0, READY | DISK, other, 7, 0.0)
+    return Fence(membership, system)
 
 
 class TestDatagrams(unittest.TestCase):
@@ -64,7 +73,7 @@
         back = self.dropped("not_me", b, a, a.seal(2, TALLY))
         self.assertEqual(a.open(2, back), (None, None))  # a refusal is not refused
         self.assertTrue(self.believed(b, a, a.seal(2, TALLY)))
-        new = a.register.members[2]  # of the new life nothing is known but that it keeps its disk
+        new = a.membership.members[2]  # of the new life nothing is known but that it keeps its disk
         self.assertEqual((new.incarnation, new.count, new.flags), (21, 0, DISK))
         self.assertTrue(self.believed(b, a, fence(1, 10, i2=20).seal(2, BEAT)))  # beats come through
         a.open(2, back)
@@ -76,7 +85,7 @@
         a.open(2, back)
         self.assertEqual(a.me.incarnation, 11)
         self.assertTrue(self.believed(b, a, a.seal(2, TALLY)))
-        with mock.patch.object(Register, "outdo", lambda *_: None):
+        with mock.patch.object(MembershipTable, "outdo", lambda *_: None):
             c = fence(3, 5)
             c.open(2, STAMPS.pack(0, 20, 10))
         self.assertEqual(c.me.incarnation, 5)
@@ -98,7 +107,7 @@
 
     def asked(self, by=None):
         """A call of the first that is out, and what the second (or another) has taken."""
-        out, data = self.a.request(2, Pull())
+        out, data = self.a.request(2, FetchState())
         return out, (by or self.b).take(data)
 
     def unbelieved(self, why, out, data):
@@ -106,7 +115,7 @@
         with mock.patch.object(Fence, "_why_not_reply", lambda *_: None):
             self.assertEqual(self.a.believe(out, data), Accepted(True, 1))
         out.over = over
-        with self.assertRaises(Unbelieved) as caught:
+        with self.assertRaises(UnexpectedReplyError) as caught:
             self.a.believe(out, data)
         self.assertEqual((str(caught.exception), self.a.dropped[why]), (why, 1))
         self.a.dropped.clear()
@@ -118,7 +127,7 @@
         self.unbelieved("surplus", out, data)
         self.unbelieved("other_call", self.asked()[0], data)
         other = fence(3, 10, i2=20)  # began when we did, and has called as often
-        taken = self.b.take(other.request(2, Pull())[1])
+        taken = self.b.take(other.request(2, FetchState())[1])
         self.a = fence(1, 10, i2=20)
         self.unbelieved("other_call", self.asked()[0], self.b.reply(taken, Accepted(True, 1)))
 
@@ -143,12 +152,12 @@
     def test_a_call_meant_for_an_earlier_life_is_not_carried_out_and_fails_at_once(self):
         b = fence(2, 21)
         with BELIEVES_ALL:
-            self.assertEqual(self.asked(b)[1].message, Pull())
+            self.assertEqual(self.asked(b)[1].message, FetchState())
         out, taken = self.asked(b)
         self.assertIsNone(taken.message)
-        with self.assertRaises(Unbelieved):
+        with self.assertRaises(UnexpectedReplyError):
             self.a.believe(out, taken.refusal)
-        self.assertEqual(self.asked(b)[1].message, Pull())
+        self.assertEqual(self.asked(b)[1].message, FetchState())
         b.system, self.a.system = 0xBBBB, 0xAAAA
         self.assertEqual((self.asked(b)[1].message, self.asked(b)[1].refusal), (None, b""))
         self.assertEqual(dict(b.dropped), {"not_me": 1, "system": 2})
@@ -159,12 +168,12 @@
 
     def setUp(self):
         self.a, self.b, self.carried_out = fence(1, 10, i2=20), fence(2, 20), []
-        self.out, data = self.a.request(2, Pull(7))
+        self.out, data = self.a.request(2, FetchState(7))
         self.done = Deferred()
         self.failed, self.got = [], []
         self.done.addCallbacks(self.got.append, lambda reason: self.failed.append(str(reason.value)))
-        self.calling = courier._Calling(self.a, self.out, self.done)
-        self.answering = courier.AnswerFactory(self.b, self.answer).buildProtocol(None)
+        self.calling = connections._Calling(self.a, self.out, self.done)
+        self.answering = connections.AnswerFactory(self.b, self.answer).buildProtocol(None)
         for end in (self.calling, self.answering):
             end.makeConnection(mock.Mock())
         self.calling.sendString(data)
@@ -174,15 +183,15 @@
 
     def answer(self, call):
         self.carried_out.append(call)
-        return Pulled()
+        return FetchedState()
 
     def test_one_call_a_connection_and_one_answer(self):
         self.answering.dataReceived(self.written(self.calling))
         answer = self.written(self.answering)
         self.calling.dataReceived(answer + answer)
-        self.assertEqual((self.got, self.failed, dict(self.a.dropped)), ([Pulled()], [], {"surplus": 1}))
+        self.assertEqual((self.got, self.failed, dict(self.a.dropped)), ([FetchedState()], [], {"surplus": 1}))
         self.answering.dataReceived(self.written(self.calling))
-        self.assertEqual(self.carried_out, [Pull(7)])
+        self.assertEqual(self.carried_out, [FetchState(7)])
         self.answering.transport.abortConnection.assert_called_once()
 
     def test_an_answer_to_something_else_fails_the_call(self):
@@ -198,7 +207,7 @@
         self.answering.dataReceived(self.written(self.calling))
         self.calling.dataReceived(self.written(self.answering))
         self.assertEqual((self.carried_out, self.failed), ([], ["refused"]))
-        self.assertEqual(self.a.register.incarnation(2), 21)
+        self.assertEqual(self.a.membership.incarnation(2), 21)
 
 
 class TestTallies(unittest.TestCase):
@@ -210,7 +219,7 @@
         def totals():
             found, came = set(), ["add", "add", "off", "off", "kept"]
             for order in set(permutations(came)) | set(permutations(came[2:])):  # or the one taken off never comes
-                names = Names(self.A)
+                names = CounterTable(self.A)
                 names.add(self.ASKS, 1, "t", 8, 1.0)
                 for step in order:
                     if step == "off":
@@ -224,17 +233,17 @@
             names.add(sender, nonce + 1000, tenant, window, -1.0)
 
         self.assertEqual(totals(), {2.0})
-        with mock.patch.object(Names, "take_off", blindly):
+        with mock.patch.object(CounterTable, "take_off", blindly):
             self.assertGreater(len(totals()), 1)
 
     def test_parts_doubled_and_out_of_order_count_once_also_those_of_a_holder_that_began_anew(self):
         def play(seed, lives):
             rng = random.Random(seed)
-            holders, sent, nonce = {1: Names(lives[0]), 2: Names(self.B)}, [], 0
+            holders, sent, nonce = {1: CounterTable(lives[0]), 2: CounterTable(self.B)}, [], 0
             for step in range(40):
                 if step == 20:
                     sent += [(2, holders[1].parts(0.0, 2, {"t"}, all=True))]  # it told the other all before its end
-                    holders[1] = Names(lives[1])
+                    holders[1] = CounterTable(lives[1])
                 nonce += 1
                 holders[rng.choice((1, 2))].add(self.ASKS, nonce, "t", 8, 1.0)
                 to = rng.choice((1, 2))
@@ -255,20 +264,20 @@
 
     def test_a_life_that_uses_its_predecessors_nonces_is_counted(self):
         def total(key):
-            with mock.patch.object(Register, "life", key):
+            with mock.patch.object(MembershipTable, "life", key):
                 a, b = fence(1, 10), fence(2, 20)
-                teller = Teller(mock.Mock(seconds=lambda: 0.0), mock.Mock(zones={"z1": "r1"}),
-                                mock.Mock(unix=lambda: 1.0), b.register, lambda: 1)  # fmt: skip
+                quota_client = QuotaClient(mock.Mock(seconds=lambda: 0.0), mock.Mock(zones={"z1": "r1"}),
+                                mock.Mock(unix=lambda: 1.0), b.membership, lambda: 1)  # fmt: skip
                 for sender in (a, a, fence(1, 11)):
                     message, _ = b.open(1, sender.seal(2, TALLY))
-                    teller.told(1, message)
-                return teller.names.own("t", 8)
+                    quota_client.told(1, message)
+                return quota_client.names.own("t", 8)
 
-        self.assertEqual(total(Register.life), 2.0)
+        self.assertEqual(total(MembershipTable.life), 2.0)
         self.assertEqual(total(lambda self, ip: ip), 1.0)
 
     def test_a_holder_that_began_anew_is_told_the_whole_at_once(self):
-        a, told = Names(self.A), []
+        a, told = CounterTable(self.A), []
         a.add(self.ASKS, 1, "t", 8, 1.0)
         a.add(self.ASKS, 2, "t", 8, 1.0)
         for now, to in ((0.0, self.B), (0.01, self.B), (0.02, self.B + 1), (0.03, self.B + 1)):
@@ -276,15 +285,15 @@
         self.assertEqual(told, [1, 0, 1, 0])
 
     def test_only_who_was_asked_tells_a_total(self):
-        teller = Teller(mock.Mock(seconds=lambda: 0.0), mock.Mock(zones={"z1": "r1"}), mock.Mock(unix=lambda: 1.0),
-                        fence(1, 10, i2=20, i3=30).register, lambda: 1)  # fmt: skip
+        quota_client = QuotaClient(mock.Mock(seconds=lambda: 0.0), mock.Mock(zones={"z1": "r1"}), mock.Mock(unix=lambda: 1.0),
+                        fence(1, 10, i2=20, i3=30).membership, lambda: 1)  # fmt: skip
         got, tenancy = [], mock.Mock(limit=5.0, place=lambda _: (8, 0.5))
         tenancy.name = "t"
         ask = mock.Mock(tenancy=tenancy, homes=[], done=lambda answer: got.append(answer) or True)
-        teller._holders = lambda *_: [2]
-        teller.ask(ask)
-        for ip, nonce in ((3, teller.nonce), (2, teller.nonce - 1), (2, teller.nonce), (2, teller.nonce)):
-            teller.told(ip, Total(nonce, 1.0, 2.0))
+        quota_client._holders = lambda *_: [2]
+        quota_client.ask(ask)
+        for ip, nonce in ((3, quota_client.nonce), (2, quota_client.nonce - 1), (2, quota_client.nonce), (2, quota_client.nonce)):
+            quota_client.told(ip, CounterValue(nonce, 1.0, 2.0))
         self.assertEqual(got, [(1.0, 2.0, 0.5)])
 
 
@@ -309,25 +318,25 @@
         world.run(3.0)
 
         def fetched():
-            before = other.node.catalogue.fetched
+            before = other.node.endpoints.fetched
             other.node.told(one.ip, late)
-            return other.node.catalogue.fetched - before
+            return other.node.endpoints.fetched - before
 
         self.assertEqual(fetched(), 0.0)
-        def dates_nothing(self, now, rows, merge=Register.merge):
+        def dates_nothing(self, now, rows, merge=MembershipTable.merge):
             fresh, self.told_at = merge(self, now, rows), now
             return fresh
 
-        with mock.patch.object(Register, "overtaken", lambda *_: False), \
-                mock.patch.object(Register, "merge", dates_nothing):  # either of them is enough
+        with mock.patch.object(MembershipTable, "overtaken", lambda *_: False), \
+                mock.patch.object(MembershipTable, "merge", dates_nothing):  # either of them is enough
             self.assertGreater(fetched(), 1.0)
 
     def test_an_overtaken_word_of_what_is_out_is_not_taken(self):
         def out():
             one, other = [m for m in self.world().machines.values() if m.zone == "a1"]
-            for told in (Busy({7: 3}, {}, 1), Busy({7: 5}, {}, 2), Busy({7: 3}, {}, 1)):
+            for told in (LoadReport({7: 3}, {}, 1), LoadReport({7: 5}, {}, 2), LoadReport({7: 3}, {}, 1)):
                 other.node.told(one.ip, told)
-            return other.node.desk.near[one.ip][1].out
+            return other.node.proxy.near[one.ip][1].out
 
         self.assertEqual(out(), {7: 5})
         with mock.patch.object(Fence, "newest", lambda *_: True):
@@ -337,16 +346,16 @@
         def newest():
             world = self.world()
             one = next(m for m in world.machines.values() if m.disk is None)
-            earlier = one.node.register.me.incarnation
+            earlier = one.node.membership.me.incarnation
             one.end()
             world.run(9.0)  # nobody sends it beats any more
             one.skew = -100.0
             one.start()
             world.run(0.8)
-            at_once = one.node.register.me.incarnation > earlier
+            at_once = one.node.membership.me.incarnation > earlier
             world.run(1.5)
             for other in world.machines.values():
-                self.assertIn(one.ip, {m.ip for m in other.node.register.alive(world.now)})
+                self.assertIn(one.ip, {m.ip for m in other.node.membership.alive(world.now)})
             return at_once
 
         self.assertTrue(newest())
@@ -376,12 +385,12 @@
                 one.ask.done = judged
                 return real(self, one, answer, by)
 
-            real = Teller._decide
-            with mock.patch.object(Teller, "_decide", decide):
+            real = QuotaClient._decide
+            with mock.patch.object(QuotaClient, "_decide", decide):
                 found, day = play(3, troubles, 8.0, "none", 2.0)
             held = {}
             for machine in day.world.machines.values():
-                for name, one in machine.node.teller.names._names.items():
+                for name, one in machine.node.quota_client.names._names.items():
                     if one.rows:
                         held.setdefault(name, set()).add(one.total)
             self.assertGreater(sum(stands[name] for name in held), 20)
@@ -392,7 +401,7 @@
         def forgets(self, key, units):
             """Nothing is remembered."""
 
-        with mock.patch.object(Names, "_remember", forgets):
+        with mock.patch.object(CounterTable, "_remember", forgets):
             self.assertTrue(apart()[1])
 
     def test_days_of_doubles_delays_and_mixed_up_answers_break_no_rule(self):
@@ -416,7 +425,7 @@
             day = Day(3)
             world = day.world
             day.begin()
-            first = next(m for m in world.core if m.node.archive.members.coordinator(world.now) == m.ip)
+            first = next(m for m in world.core if m.node.control_plane.members.coordinator(world.now) == m.ip)
             earlier, others = {}, [m for m in world.core if m is not first]
 
             def astray(to, data):
@@ -443,5 +452,5 @@
 
         self.assertEqual(lost(), [])
         with mock.patch.object(Fence, "_why_not_reply", lambda *_: None), \
-                mock.patch.object(Members, "answered", lambda *_: True):  # either is enough
+                mock.patch.object(ReplicaMonitor, "answered", lambda *_: True):  # either is enough
             self.assertTrue(lost()[0].startswith("LOST"))
--- a/tests/simulation/test_behaviour_digest.py
+++ b/tests/simulation/test_behaviour_digest.py
@@ -2,18 +2,18 @@
 
 import json
 import unittest
-from multiprocessing import Pool
 from pathlib import Path
 
-from mapleline.lab.digest import measure
+from nose2.tools import params
+
+from mapleline.simulation.behaviour_digest import measure
 
 APPROVED = Path(__file__).parent / "approved" / "behaviour.json"
-JOBS = 4
+DAYS = json.loads(APPROVED.read_text())
 
 
 class TestBehaviour(unittest.TestCase):
-    def test_digest_of_every_approved_seed_is_unchanged(self):
-        approved = json.loads(APPROVED.read_text())
-        with Pool(JOBS) as pool:
-            measured = pool.starmap(measure, [(day["seed"], day["grown"]) for day in approved], chunksize=1)
-        self.assertEqual([behaviour.to_json() for behaviour in measured], approved)
+    @params(*DAYS)
+    def test_digest_of_an_approved_seed_is_unchanged(self, approved):
+        measured = measure(approved["seed"], approved["grown"])
+        self.assertEqual(measured.to_json(), approved)
--- a/tests/simulation/test_directed_scenarios.py
+++ b/tests/simulation/test_directed_scenarios.py
@@ -1,4 +1,4 @@
-"""The days that operators have told of (`mapleline/lab/worst.py`): each has to hold, and with the defence taken out the
+"""The days that operators have told of (`mapleline/lab/directed_scenarios.py`): each has to hold, and with the defence taken out the
 judge has to find the rule broken.
 """
 
@@ -10,31 +10,29 @@
 
 from twisted.internet.defer import succeed
 
-from mapleline.lab import worst
-from mapleline.lab.days import play
-from mapleline.system.archive.membership import due
-from mapleline.system.archive.state import _numbered, replaced
+from mapleline.balancer.control.reconfiguration import due
+from mapleline.balancer.control.state import _numbered, replaced
+from mapleline.simulation import directed_scenarios
+from mapleline.simulation.scenarios import play
 
 SEED, TRIES = 3, 4
-SYSTEM = "mapleline.system."
-
-
-ARCHIVE = SYSTEM + "archive."
+BALANCER = "mapleline.balancer."
+CONTROL = BALANCER + "control."
 
 
 def always_in_touch():
     """Contact with a majority is never wanted."""
-    return mock.patch(SYSTEM + "node.Node.in_touch", lambda self: True)
+    return mock.patch(BALANCER + "node.Node.in_touch", lambda self: True)
 
 
 def reads_what_is_held():
     """Without asking the others."""
-    return mock.patch(ARCHIVE + "driver.Archive.confirm", lambda self, timeout_s=1.5: succeed(True))
+    return mock.patch(CONTROL + "control_plane.ControlPlane.confirm", lambda self, timeout_s=1.5: succeed(True))
 
 
 def half_is_enough():
     """Half of the voters decide."""
-    return mock.patch(ARCHIVE + "state.majority", lambda voters, heard: 2 * len(
+    return mock.patch(CONTROL + "state.majority", lambda voters, heard: 2 * len(
         [r for r in voters if any(r.is_at(*one) for one in heard)]) >= len(voters))
 
 
@@ -42,16 +40,16 @@
     """Promises and acceptances leave before they are on the disk."""
     def sync(self, acceptor):
         if self.store is not None:
-            self.ways.in_thread(self.store.save, acceptor.record, dict(self.held.contents)).addErrback(lambda _: None)
+            self.environment.in_thread(self.store.save, acceptor.record, dict(self.held.contents)).addErrback(lambda _: None)
         acceptor.synced(acceptor.record)
         return succeed(None)
 
-    return mock.patch(ARCHIVE + "replica.LocalReplica._sync", sync)
+    return mock.patch(CONTROL + "replica.LocalReplica._sync", sync)
 
 
 def lets_nobody_in():
     """The voters stay who they were at the founding."""
-    return mock.patch(ARCHIVE + "members.due", lambda *_: None)
+    return mock.patch(CONTROL + "replica_monitor.due", lambda *_: None)
 
 
 def lets_nobody_go():
@@ -60,12 +58,12 @@
         voters = due(state, *rest)
         return voters if voters is None or len(voters) > len(state.voters) else None
 
-    return mock.patch(ARCHIVE + "members.due", grows)
+    return mock.patch(CONTROL + "replica_monitor.due", grows)
 
 
 def knows_its_seeds_alone():
     """What an earlier life knew of the others is forgotten."""
-    return mock.patch(SYSTEM + "register.Register.know", lambda *_: None)
+    return mock.patch(BALANCER + "membership.table.MembershipTable.know", lambda *_: None)
 
 
 def takes_whatever_it_is_asked():
@@ -75,7 +73,7 @@
             return state, True
         return _numbered(state, version, content, (version, content)), True
 
-    return mock.patch(ARCHIVE + "orders.replaced", replaced)
+    return mock.patch(CONTROL + "commands.replaced", replaced)
 
 
 def remembers_the_last_number_alone():
@@ -85,7 +83,7 @@
             return state, True
         return replaced(state, version, content)
 
-    return mock.patch(ARCHIVE + "orders.replaced", replaced_)
+    return mock.patch(CONTROL + "commands.replaced", replaced_)
 
 
 def refuses_what_is_not_higher():
@@ -95,28 +93,28 @@
             return state, False
         return replaced(state, version, content)
 
-    return mock.patch(ARCHIVE + "orders.replaced", replaced_)
+    return mock.patch(CONTROL + "commands.replaced", replaced_)
 
 
 def heeds_who_has_hung_up():
     """An order is carried out although its caller has gone elsewhere."""
-    def order(self, door, order, body, key, version):
-        self._told(door, self.archive.order(order, body, self._within), key, version)
+    def order(self, client_conn, order, body, key, version):
+        self._told(client_conn, self.control_plane.order(order, body, self._within), key, version)
 
     always = contextlib.ExitStack()
-    always.enter_context(mock.patch(ARCHIVE + "operator.Operator.order", order))
-    always.enter_context(mock.patch(ARCHIVE + "proposer.Proposer._out_of_touch", lambda *_: False))  # either is enough
+    always.enter_context(mock.patch(CONTROL + "api.ControlApi.order", order))
+    always.enter_context(mock.patch(CONTROL + "proposer.Proposer._out_of_touch", lambda *_: False))  # either is enough
     return always
 
 
 def believes_any_reply():
     """A reply is believed for whatever call is out."""
-    return mock.patch(SYSTEM + "fence.Fence._why_not_reply", lambda *_: None)
+    return mock.patch(BALANCER + "transport.fencing.Fence._why_not_reply", lambda *_: None)
 
 
 def counts_by_the_wall_clock():
     """Ages are differences of times of day."""
-    return mock.patch("mapleline.lab.world.Life.seconds", lambda self: self.clock.seconds() + self.machine.skew)
+    return mock.patch("mapleline.simulation.world.Life.seconds", lambda self: self.clock.seconds() + self.machine.skew)
 
 
 def takes_what_is_invalid():
@@ -124,38 +122,38 @@
     def version(body):
         return mock.Mock(config_version=int(re.search(rb'"config_version": (\d+)', body)[1]))
 
-    return mock.patch(ARCHIVE + "operator.read_config", version)
+    return mock.patch(CONTROL + "api.read_config", version)
 
 
 #: the day, the rule that it is about, and the defence to be taken out
 MUTANTS = {
-    worst.cut_off_for_twenty_seconds: ("DIRECTORY", always_in_touch),
-    worst.cut_off_without_a_disk: ("STALE", reads_what_is_held),
-    worst.heard_by_none_and_then_hearing_none: ("STALE", reads_what_is_held),
-    worst.frozen_for_twenty_seconds: ("LOST", heeds_who_has_hung_up),
-    worst.core_cut_in_two: ("STALE", half_is_enough),
-    worst.rivals_at_two_ingresses: ("RIVALS", takes_whatever_it_is_asked),
-    worst.three_rivals: ("RIVALS", remembers_the_last_number_alone),
-    worst.rivals_by_way_of_one_ingress: ("RIVALS", takes_whatever_it_is_asked),
-    worst.rivals_at_two_sides_of_a_cut: ("RIVALS", half_is_enough),
-    worst.rivals_while_power_is_lost: ("RIVALS", answers_before_it_is_kept),
-    worst.answers_lost_on_their_way: ("AGAIN", refuses_what_is_not_higher),
-    worst.sent_again_long_after: ("AGAIN", refuses_what_is_not_higher),
-    worst.evacuations_raced: ("LOST", answers_before_it_is_kept),
-    worst.an_invalid_one_beside_a_proper_one: ("FORCE", takes_what_is_invalid),
-    worst.second_loss_after_a_replacement: ("MAJORITY", lets_nobody_in),
-    worst.all_replaced_in_turn: ("MAJORITY", lets_nobody_in),
-    worst.second_loss_after_a_repair: ("MAJORITY", lets_nobody_in),
-    worst.leaver_with_the_only_copy: ("MAJORITY", lets_nobody_in),
-    worst.two_replaced_and_two_lost: ("WHOLE", lets_nobody_in),
-    worst.grown_and_one_lost: ("WHOLE", lets_nobody_in),
-    worst.successors_first: ("MAJORITY", lets_nobody_go),
-    worst.three_hundred_changes: ("WHOLE", lets_nobody_in),
-    worst.away_for_hundreds_of_changes: ("STALE", reads_what_is_held),
-    worst.restarted_again_and_again_during_changes: ("WHOLE", lets_nobody_in),
-    worst.answers_to_the_wrong_caller: ("RIVALS", believes_any_reply),
-    worst.clocks_that_step: ("DIRECTORY", counts_by_the_wall_clock),
-    worst.seeds_that_are_gone: ("WHOLE", knows_its_seeds_alone),
+    directed_scenarios.cut_off_for_twenty_seconds: ("DIRECTORY", always_in_touch),
+    directed_scenarios.cut_off_without_a_disk: ("STALE", reads_what_is_held),
+    directed_scenarios.heard_by_none_and_then_hearing_none: ("STALE", reads_what_is_held),
+    directed_scenarios.frozen_for_twenty_seconds: ("LOST", heeds_who_has_hung_up),
+    directed_scenarios.core_cut_in_two: ("STALE", half_is_enough),
+    directed_scenarios.rivals_at_two_ingresses: ("RIVALS", takes_whatever_it_is_asked),
+    directed_scenarios.three_rivals: ("RIVALS", remembers_the_last_number_alone),
+    directed_scenarios.rivals_by_way_of_one_ingress: ("RIVALS", takes_whatever_it_is_asked),
+    directed_scenarios.rivals_at_two_sides_of_a_cut: ("RIVALS", half_is_enough),
+    directed_scenarios.rivals_while_power_is_lost: ("RIVALS", answers_before_it_is_kept),
+    directed_scenarios.answers_lost_on_their_way: ("AGAIN", refuses_what_is_not_higher),
+    directed_scenarios.sent_again_long_after: ("AGAIN", refuses_what_is_not_higher),
+    directed_scenarios.evacuations_raced: ("LOST", answers_before_it_is_kept),
+    directed_scenarios.an_invalid_one_beside_a_proper_one: ("FORCE", takes_what_is_invalid),
+    directed_scenarios.second_loss_after_a_replacement: ("MAJORITY", lets_nobody_in),
+    directed_scenarios.all_replaced_in_turn: ("MAJORITY", lets_nobody_in),
+    directed_scenarios.second_loss_after_a_repair: ("MAJORITY", lets_nobody_in),
+    directed_scenarios.leaver_with_the_only_copy: ("MAJORITY", lets_nobody_in),
+    directed_scenarios.two_replaced_and_two_lost: ("WHOLE", lets_nobody_in),
+    directed_scenarios.grown_and_one_lost: ("WHOLE", lets_nobody_in),
+    directed_scenarios.successors_first: ("MAJORITY", lets_nobody_go),
+    directed_scenarios.three_hundred_changes: ("WHOLE", lets_nobody_in),
+    directed_scenarios.away_for_hundreds_of_changes: ("STALE", reads_what_is_held),
+    directed_scenarios.restarted_again_and_again_during_changes: ("WHOLE", lets_nobody_in),
+    directed_scenarios.answers_to_the_wrong_caller: ("RIVALS", believes_any_reply),
+    directed_scenarios.clocks_that_step: ("DIRECTORY", counts_by_the_wall_clock),
+    directed_scenarios.seeds_that_are_gone: ("WHOLE", knows_its_seeds_alone),
 }
 
 
@@ -166,10 +164,10 @@
 
     def found(self, day, mutant=contextlib.nullcontext, seed=SEED):
         with mutant():
-            return play(seed, day, **worst.DAYS[day])[0]
+            return play(seed, day, **directed_scenarios.DAYS[day])[0]
 
     def test_each_day_has_its_mutant(self):
-        self.assertEqual(set(MUTANTS), set(worst.DAYS))
+        self.assertEqual(set(MUTANTS), set(directed_scenarios.DAYS))
         without = [day.__name__ for day, (_, mutant) in MUTANTS.items() if mutant is None]
         self.assertEqual(without, [], "days whose defence nobody has taken out")
 
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from mapleline.lab.judge import REPLACE, Answer, Order, Record, Sent, judge
-from mapleline.system.settings import Bounds
+from mapleline.balancer.settings import Bounds
+from mapleline.simulation.invariants import REPLACE, Answer, Order, Record, Sent, judge
 
 A, B = "aaaa", "bbbb"
 BEGIN, FINISH = "/evacuations/z1/begin", "/evacuations/z1/finish"
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -9,15 +9,15 @@
 
 from twisted.internet.defer import succeed
 
-from mapleline.lab.days import AFTER_S, ZONES, Day, play
+from mapleline.balancer.control import commands, state
+from mapleline.balancer.control.consensus import Acceptor
+from mapleline.balancer.control.replica import LocalReplica
+from mapleline.balancer.membership.table import MembershipTable
+from mapleline.balancer.node import Node
+from mapleline.balancer.proxy import proxy
+from mapleline.balancer.proxy.proxy import Proxy
 from mapleline.policy.window import Tenancy
-from mapleline.system import desk
-from mapleline.system.archive import orders, state
-from mapleline.system.archive.agreement import Acceptor
-from mapleline.system.archive.replica import LocalReplica
-from mapleline.system.desk import Desk
-from mapleline.system.node import Node
-from mapleline.system.register import Register
+from mapleline.simulation.scenarios import AFTER_S, ZONES, Day, play
 
 
 def calm(day):
@@ -112,7 +112,7 @@
 
     def test_nothing_acknowledged_is_lost_with_the_power_of_all_and_one_disk(self):
         def sync(self, acceptor):
-            self.ways.in_thread(self.store.save, acceptor.record, dict(self.held.contents)).addErrback(lambda _: None)
+            self.environment.in_thread(self.store.save, acceptor.record, dict(self.held.contents)).addErrback(lambda _: None)
             acceptor.synced(acceptor.record)
             return succeed(None)
 
@@ -123,7 +123,7 @@
             day = Day(3)
             world = day.world
             day.begin()
-            first = next(m for m in world.core if m.node.archive.members.coordinator(world.now) == m.ip)
+            first = next(m for m in world.core if m.node.control_plane.members.coordinator(world.now) == m.ip)
             for machine in world.core:
                 machine.disk.hangs_until = 0.0 if machine is first else world.now + 9.0
             day.operator.config(at=first)
@@ -141,7 +141,7 @@
         def replaced(held, version, content):
             return state._numbered(held, version, content, (version, content)), True
 
-        self.breaks("CONFIG", races, mock.patch.object(orders, "replaced", replaced))
+        self.breaks("CONFIG", races, mock.patch.object(commands, "replaced", replaced))
 
     def test_a_machine_of_the_core_is_taken_away_and_the_others_bear_a_loss_again(self):
         def troubles(day):
@@ -150,7 +150,7 @@
             day.kill([gone], 60.0)
             world.after(3.0, day.operator.forget, gone)
             world.after(5.0, day.kill, [second], 4.0)
-            world.after(6.0, lambda: seen.extend(m.node.archive.held.voters() for m in world.machines.values() if m.up))
+            world.after(6.0, lambda: seen.extend(m.node.control_plane.held.voters() for m in world.machines.values() if m.up))
             world.after(6.0, day.operator.config, None, world.core[2])
 
         seen = []
@@ -176,7 +176,7 @@
             day.world.after(2.2, day.operator.config, None, taker)  # between two beats: one might bring the news first
 
         day = self.holds(troubles, 5.0, load=0.3)
-        pulls = [(by, to) for at, by, to, kind in day.world.calls if kind == "Pull" and at > 1008.1]
+        pulls = [(by, to) for at, by, to, kind in day.world.calls if kind == "FetchState" and at > 1008.1]
         others = {m.name for m in day.world.machines.values() if m.disk is None}
         self.assertEqual({to.partition("-")[0] for _, to in pulls if to not in others}, set(ZONES))
         self.assertFalse([to for _, to in pulls if to in others])
@@ -188,10 +188,10 @@
     def test_the_list_is_fresh_everywhere_though_its_holder_is_cut_off_from_the_core(self):
         def troubles(day):
             world = day.world
-            holder = next(m for m in world.machines.values() if m.node.custody.mine)
+            holder = next(m for m in world.machines.values() if m.node.leadership.mine)
             holders.append(holder)
             day.cut([holder], world.core, 5.0)
-            day.look = lambda: (ages.extend(world.now - m.node.catalogue.fetched for m in world.machines.values()
+            day.look = lambda: (ages.extend(world.now - m.node.endpoints.fetched for m in world.machines.values()
                                             if m is not holder), world.after(0.1, day.look))  # fmt: skip
             day.look()
 
@@ -201,9 +201,9 @@
         self.assertLess(max(ages), 2.6)  # and a way to all: under `drain_timeout`
 
     def test_cold_and_emptied_servers(self):
-        self.breaks("FAILBACK", cold_zone, mock.patch.object(Desk, "is_cold", lambda *_: False), 4.0, load=2.0)
-        self.breaks("EVAC", emptied, mock.patch.object(orders, "emptied", lambda held, zone, begin: held), 9.0)
-        self.breaks("HOME", calm, mock.patch.object(Desk, "_homes", lambda *_: None), 1.0)
+        self.breaks("FAILBACK", cold_zone, mock.patch.object(Proxy, "is_cold", lambda *_: False), 4.0, load=2.0)
+        self.breaks("EVAC", emptied, mock.patch.object(commands, "emptied", lambda held, zone, begin: held), 9.0)
+        self.breaks("HOME", calm, mock.patch.object(Proxy, "_homes", lambda *_: None), 1.0)
 
     def test_an_ingress_that_is_cut_off_lets_in_no_more_than_its_part(self):
         def cut_off(day):
@@ -212,9 +212,9 @@
             day.cut([others[-1]], others, 9.0)
             day.kept["b2"] = [others[-1]]
 
-        self.breaks("QUOTA", cut_off, mock.patch.object(Register, "alone", lambda *_: 1.0), 9.0, load=3.0)
+        self.breaks("QUOTA", cut_off, mock.patch.object(MembershipTable, "alone", lambda *_: 1.0), 9.0, load=3.0)
 
     def test_quotas_and_what_may_have_run(self):
         self.breaks("QUOTA", hot, mock.patch.object(Tenancy, "over", lambda *_: None))
-        self.breaks("TWICE", answers_lost, mock.patch.object(desk.verdict, "may_repeat", lambda *_: True), 10.0)
-        self.breaks("REFUSED", answers_lost, mock.patch.object(desk.verdict, "final_status", lambda *_: 503))
+        self.breaks("TWICE", answers_lost, mock.patch.object(proxy.outcome, "may_repeat", lambda *_: True), 10.0)
+        self.breaks("REFUSED", answers_lost, mock.patch.object(proxy.outcome, "final_status", lambda *_: 503))
--- a/tests/simulation/test_slow_start_scenarios.py
+++ b/tests/simulation/test_slow_start_scenarios.py
@@ -6,15 +6,15 @@
 from unittest import mock
 from zlib import crc32
 
-from mapleline.lab import cold
-from mapleline.lab.world import Agenda
-from mapleline.system import desk, leases
-from mapleline.system.catalogue import Catalogue, Listed
-from mapleline.system.desk import Desk
-from mapleline.system.leases import LEASE_S, Leases, Voter
-from mapleline.system.node import Node
-from mapleline.system.register import Member, Register
-from mapleline.system.servers import DIAL_S
+from mapleline.balancer.discovery.endpoints import EndpointList, ListedInstance
+from mapleline.balancer.membership.table import Member, MembershipTable
+from mapleline.balancer.node import Node
+from mapleline.balancer.proxy import proxy, slow_start_leases
+from mapleline.balancer.proxy.proxy import Proxy
+from mapleline.balancer.proxy.slow_start_leases import LEASE_S, SlowStartLeases, Voter
+from mapleline.balancer.proxy.upstream import DIAL_S
+from mapleline.simulation import slow_start_scenarios
+from mapleline.simulation.world import Agenda
 
 
 def by_view(self, one, now):
@@ -29,11 +29,11 @@
 
 def where_begun(self, before, apply=Node.apply):
     """A zone is taken back where its evacuation was known."""
-    emptied = set(self.desk.evacuated)
+    emptied = set(self.proxy.evacuated)
     apply(self, before)
-    for zone, _ in self.archive.state.changed:
+    for zone, _ in self.control_plane.state.changed:
         if zone not in emptied:
-            self.desk.cooling.pop(zone, None)
+            self.proxy.cooling.pop(zone, None)
 
 
 class TestCold(unittest.TestCase):
@@ -42,7 +42,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
 
     def found(self, troubles, seed=3, **how):
-        return [line for line in cold.play(seed, troubles, **how)[0] if line.startswith("FAILBACK")]
+        return [line for line in slow_start_scenarios.play(seed, troubles, **how)[0] if line.startswith("FAILBACK")]
 
     def breaks(self, troubles, mutant, **how):
         self.assertEqual(self.found(troubles, **how), [])
@@ -50,43 +50,43 @@
             self.assertTrue(any(self.found(troubles, seed, **how) for seed in range(3, 7)))  # it hangs on moments
 
     def test_ingresses_that_are_each_alone_are_not_each_the_one(self):
-        self.breaks(cold.each_alone, mock.patch.object(Desk, "owns_cold", by_view), length=5.0, load=8.0, others=9)
+        self.breaks(slow_start_scenarios.each_alone, mock.patch.object(Proxy, "owns_cold", by_view), length=5.0, load=8.0, others=9)
 
     def test_a_zone_taken_back_is_cold_until_a_list_could_show_it(self):
-        self.breaks(cold.list_is_late, mock.patch.object(Desk, "is_cold", for_a_time), length=10.0)
+        self.breaks(slow_start_scenarios.list_is_late, mock.patch.object(Proxy, "is_cold", for_a_time), length=10.0)
 
     def test_the_end_of_an_evacuation_counts_where_its_beginning_was_not_heard_of(self):
-        self.breaks(cold.evacuated_over_a_release, mock.patch.object(Node, "apply", where_begun), length=8.0, load=8.0)
+        self.breaks(slow_start_scenarios.evacuated_over_a_release, mock.patch.object(Node, "apply", where_begun), length=8.0, load=8.0)
 
     def test_who_hears_nothing_stops_before_an_unheard_evacuation_can_end(self):
-        certain = mock.patch.object(Node, "may_serve", lambda self: self.desk.table is not None)
-        self.breaks(cold.evacuated_behind_a_cut, certain, length=8.0, load=4.0)
+        certain = mock.patch.object(Node, "may_serve", lambda self: self.proxy.table is not None)
+        self.breaks(slow_start_scenarios.evacuated_behind_a_cut, certain, length=8.0, load=4.0)
         with mock.patch.object(Node, "apply", where_begun):  # and once it hears, it hears of the end alone
-            self.assertTrue(any(self.found(cold.evacuated_behind_a_cut, seed, length=8.0, load=4.0)
+            self.assertTrue(any(self.found(slow_start_scenarios.evacuated_behind_a_cut, seed, length=8.0, load=4.0)
                                 for seed in range(3, 9)))  # fmt: skip
 
     def test_who_turns_cold_while_cold_is_told_to_all(self):
-        self.breaks(cold.cold_again, mock.patch.object(Catalogue, "_turn", lambda *_: 0), length=6.0)
+        self.breaks(slow_start_scenarios.cold_again, mock.patch.object(EndpointList, "_turn", lambda *_: 0), length=6.0)
 
     def test_a_span_that_begins_while_it_is_cold_counts_whole(self):
         """All that wait for a server come as soon as it is warm, in the same second."""
         def back(day):
-            cold.press(day, times=30.0)
-            day.world.after(1.0, lambda: day.restart(cold.servers_of(day, "a1")))
+            slow_start_scenarios.press(day, times=30.0)
+            day.world.after(1.0, lambda: day.restart(slow_start_scenarios.servers_of(day, "a1")))
 
-        self.breaks(back, mock.patch.object(desk, "AFTER_S", 0.0), length=7.0, load=3.0)
+        self.breaks(back, mock.patch.object(proxy, "AFTER_S", 0.0), length=7.0, load=3.0)
 
     def test_stacked_troubles_by_lot(self):
         for seed in (103, 201, 323):  # broken before: by unheard evacuations, and by beats that had waited (the others)
-            self.assertEqual([x for x in cold.play(seed)[0] if x.startswith("FAILBACK")], [], f"seed {seed}")
+            self.assertEqual([x for x in slow_start_scenarios.play(seed)[0] if x.startswith("FAILBACK")], [], f"seed {seed}")
 
     def test_in_calm_a_cold_server_gets_its_rate(self):
         def back(day):
-            cold.press(day, times=20.0)
-            day.world.after(2.0, lambda: day.restart(cold.servers_of(day, "a1")))
+            slow_start_scenarios.press(day, times=20.0)
+            day.world.after(2.0, lambda: day.restart(slow_start_scenarios.servers_of(day, "a1")))
 
-        _, day = cold.play(3, back, 8.0)
-        got = [server for _, server, _ in cold.to_cold(day) if "slots" in server]
+        _, day = slow_start_scenarios.play(3, back, 8.0)
+        got = [server for _, server, _ in slow_start_scenarios.to_cold(day) if "slots" in server]
         self.assertGreaterEqual(len(got), 3)  # of 2 a second, for 3 s less what the list lags
 
 
@@ -102,7 +102,7 @@
             self.start(ip)
 
     def start(self, ip):
-        one = Leases(self.clock, ip, self.rng, lambda to, message: self.send(ip, to, message),
+        one = SlowStartLeases(self.clock, ip, self.rng, lambda to, message: self.send(ip, to, message),
                      lambda: list(range(1, self.size + 1)), lambda now: [7] if ip in self.eager else [],
                      ip <= self.size)  # fmt: skip
         self.all[ip] = one
@@ -116,7 +116,7 @@
     def come(self, ip, to, message):
         if self.clock.now < self.stopped[to]:
             self.clock.callLater(self.stopped[to] - self.clock.now, self.come, ip, to, message)
-        elif isinstance(message, leases.Lease):
+        elif isinstance(message, slow_start_leases.LeaseRequest):
             answer = self.all[to].answer(ip, message)
             if answer is not None:
                 self.send(to, ip, answer)
@@ -186,28 +186,28 @@
             rows = self.grants.get(number, {})
             return sum(now - at < LEASE_S for at in rows.values()) >= 2
 
-        ask, told = Voter.ask, Leases.told
+        ask, told = Voter.ask, SlowStartLeases.told
         for mutant in (mock.patch.object(Voter, "ask", at_once), mock.patch.object(Voter, "ask", to_all),
-                       mock.patch.object(Leases, "told", from_the_answer),
-                       mock.patch.object(Leases, "holds", half)):  # fmt: skip
+                       mock.patch.object(SlowStartLeases, "told", from_the_answer),
+                       mock.patch.object(SlowStartLeases, "holds", half)):  # fmt: skip
             with mutant:
                 self.assertGreater(self.most()[0], 1)
 
     def test_a_core_that_grew_counts_as_large_as_any_voter_knows_it(self):
         clock, sent = Agenda(1000.0), []
-        one = Leases(clock, 9, random.Random(1), lambda to, message: sent.append((to, message)), lambda: [1, 2, 3],
+        one = SlowStartLeases(clock, 9, random.Random(1), lambda to, message: sent.append((to, message)), lambda: [1, 2, 3],
                      lambda now: [7], False)  # fmt: skip
         one.tend()
         for ip, core in ((1, 3), (2, 5)):
-            one.told(ip, leases.Leased(1, core, [7]))
+            one.told(ip, slow_start_leases.LeaseGrant(1, core, [7]))
         self.assertFalse(one.holds(7, 1000.0))
-        one.told(3, leases.Leased(1, 5, [7]))
+        one.told(3, slow_start_leases.LeaseGrant(1, 5, [7]))
         self.assertTrue(one.holds(7, 1000.0))
 
 
 class TestCatalogue(unittest.TestCase):
     def test_a_list_is_not_newer_for_a_beat_that_waited(self):
-        one, other = (Register(Member(ip, 0, 0, incarnation=5), 0.5) for ip in (1, 2))
+        one, other = (MembershipTable(Member(ip, 0, 0, incarnation=5), 0.5) for ip in (1, 2))
         one.tick(10.0, 0)
         other.merge(10.02, one.rows(10.0))
         beat = other.rows(10.30)
@@ -222,9 +222,9 @@
 
     def test_ends_of_cold_times_as_others_hear_of_them(self):
         def listed(left):
-            return [Listed("i-a", "s1", "10.0.0.1:80", "z1", cold_left=f"{left:.3f}s")]
+            return [ListedInstance("i-a", "s1", "10.0.0.1:80", "z1", cold_left=f"{left:.3f}s")]
 
-        asks, hears = Catalogue(), Catalogue()
+        asks, hears = EndpointList(), EndpointList()
 
         def fetch(at, left):
             asks.take_list(at, listed(left))
