--- a/tests/balancer/control/test_consensus_model.py
+++ b/tests/balancer/control/test_consensus_model.py
@@ -171,8 +171,12 @@
 
     @property
     def is_voter(self):
-        return self.disk is not None and self.acceptor is not None and self.state is not None \
+        return (
+            self.disk is not None
+            and self.acceptor is not None
+            and self.state is not None
             and self.state.is_voter(self.ip, self.acceptor.disk)
+        )
 
     def since(self):
         return self.contact.since(self.state)
@@ -193,8 +197,12 @@
 
     def probed(self, ip, probe):
         acceptor = self.acceptor
-        if acceptor is not None and self.disk is not None and probe.disk == acceptor.disk \
-                and probe.seen > acceptor.turn:  # fmt: skip
+        if (
+            acceptor is not None
+            and self.disk is not None
+            and probe.disk == acceptor.disk
+            and probe.seen > acceptor.turn
+        ):
             assert (self.ip, acceptor.disk) in self.world.stale, f"{self.ip} gives its disk up without cause"
             self.initial = self.machine.initial = False  # what was here may have voted on the first core
             self.new_identity()
@@ -300,8 +308,12 @@
             return answer(Promised(False, 0))
         ok, record = acceptor.prepare(call.ballot, known), acceptor.record
         body = None
-        if record.state is not None and record.state.config is not None and record.state.config[1] != call.content \
-                and record.state.config[1] in self.contents:  # fmt: skip
+        if (
+            record.state is not None
+            and record.state.config is not None
+            and record.state.config[1] != call.content
+            and record.state.config[1] in self.contents
+        ):
             body = b""
         reply = Promised(ok, record.disk, record.promised, record.ballot, record.state, body)
         if not ok:
@@ -370,8 +382,11 @@
         return due(base, seen, self.world.losses, 1, LOST_S)
 
     def found(self, base):
-        core = [Replica(ip, self.acceptor.disk if ip == self.ip else self.seen[ip][0], ip)
-                for ip in self.world.alive(self.ip) if ip == self.ip or ip in self.seen]  # fmt: skip
+        core = [
+            Replica(ip, self.acceptor.disk if ip == self.ip else self.seen[ip][0], ip)
+            for ip in self.world.alive(self.ip)
+            if ip == self.ip or ip in self.seen
+        ]
         return founded(base, next(self.world.systems), core)
 
     def next(self, base):
@@ -457,8 +472,12 @@
                 self.world.acknowledged(one.order, outcome.status, told)
 
     def mend(self):
-        if self.disk is not None and self.acceptor is not None and self.state is not None \
-                and self.acceptor.kept < self.state.number:  # fmt: skip
+        if (
+            self.disk is not None
+            and self.acceptor is not None
+            and self.state is not None
+            and self.acceptor.kept < self.state.number
+        ):
             self.acceptor.learn(self.state)
             self.keep()
 
@@ -536,8 +555,11 @@
             for to in reach - {ip} if lazy else reach:
                 if self.machines[to].life is not None and self.machines[to].life.syncs:
                     self.machines[to].life.written(0, True)
-            able = [n for n in range(start, len(self.wire)) if ip in self.wire[n][:2]
-                    and reach.issuperset(self.wire[n][:2]) and self.wire[n][:2] not in self.cut]  # fmt: skip
+            able = [
+                n
+                for n in range(start, len(self.wire))
+                if ip in self.wire[n][:2] and reach.issuperset(self.wire[n][:2]) and self.wire[n][:2] not in self.cut
+            ]
             if able:
                 self.wire.pop(able[lot(len(able))])[2]()
             self.now += 0.001
@@ -586,8 +608,11 @@
     def bears_seed(self, ip):
         """Whether a seed without a disk may be lost: with its promises, so until the founding is over one of them."""
         over = self.top is not None and self.top.epoch > 1
-        lost = {to for to in self.seeds if self.machines[to].disk is None
-                and (self.machines[to].lives > 1 or self.machines[to].life is None)}  # fmt: skip
+        lost = {
+            to
+            for to in self.seeds
+            if self.machines[to].disk is None and (self.machines[to].lives > 1 or self.machines[to].life is None)
+        }
         return over or not lost - {ip}
 
     def start(self, ip):
@@ -619,9 +644,14 @@
     def there(self, replica):
         """Whether that disk still is what it was."""
         machine = self.machines.get(replica.ip)
-        return machine is not None and not machine.gone and machine.disk is not None \
-            and machine.disk.record is not None and machine.disk.record.disk == replica.disk \
-            and (replica.ip, replica.disk) not in self.stale  # fmt: skip
+        return (
+            machine is not None
+            and not machine.gone
+            and machine.disk is not None
+            and machine.disk.record is not None
+            and machine.disk.record.disk == replica.disk
+            and (replica.ip, replica.disk) not in self.stale
+        )
 
     def bearable(self, ip):
         """Whether that machine's disk may be lost now: no more than are to be borne at once, each until it is replaced
@@ -685,7 +715,9 @@
         if back == 0 or not self.version:
             self.version += 1
         if self.machines[at].life is not None:
-            self.machines[at].life.order(ReplaceConfiguration(max(1, self.version - back), 100 * self.version + 1 + content))
+            self.machines[at].life.order(
+                ReplaceConfiguration(max(1, self.version - back), 100 * self.version + 1 + content)
+            )
 
     def rivals(self, one, other):
         self.version += 1
@@ -781,8 +813,10 @@
 
     def held(self, told):
         """Somebody takes that for chosen."""
-        assert any(one.chosen and one.state.number == told.number and one.state.brief() == told.brief()
-                   for one in self.links.values()), f"{told.number} is not chosen"  # fmt: skip
+        assert any(
+            one.chosen and one.state.number == told.number and one.state.brief() == told.brief()
+            for one in self.links.values()
+        ), f"{told.number} is not chosen"
 
     def vouch(self, life, record):
         """An answer is made: not of less than was answered before."""
@@ -836,8 +870,11 @@
             free = not any(Acceptor(r).decided for r in found)  # who knows a core takes no part in a founding
             for one in known:
                 base = newest.state if newest.state is not None and newest.state.number >= one.number else one
-                if (base is not one or newest.state is None and not one.number) and agreed(base, heard) \
-                        and (one.number or free and all(self.votes_yet(r) for r in found)):  # fmt: skip
+                if (
+                    (base is not one or newest.state is None and not one.number)
+                    and agreed(base, heard)
+                    and (one.number or free and all(self.votes_yet(r) for r in found))
+                ):
                     able.append(bits)
                     break
         for n, bits in enumerate(able):
@@ -908,8 +945,9 @@
                 mine = Replica(m.ip, m.disk.record.disk, m.ip)
                 larger = voters | {mine}
                 held = m.ip in {r.ip for r in voters}
-                assert mine in voters or not held and bears(voters, self.losses, 1) \
-                    and not bears(larger, self.losses, 1), f"{m.ip} has no vote"  # fmt: skip
+                assert (
+                    mine in voters or not held and bears(voters, self.losses, 1) and not bears(larger, self.losses, 1)
+                ), f"{m.ip} has no vote"
         assert not self.top.former, "a change of members is under way for ever"
 
     def goes_on(self, lot):
@@ -1028,8 +1066,14 @@
         """Most are asked, and any accept; one that lost tries again."""
         ips, at = list(world.machines), at or disk()
         for _ in range(lot.choice([1, 1, 2])):
-            world.ballot(at, lot.random() < 0.7, lot.sample(ips, lot.randrange(len(ips) // 2, len(ips) + 1)),
-                         lot.sample(ips, lot.randrange(most or len(ips))), lot.randrange, lazy)  # fmt: skip
+            world.ballot(
+                at,
+                lot.random() < 0.7,
+                lot.sample(ips, lot.randrange(len(ips) // 2, len(ips) + 1)),
+                lot.sample(ips, lot.randrange(most or len(ips))),
+                lot.randrange,
+                lazy,
+            )
 
     def insist():
         """One proposes again and again what few accept; then another who has not heard."""
@@ -1051,14 +1095,33 @@
         ballot(at)
 
     steps_ = [
-        (30, go), (10, turn), (10, ballot), (1, again),
-        (8, ask_all), (8, replace), (4, rivals), (2, evacuate), (1, forget), (3, reshape), (3, insist), (3, give_up),
-        (4, lambda: world.crash(machine(), lot.randrange(4))), (6, start), (3, cut), (3, heal), (3, passes),
-        (2, lambda: world.wipe(disk())), (2, lambda: world.restore(disk(), lot.randrange(99))), (2, world.grow),
-        (1, lambda: world.leave(disk())), (1, power), (3, lambda: world.lose(lot.randrange(1 << 20))),
+        (30, go),
+        (10, turn),
+        (10, ballot),
+        (1, again),
+        (8, ask_all),
+        (8, replace),
+        (4, rivals),
+        (2, evacuate),
+        (1, forget),
+        (3, reshape),
+        (3, insist),
+        (3, give_up),
+        (4, lambda: world.crash(machine(), lot.randrange(4))),
+        (6, start),
+        (3, cut),
+        (3, heal),
+        (3, passes),
+        (2, lambda: world.wipe(disk())),
+        (2, lambda: world.restore(disk(), lot.randrange(99))),
+        (2, world.grow),
+        (1, lambda: world.leave(disk())),
+        (1, power),
+        (3, lambda: world.lose(lot.randrange(1 << 20))),
         (2, lambda: world.deliver(lot.randrange(1 << 20), keep=True)),
-        (1, lambda: world.write(lot.randrange(99), False)), (1, lambda: [life.mend() for life in world.lives()]),
-    ]  # fmt: skip
+        (1, lambda: world.write(lot.randrange(99), False)),
+        (1, lambda: [life.mend() for life in world.lives()]),
+    ]
     acts = [act for _, act in steps_]
     weights = [w * lot.choice([0, 1, 1, 3]) for w, _ in steps_]  # histories that differ in kind find more
     weights[0] = max(weights[0], 15)
@@ -1150,8 +1213,9 @@
     if version in past:
         if content > past[version]:
             past[version] = content
-            return state.msgspec.structs.replace(one, number=one.number + 1, config=(version, content),
-                                                 past=tuple(sorted(past.items()))), True  # fmt: skip
+            return state.msgspec.structs.replace(
+                one, number=one.number + 1, config=(version, content), past=tuple(sorted(past.items()))
+            ), True
         return one, True
     return REPLACED(one, version, content)
 
@@ -1241,11 +1305,23 @@
 REFORMED, DUE = state.reformed, due
 HERE = sys.modules[__name__]
 MUTANTS = {
-    "a quorum less one": [(state, "majority", lambda voters, heard: sum(
-        any(r.is_at(*one) for one in heard) for r in voters) >= max(1, len(voters) // 2))],
-    "contact with one less": [(ReadLease, "_majority", lambda self, voters: sorted((max(
-        (at for one, at in self.asked.items() if r.is_at(*one)), default=NEVER) for r in voters),
-        reverse=True)[max(0, len(voters) // 2 - 1)])],
+    "a quorum less one": [
+        (
+            state,
+            "majority",
+            lambda voters, heard: sum(any(r.is_at(*one) for one in heard) for r in voters) >= max(1, len(voters) // 2),
+        )
+    ],
+    "contact with one less": [
+        (
+            ReadLease,
+            "_majority",
+            lambda self, voters: sorted(
+                (max((at for one, at in self.asked.items() if r.is_at(*one)), default=NEVER) for r in voters),
+                reverse=True,
+            )[max(0, len(voters) // 2 - 1)],
+        )
+    ],
     "a promise that is not on the disk": [(Life, "prepare", _prepares_at_once)],
     "an acceptance that is not on the disk": [(Life, "accept", _accepts_at_once)],
     "an acceptance after a higher promise": [(Acceptor, "accept", _breaks_promise)],
@@ -1256,8 +1332,11 @@
     "voters change at once": [(where, "reformed", _reforms_at_once) for where in (commands, state, HERE)],
     "settled before it is chosen": [(Life, "next", _settles_any)],
     "the new set alone": [(state.State, "quorum", lambda self, heard: state.majority(self.voters, heard))],
-    "a second change of members": [(commands, "reformed", _reforms_again), (HERE, "reformed", _reforms_again),
-                                   (HERE, "due", _due_again)],
+    "a second change of members": [
+        (commands, "reformed", _reforms_again),
+        (HERE, "reformed", _reforms_again),
+        (HERE, "due", _due_again),
+    ],
     "a wiped disk keeps its identity": [(World, "wipe", _same_identity)],
     "another disk counts at once": [(Replica, "is_at", lambda self, ip, disk: self.ip == ip)],
     "an older folder is believed": [(Life, "probed", _believes_older)],
@@ -1493,8 +1572,14 @@
             search(2, steps=1500)
 
     def test_hypothesis_finds_no_history_and_finds_a_mutant(self):
-        how = settings(max_examples=25, stateful_step_count=30, derandomize=True, deadline=None, database=None,
-                       suppress_health_check=list(HealthCheck))  # fmt: skip
+        how = settings(
+            max_examples=25,
+            stateful_step_count=30,
+            derandomize=True,
+            deadline=None,
+            database=None,
+            suppress_health_check=list(HealthCheck),
+        )
         run_state_machine_as_test(Histories, settings=how)
         with self.mutant("a quorum less one"), self.assertRaises(AssertionError):
             run_state_machine_as_test(Histories, settings=how)
--- a/tests/balancer/control/test_recovery.py
+++ b/tests/balancer/control/test_recovery.py
@@ -164,7 +164,6 @@
             core.world.run(0.05)
         core.put(1)
 
-
     def test_disks_that_are_lost_one_after_the_other_are_all_let_in_again(self):
         """Each as soon as the last is whole: who then decides knows the last one's old disk from a moment ago."""
         for seed in range(31, 39):
@@ -253,8 +252,9 @@
         self.assertEqual(one.disk.record.ip, one.ip)
 
     def test_without_the_others_word_it_would_vote_with_the_old(self):
-        believed = mock.patch.object(LocalReplica, "vouched", property(lambda self: True, lambda self, value: None),
-                                    create=True)  # fmt: skip
+        believed = mock.patch.object(
+            LocalReplica, "vouched", property(lambda self: True, lambda self, value: None), create=True
+        )
         found = []
         for seed in range(11, 17):
             core = Core(seed)
--- a/tests/balancer/control/test_snapshot.py
+++ b/tests/balancer/control/test_snapshot.py
@@ -207,8 +207,16 @@
 
         def written(name):
             beside = name + ".new"
-            return [("open", beside), ("write", beside), ("fsync", beside), ("close", beside), ("rename", beside),
-                    ("open", "word"), ("fsync", "word"), ("close", "word")]  # fmt: skip
+            return [
+                ("open", beside),
+                ("write", beside),
+                ("fsync", beside),
+                ("close", beside),
+                ("rename", beside),
+                ("open", "word"),
+                ("fsync", "word"),
+                ("close", "word"),
+            ]
 
         self.assertEqual(calls.done, [*written(new), *written("replica"), ("unlink", old)])
 
@@ -312,9 +320,12 @@
             self._kept = named(record)
             snapshot.write(self.folder / "replica", msgspec.msgpack.encode(record))
 
-        for mutant in (mock.patch.object(snapshot, "sync", unsynced), mock.patch.object(Snapshot, "save", record_first),
-                       mock.patch.object(Snapshot, "save", cleaned_first),
-                       mock.patch.object(Calls, "_fsync", files_stay)):  # fmt: skip
+        for mutant in (
+            mock.patch.object(snapshot, "sync", unsynced),
+            mock.patch.object(Snapshot, "save", record_first),
+            mock.patch.object(Snapshot, "save", cleaned_first),
+            mock.patch.object(Calls, "_fsync", files_stay),
+        ):
             with mutant, self.assertRaises(AssertionError):
                 self.every_cut()
 
@@ -456,8 +467,11 @@
         contents = STEPS[3][1]
         self.assertEqual([store.scrub(contents) for _ in range(3)], [None] * 3)
         for path in sorted(self.word.iterdir()):
-            for spoil in (lambda path=path: path.write_bytes(path.read_bytes()[:-1]), path.unlink,
-                          lambda path=path: path.write_bytes(b"")):  # fmt: skip
+            for spoil in (
+                lambda path=path: path.write_bytes(path.read_bytes()[:-1]),
+                path.unlink,
+                lambda path=path: path.write_bytes(b""),
+            ):
                 spoil()
                 self.assertEqual({store.scrub(contents) for _ in range(3)}, {None, path.name})
                 self.assertEqual(self.loaded(), (*STEPS[3], []))
@@ -500,8 +514,10 @@
     def test_a_folder_is_told_in_a_line_and_one_that_holds_nothing_is_a_fault(self):
         self.assertIn("holds no word", data_folder.check_archive(self.folder).error)
         self.filled(2)
-        self.assertEqual(data_folder.check_archive(self.folder).ok,
-                         "state 1 of system 99, epoch 1: a voter of 3; config 1, evacuated: none")
+        self.assertEqual(
+            data_folder.check_archive(self.folder).ok,
+            "state 1 of system 99, epoch 1: a voter of 3; config 1, evacuated: none",
+        )
         self.filled(3)
         self.assertIn("; accepted beyond it, and not known to be chosen", data_folder.check_archive(self.folder).ok)
 
@@ -517,9 +533,13 @@
             self.assertEqual((record.ip, record.disk, record.state), (0, 0, None))
             self.assertIn("no voter of 3", data_folder.check_archive(Path(other)).ok)
             self.assertIn("already", data_folder.restore_archive(Path(other), dump.encode()).error)
-        for text, why in ((b"{}", "no dump"), (b"[]", "no dump"), (dump[:-9].encode(), "no dump"),
-                          (dump.replace('"contents": {', '"contents": {}, "x": {').encode(), "missing"),
-                          (b'{"mapleline": 1, "word": []}', "config put")):  # fmt: skip
+        for text, why in (
+            (b"{}", "no dump"),
+            (b"[]", "no dump"),
+            (dump[:-9].encode(), "no dump"),
+            (dump.replace('"contents": {', '"contents": {}, "x": {').encode(), "missing"),
+            (b'{"mapleline": 1, "word": []}', "config put"),
+        ):
             with tempfile.TemporaryDirectory() as other:
                 fault = data_folder.restore_archive(Path(other), text).error
                 self.assertIn(why, fault)
@@ -540,8 +560,11 @@
     def setUp(self):
         super().setUp()
         self.word.mkdir()
-        for key, version, said in (("config", 7, body(7)), ("evacuation/z1", 1, b"begin"),
-                                   ("evacuation/z2", 2, b"finish")):  # fmt: skip
+        for key, version, said in (
+            ("config", 7, body(7)),
+            ("evacuation/z1", 1, b"begin"),
+            ("evacuation/z2", 2, b"finish"),
+        ):
             entry = msgspec.msgpack.encode([key, version, "t", said])
             self.put("r-" + key.encode().hex(), entry)
         self.put("core", msgspec.msgpack.encode({"core": [[1, 0], [2, 1], [3, 2]]}))
@@ -596,8 +619,9 @@
         kept = [(row["version"], row["kept"]) for row in rows["word"]]
         self.assertEqual(kept, [(4, True), (3, True), (2, False), (1, False)])
         self.assertEqual([self.history.body(n) for n in (4, 2, 9)], [bodies[4], None, None])
-        self.assertEqual(rows["orders"], [{"at": 105.0, "key": "config", "version": 4, "acknowledged": True,
-                                           "took_s": 0.08}])  # fmt: skip
+        self.assertEqual(
+            rows["orders"], [{"at": 105.0, "key": "config", "version": 4, "acknowledged": True, "took_s": 0.08}]
+        )
 
     def test_rows_and_bytes_are_bounded_however_many_changes_came(self):
         def grown(changes: range) -> int:
--- a/tests/balancer/proxy/proxy_harness.py
+++ b/tests/balancer/proxy/proxy_harness.py
@@ -73,8 +73,16 @@
         self.endpoints = EndpointList()
         self.servers = Lines(self)
         self.asks = []
-        self.proxy = Proxy(self.clock, boot, self.membership, self.endpoints, self.servers, lambda: self.serving,
-                         self.asks.append, random.Random(7))  # fmt: skip
+        self.proxy = Proxy(
+            self.clock,
+            boot,
+            self.membership,
+            self.endpoints,
+            self.servers,
+            lambda: self.serving,
+            self.asks.append,
+            random.Random(7),
+        )
         self.proxy.table = configuration.Table(configuration.read(whole))
         self.proxy.leases = leases
         self.list(servers)
@@ -87,8 +95,10 @@
 
     def list(self, servers):
         """(id, service, zone) and what else the platform's list says of each."""
-        found = [ListedInstance(id, service, f"10.9.0.{n}:80", zone, **more)
-                 for n, (id, service, zone, more) in enumerate(servers, 1)]  # fmt: skip
+        found = [
+            ListedInstance(id, service, f"10.9.0.{n}:80", zone, **more)
+            for n, (id, service, zone, more) in enumerate(servers, 1)
+        ]
         self.lists += 1
         self.endpoints.take_list(self.clock.seconds() + 1e-6 * self.lists, found)
         self.proxy.refresh()
@@ -103,7 +113,9 @@
         body, client_conn = b"scan" if method == b"POST" else b"", ClientConnection(self, name)
         if long:
             client_conn.upload = Upload(long, lambda: None, lambda: None)
-        return self.proxy.take(client_conn, Request(method, path, headers, body, True, bool(long), b"1", long or len(body)))
+        return self.proxy.take(
+            client_conn, Request(method, path, headers, body, True, bool(long), b"1", long or len(body))
+        )
 
     def count(self, before=0.0, previous=0.0, left=0.5, silent=False):
         """The tally's holder answers the oldest question, or doesn't."""
--- a/tests/balancer/proxy/test_listener.py
+++ b/tests/balancer/proxy/test_listener.py
@@ -42,7 +42,9 @@
 class TestDoors(unittest.TestCase):
     def setUp(self):
         self.clock, self.taken = Clock(), []
-        self.listener = Listener(self.clock, BufferPool(), lambda client_conn, request: self.taken.append((client_conn, request)))
+        self.listener = Listener(
+            self.clock, BufferPool(), lambda client_conn, request: self.taken.append((client_conn, request))
+        )
         self.listener.idle_s = 15.0
 
     def client_conn(self):
@@ -53,8 +55,11 @@
 
     def test_requests_in_pieces_and_behind_each_other_are_answered_in_order(self):
         client_conn = self.client_conn()
-        for piece in (b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Le", b"ngth: 4\r\n\r\nsc",
-                      b"anGET /b HTTP/1.1\r\nHost: x\r\n\r\n"):  # fmt: skip
+        for piece in (
+            b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Le",
+            b"ngth: 4\r\n\r\nsc",
+            b"anGET /b HTTP/1.1\r\nHost: x\r\n\r\n",
+        ):
             client_conn.dataReceived(piece)
         self.assertEqual([r.body for _, r in self.taken], [b"scan"])
         client_conn.reply(200, b"first")
@@ -62,10 +67,14 @@
         self.assertEqual([r.target for _, r in self.taken], [b"/a", b"/b"])
         self.listener.leaving = True
         client_conn.reply(503, b"second", b"Retry-After: 0.30\r\n")
-        self.assertEqual(client_conn.transport.sent, (
-            b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nKeep-Alive: timeout=15\r\n\r\nfirst"
-            b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 6\r\nRetry-After: 0.30\r\n"
-            b"Connection: close\r\n\r\nsecond"))
+        self.assertEqual(
+            client_conn.transport.sent,
+            (
+                b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nKeep-Alive: timeout=15\r\n\r\nfirst"
+                b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 6\r\nRetry-After: 0.30\r\n"
+                b"Connection: close\r\n\r\nsecond"
+            ),
+        )
         self.assertEqual(client_conn.transport.ended, "closed")
 
     def test_a_long_body_goes_on_as_it_comes_and_no_faster_than_a_server_takes_it(self):
@@ -123,9 +132,11 @@
 
     def test_a_head_or_a_body_beyond_the_limits_is_refused(self):
         self.listener.max_header, self.listener.max_body = 200, 10
-        for data, status in ((b"GET /a HTTP/1.1\r\nHost: x\r\nA: " + b"b" * 300 + b"\r\n\r\n", b"431"),
-                             (b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 11\r\n\r\n", b"413"),
-                             (b"GET /a HTTP/1.1\r\n\r\n", b"400")):  # fmt: skip
+        for data, status in (
+            (b"GET /a HTTP/1.1\r\nHost: x\r\nA: " + b"b" * 300 + b"\r\n\r\n", b"431"),
+            (b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 11\r\n\r\n", b"413"),
+            (b"GET /a HTTP/1.1\r\n\r\n", b"400"),
+        ):
             client_conn = self.client_conn()
             client_conn.dataReceived(data)
             self.assertEqual((client_conn.transport.sent[9:12], client_conn.transport.ended), (status, "closed"))
--- a/tests/balancer/proxy/test_proxy.py
+++ b/tests/balancer/proxy/test_proxy.py
@@ -19,8 +19,13 @@
 cloud_api.rate_per_s=44.0
 protocol_bounds=retry_budget_ratio=0.2,retry_budget_slack=12,quota_window=5s,quota_overshoot=0.1,quota_slack=20
 """
-ROUTE = {"host_name": "a.example", "timeout": "3000ms", "target_latency": "800ms", "target_service": "s1",
-         "max_attempts": 2}  # fmt: skip
+ROUTE = {
+    "host_name": "a.example",
+    "timeout": "3000ms",
+    "target_latency": "800ms",
+    "target_service": "s1",
+    "max_attempts": 2,
+}
 WHOLE = {
     "config_version": 7,
     "route_table": {
@@ -36,8 +41,12 @@
         "t3": {"api_keys": ["k3"], "home_regions": ["r2"]},
     },
 }
-SERVERS = [("i-a", "s1", "z1", {"slot_count": 2}), ("i-b", "s1", "z2", {"slot_count": 2}),
-           ("i-c", "s1", "z3", {"slot_count": 2}), ("i-x", "s9", "z1", {})]  # fmt: skip
+SERVERS = [
+    ("i-a", "s1", "z1", {"slot_count": 2}),
+    ("i-b", "s1", "z2", {"slot_count": 2}),
+    ("i-c", "s1", "z3", {"slot_count": 2}),
+    ("i-x", "s9", "z1", {}),
+]
 
 
 class TestDesk(unittest.TestCase):
--- a/tests/balancer/proxy/test_upstream.py
+++ b/tests/balancer/proxy/test_upstream.py
@@ -130,8 +130,12 @@
                 self.assertNotIn(link, self.target.links)
 
     def test_two_others_or_a_long_one_end_the_connection_and_tell_nothing(self):
-        for surplus in (answer(b"q8") + answer(b"q9"), answer(b"q9", body=b"x" * 70000),
-                        b"HTTP/1.1 200 x\r\nRequest-Id: q9\r\n\r\n", b"\x00noise\r\n\r\n"):  # fmt: skip
+        for surplus in (
+            answer(b"q8") + answer(b"q9"),
+            answer(b"q9", body=b"x" * 70000),
+            b"HTTP/1.1 200 x\r\nRequest-Id: q9\r\n\r\n",
+            b"\x00noise\r\n\r\n",
+        ):
             attempt = self.attempt()
             link = self.up()
             link.dataReceived(surplus)
@@ -194,8 +198,12 @@
         self.assertIs(link.attempt, repeatable)
 
     def test_an_answer_before_the_request_is_out_is_taken_and_the_connection_is_not(self):
-        for status, lines, said in ((200, b"", Outcome.RAN), (503, b"Not-Executed: 1\r\n", Outcome.NEVER),
-                                    (421, b"", Outcome.NEVER), (503, b"", Outcome.RAN)):  # fmt: skip
+        for status, lines, said in (
+            (200, b"", Outcome.RAN),
+            (503, b"Not-Executed: 1\r\n", Outcome.NEVER),
+            (421, b"", Outcome.NEVER),
+            (503, b"", Outcome.RAN),
+        ):
             attempt = self.attempt()
             link = self.up(room=9)  # the kernel has taken a part
             link.dataReceived(answer(b"q1", status, lines=lines))
--- a/tests/balancer/test_parts.py
+++ b/tests/balancer/test_parts.py
@@ -39,11 +39,21 @@
 
 def operators(**changes):
     """A configuration as the operator sends it, with routes changed by name."""
-    route = {"host_name": "a.example", "path_prefix": "/one/", "route_kind": "idempotent", "timeout": "3000ms",
-             "target_latency": "800ms", "target_service": "s1", "max_attempts": 2}  # fmt: skip
-    whole = {"config_version": 7, "route_table": {"r1": route, "r2": dict(route, path_prefix="/one/two/")},
-             "service_table": {"s1": {"max_connections": 130}},
-             "tenant_table": {"t1": {"api_keys": ["k1", "k2"], "rate_per_s": 18, "burst_size": 18}}}  # fmt: skip
+    route = {
+        "host_name": "a.example",
+        "path_prefix": "/one/",
+        "route_kind": "idempotent",
+        "timeout": "3000ms",
+        "target_latency": "800ms",
+        "target_service": "s1",
+        "max_attempts": 2,
+    }
+    whole = {
+        "config_version": 7,
+        "route_table": {"r1": route, "r2": dict(route, path_prefix="/one/two/")},
+        "service_table": {"s1": {"max_connections": 130}},
+        "tenant_table": {"t1": {"api_keys": ["k1", "k2"], "rate_per_s": 18, "burst_size": 18}},
+    }
     whole["route_table"]["r2"].update(changes.pop("r2", {}))
     whole.update(changes)
     return json.dumps(whole).encode()
@@ -54,9 +64,12 @@
         boot = settings.read(BOOT)
         self.assertEqual((boot.protocol_bounds.contact_window, boot.protocol_bounds.revocation_strict), (4.0, True))
         self.assertEqual(boot.seed_nodes, [("10.1.0.13", 8381), ("10.2.0.13", 8381)])
-        for line, key in (("cloud_api.rate_per_s=none", "cloud_api.rate_per_s"), ("ip_address", "ip_address"),
-                          ("protocol_bounds=contact_window=4", "protocol_bounds.contact_window"),
-                          ("seed_nodes=10.1.0.13", "seed_nodes")):  # fmt: skip
+        for line, key in (
+            ("cloud_api.rate_per_s=none", "cloud_api.rate_per_s"),
+            ("ip_address", "ip_address"),
+            ("protocol_bounds=contact_window=4", "protocol_bounds.contact_window"),
+            ("seed_nodes=10.1.0.13", "seed_nodes"),
+        ):
             with self.assertRaises(settings.SettingsError) as caught:
                 settings.read(BOOT + line + "\n")
             self.assertIn(key, str(caught.exception))
@@ -65,8 +78,12 @@
 class TestConfig(unittest.TestCase):
     def test_the_longest_prefix_of_the_host_and_the_keys_owner(self):
         table = configuration.Table(configuration.read(operators()))
-        for host, path, prefix in (("a.example", "/one/x", "/one/"), ("a.example:80", "/one/two/x", "/one/two/"),
-                                   ("a.example", "/on", None), ("b.example", "/one/x", None)):  # fmt: skip
+        for host, path, prefix in (
+            ("a.example", "/one/x", "/one/"),
+            ("a.example:80", "/one/two/x", "/one/two/"),
+            ("a.example", "/on", None),
+            ("b.example", "/one/x", None),
+        ):
             route = table.route(host, path)
             self.assertEqual(route and route.path_prefix, prefix)
         asked = ("Bearer k2", "bearer k1", "Bearer k3", "k1")
@@ -86,7 +103,6 @@
                 configuration.read(text)
             self.assertIn(key, str(caught.exception))
 
-
     def test_homes_that_have_nothing_in_common_are_warned_of(self):
         tenants = {"t1": {"api_keys": ["k1"], "home_regions": ["west"]}}
         text = data_folder.check_config(operators(r2={"home_regions": ["east"]}, tenant_table=tenants)).ok
@@ -131,7 +147,12 @@
         self.assertEqual((state, said), (before, [200, 200]))
 
     def test_an_evacuation_twice_is_one_and_a_core_that_could_bear_no_loss_is_not_made(self):
-        state, said = batch(core(1, 2, 3, 4), [SetEvacuation("z", True), SetEvacuation("z", True), RemoveReplica(4), RemoveReplica(3)], 1, 0)
+        state, said = batch(
+            core(1, 2, 3, 4),
+            [SetEvacuation("z", True), SetEvacuation("z", True), RemoveReplica(4), RemoveReplica(3)],
+            1,
+            0,
+        )
         self.assertEqual((state.evacuated, len(state.voters)), (("z",), 3))
         self.assertEqual([outcome.status for outcome in said], [200, 200, 200, 503])
         state, said = batch(settled(state), [RemoveReplica(4), RemoveReplica(3), SetEvacuation("z", False)], 1, 0)
@@ -167,12 +188,16 @@
         self.assertIsNone(self.due(state, ReplicaStatus(new, whole=False)))  # a learner
         self.assertEqual(self.due(state, ReplicaStatus(new, True)), (*state.voters, new))
         self.assertIsNone(self.due(reformed(state, (*state.voters, new)), ReplicaStatus(Replica(6, 6, 6), True)))
-        self.assertEqual(self.due(state, ReplicaStatus(back, True), ReplicaStatus(new, True)), tuple(sorted({*state.voters} - {
-            state.voters[1]} | {back})))  # its first disk is gone: that first
+        self.assertEqual(
+            self.due(state, ReplicaStatus(back, True), ReplicaStatus(new, True)),
+            tuple(sorted({*state.voters} - {state.voters[1]} | {back})),
+        )  # its first disk is gone: that first
         self.assertIsNone(self.due(state, ReplicaStatus(state.voters[0], True, silent=7.9)))
         self.assertEqual(self.due(state, ReplicaStatus(state.voters[0], True, silent=8.1)), state.voters[1:])
         self.assertEqual(self.due(state, ReplicaStatus(state.voters[3], True, leaving=True)), state.voters[:3])
-        self.assertIsNone(self.due(core(1, 2, 3), ReplicaStatus(state.voters[0], True, leaving=True)))  # two can't bear a loss
+        self.assertIsNone(
+            self.due(core(1, 2, 3), ReplicaStatus(state.voters[0], True, leaving=True))
+        )  # two can't bear a loss
         self.assertIsNone(self.due(state, ReplicaStatus(Replica(5, 5, 5), True, leaving=True)))
 
     def test_a_zone_never_holds_what_a_majority_needs(self):
@@ -219,7 +244,6 @@
         a.merge(11.1, others[0].rows(11.1))  # the earlier life's row comes late
         self.assertEqual(a.members[2].incarnation, 9)
 
-
     def test_who_is_alone_knows_how_many_there_were(self):
         one = MembershipTable(Member(1, 0, READY, beat=100.0), 0.5)
         for ip in range(2, 12):
@@ -382,5 +406,10 @@
         self.assertEqual(outcome.of_answer(503, False), Outcome.RAN)
         self.assertEqual((outcome.of_loss(False), outcome.of_loss(True)), (Outcome.NEVER, Outcome.MAYBE))
         self.assertFalse(outcome.may_repeat("upload", Outcome.MAYBE))
-        self.assertEqual([outcome.final_status(v, t) for v, t in ((Outcome.NEVER, True), (Outcome.MAYBE, True),
-                                                                  (Outcome.RAN, False))], [503, 504, 502])  # fmt: skip
+        self.assertEqual(
+            [
+                outcome.final_status(v, t)
+                for v, t in ((Outcome.NEVER, True), (Outcome.MAYBE, True), (Outcome.RAN, False))
+            ],
+            [503, 504, 502],
+        )
--- a/tests/balancer/transport/test_fencing.py
+++ b/tests/balancer/transport/test_fencing.py
@@ -266,8 +266,13 @@
         def total(key):
             with mock.patch.object(MembershipTable, "life", key):
                 a, b = fence(1, 10), fence(2, 20)
-                quota_client = QuotaClient(mock.Mock(seconds=lambda: 0.0), mock.Mock(zones={"z1": "r1"}),
-                                mock.Mock(unix=lambda: 1.0), b.membership, lambda: 1)  # fmt: skip
+                quota_client = QuotaClient(
+                    mock.Mock(seconds=lambda: 0.0),
+                    mock.Mock(zones={"z1": "r1"}),
+                    mock.Mock(unix=lambda: 1.0),
+                    b.membership,
+                    lambda: 1,
+                )
                 for sender in (a, a, fence(1, 11)):
                     message, _ = b.open(1, sender.seal(2, TALLY))
                     quota_client.told(1, message)
@@ -285,14 +290,24 @@
         self.assertEqual(told, [1, 0, 1, 0])
 
     def test_only_who_was_asked_tells_a_total(self):
-        quota_client = QuotaClient(mock.Mock(seconds=lambda: 0.0), mock.Mock(zones={"z1": "r1"}), mock.Mock(unix=lambda: 1.0),
-                        fence(1, 10, i2=20, i3=30).membership, lambda: 1)  # fmt: skip
+        quota_client = QuotaClient(
+            mock.Mock(seconds=lambda: 0.0),
+            mock.Mock(zones={"z1": "r1"}),
+            mock.Mock(unix=lambda: 1.0),
+            fence(1, 10, i2=20, i3=30).membership,
+            lambda: 1,
+        )
         got, tenancy = [], mock.Mock(limit=5.0, place=lambda _: (8, 0.5))
         tenancy.name = "t"
         ask = mock.Mock(tenancy=tenancy, homes=[], done=lambda answer: got.append(answer) or True)
         quota_client._holders = lambda *_: [2]
         quota_client.ask(ask)
-        for ip, nonce in ((3, quota_client.nonce), (2, quota_client.nonce - 1), (2, quota_client.nonce), (2, quota_client.nonce)):
+        for ip, nonce in (
+            (3, quota_client.nonce),
+            (2, quota_client.nonce - 1),
+            (2, quota_client.nonce),
+            (2, quota_client.nonce),
+        ):
             quota_client.told(ip, CounterValue(nonce, 1.0, 2.0))
         self.assertEqual(got, [(1.0, 2.0, 0.5)])
 
@@ -323,12 +338,15 @@
             return other.node.endpoints.fetched - before
 
         self.assertEqual(fetched(), 0.0)
+
         def dates_nothing(self, now, rows, merge=MembershipTable.merge):
             fresh, self.told_at = merge(self, now, rows), now
             return fresh
 
-        with mock.patch.object(MembershipTable, "overtaken", lambda *_: False), \
-                mock.patch.object(MembershipTable, "merge", dates_nothing):  # either of them is enough
+        with (
+            mock.patch.object(MembershipTable, "overtaken", lambda *_: False),
+            mock.patch.object(MembershipTable, "merge", dates_nothing),
+        ):  # either of them is enough
             self.assertGreater(fetched(), 1.0)
 
     def test_an_overtaken_word_of_what_is_out_is_not_taken(self):
@@ -451,6 +469,8 @@
             return day.read_back()
 
         self.assertEqual(lost(), [])
-        with mock.patch.object(Fence, "_why_not_reply", lambda *_: None), \
-                mock.patch.object(ReplicaMonitor, "answered", lambda *_: True):  # either is enough
+        with (
+            mock.patch.object(Fence, "_why_not_reply", lambda *_: None),
+            mock.patch.object(ReplicaMonitor, "answered", lambda *_: True),
+        ):  # either is enough
             self.assertTrue(lost()[0].startswith("LOST"))
--- a/tests/ingress.py
+++ b/tests/ingress.py
@@ -16,20 +16,33 @@
 ROOT = Path(__file__).resolve().parent.parent
 WAIT_S = 20  # a bound on waiting for events, never a measure of time
 SETTINGS = {
-    "balancers": 2, "me": 0, "zones": ["z"], "kinds": ["k"], "quantum_ns": 2_000_000, "weight_kind": "rough",
+    "balancers": 2,
+    "me": 0,
+    "zones": ["z"],
+    "kinds": ["k"],
+    "quantum_ns": 2_000_000,
+    "weight_kind": "rough",
     "classes": [
-        {"name": "look", "effect": "free", "aim_ns": 1_200_000_000, "deadline_ns": 4_000_000_000,
-         "late_worth": 0.2},
+        {"name": "look", "effect": "free", "aim_ns": 1_200_000_000, "deadline_ns": 4_000_000_000, "late_worth": 0.2},
         {"name": "book", "effect": "single_shot", "aim_ns": 750_000_000, "deadline_ns": 2_500_000_000},
     ],
-    "plans": [{"name": "tight", "refill": 1.0, "depth": 2.0},
-              {"name": "wide", "refill": 500.0, "depth": 5000.0}],
-    "limits": {"attempts_cap": 3, "cancel": True, "conn_idle_ns": 30_000_000_000,
-               "dial_timeout_ns": 250_000_000, "max_retry_after_ns": 2_000_000_000},
-    "invariants": {"drain_grace_ns": 1_000_000_000, "cold_from": 0.2, "warm_up_ns": 10_000_000_000,
-                   "fall_multiple": 2.5, "fall_ns": 2_000_000_000},
+    "plans": [{"name": "tight", "refill": 1.0, "depth": 2.0}, {"name": "wide", "refill": 500.0, "depth": 5000.0}],
+    "limits": {
+        "attempts_cap": 3,
+        "cancel": True,
+        "conn_idle_ns": 30_000_000_000,
+        "dial_timeout_ns": 250_000_000,
+        "max_retry_after_ns": 2_000_000_000,
+    },
+    "invariants": {
+        "drain_grace_ns": 1_000_000_000,
+        "cold_from": 0.2,
+        "warm_up_ns": 10_000_000_000,
+        "fall_multiple": 2.5,
+        "fall_ns": 2_000_000_000,
+    },
     "specifics": {"may_count": True, "count_wait_ns": 30_000_000},
-}  # fmt: skip
+}
 
 
 def read_message(sock, data=b""):
@@ -130,8 +143,16 @@
 
 
 def target(peer, n=0, state="in_service"):
-    return {"uid": f"s-{n}", "endpoint": peer.address, "az": "z", "model": "k", "pod_group": 1,
-            "state": state, "capacity_hint": 1.0, "boot_ms": 0}  # fmt: skip
+    return {
+        "uid": f"s-{n}",
+        "endpoint": peer.address,
+        "az": "z",
+        "model": "k",
+        "pod_group": 1,
+        "state": state,
+        "capacity_hint": 1.0,
+        "boot_ms": 0,
+    }
 
 
 class Client:
@@ -144,14 +165,16 @@
         self.sock = socket.create_connection(address, timeout=WAIT_S)
         self.rest = b""
 
-    def bytes_of(
-        self, cls="look", plan="wide", customer=5, ttl=3000, method=None, body=b"", drop=(), **changes
-    ):  # fmt: skip
+    def bytes_of(self, cls="look", plan="wide", customer=5, ttl=3000, method=None, body=b"", drop=(), **changes):
         Client.ids += 1
         headers = {
-            "Host": "api", "X-Request-ID": f"id{Client.ids}", "X-Tariff": plan, "X-Timeout-Ms": str(ttl),
-            "X-Weight": "units=1,spread=2,first=0", **{k.replace("_", "-"): v for k, v in changes.items()},
-        }  # fmt: skip
+            "Host": "api",
+            "X-Request-ID": f"id{Client.ids}",
+            "X-Tariff": plan,
+            "X-Timeout-Ms": str(ttl),
+            "X-Weight": "units=1,spread=2,first=0",
+            **{k.replace("_", "-"): v for k, v in changes.items()},
+        }
         method = method or ("GET" if cls == "look" else "POST")
         if body or method == "POST":
             headers["Content-Length"] = str(len(body))
@@ -260,9 +283,17 @@
 
 def config_for(counter, discovery, servers, settings=None, **changes):
     known = {"rev": 1, "all": True, "targets": [target(s, n) for n, s in enumerate(servers)]}
-    return {"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.address,
-            "counter": counter.address, "seed": "2a", "limits": {"sockets": 256}, "known": known,
-            "settings": {**SETTINGS, **(settings or {})}, **changes}  # fmt: skip
+    return {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": discovery.address,
+        "counter": counter.address,
+        "seed": "2a",
+        "limits": {"sockets": 256},
+        "known": known,
+        "settings": {**SETTINGS, **(settings or {})},
+        **changes,
+    }
 
 
 @contextmanager
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -11,14 +11,24 @@
     """`mapleline fleet run` as a process of its own (a reactor runs once a process); the logs it left."""
     assert not schedule.read(text)[1], schedule.read(text)[1]
     (at / "schedule.hcl").write_text(text)
-    line = [sys.executable, "-c", "from mapleline.cli import main; raise SystemExit(main())", "fleet", "run",
-            str(at / "schedule.hcl"), "--logs", str(at / "logs"), *flags]  # fmt: skip
+    line = [
+        sys.executable,
+        "-c",
+        "from mapleline.cli import main; raise SystemExit(main())",
+        "fleet",
+        "run",
+        str(at / "schedule.hcl"),
+        "--logs",
+        str(at / "logs"),
+        *flags,
+    ]
     subprocess.run(line, timeout=180, check=False, capture_output=True)
     return read_logs(at / "logs")
 
 
 def block(name, **values):
     """A block of HCL; `lasts` stands for `for`, and a label behind the name."""
+
     def text(v):
         return str(v).lower() if isinstance(v, bool) else repr(v).replace("'", '"')
 
--- a/tests/simulation/test_directed_scenarios.py
+++ b/tests/simulation/test_directed_scenarios.py
@@ -1,5 +1,6 @@
-"""The days that operators have told of (`mapleline/lab/directed_scenarios.py`): each has to hold, and with the defence taken out the
-judge has to find the rule broken.
+"""The directed scenarios of `mapleline/simulation/directed_scenarios.py`.
+
+Each has to hold, and with the defence taken out an invariant has to be found broken.
 """
 
 import contextlib
@@ -32,15 +33,20 @@
 
 def half_is_enough():
     """Half of the voters decide."""
-    return mock.patch(CONTROL + "state.majority", lambda voters, heard: 2 * len(
-        [r for r in voters if any(r.is_at(*one) for one in heard)]) >= len(voters))
+    return mock.patch(
+        CONTROL + "state.majority",
+        lambda voters, heard: 2 * len([r for r in voters if any(r.is_at(*one) for one in heard)]) >= len(voters),
+    )
 
 
 def answers_before_it_is_kept():
     """Promises and acceptances leave before they are on the disk."""
+
     def sync(self, acceptor):
         if self.store is not None:
-            self.environment.in_thread(self.store.save, acceptor.record, dict(self.held.contents)).addErrback(lambda _: None)
+            self.environment.in_thread(self.store.save, acceptor.record, dict(self.held.contents)).addErrback(
+                lambda _: None
+            )
         acceptor.synced(acceptor.record)
         return succeed(None)
 
@@ -54,6 +60,7 @@
 
 def lets_nobody_go():
     """The voters only become more."""
+
     def grows(state, *rest):
         voters = due(state, *rest)
         return voters if voters is None or len(voters) > len(state.voters) else None
@@ -68,6 +75,7 @@
 
 def takes_whatever_it_is_asked():
     """The last content under a number is confirmed, and stands."""
+
     def replaced(state, version, content):
         if state.config is not None and version < state.config[0]:
             return state, True
@@ -78,6 +86,7 @@
 
 def remembers_the_last_number_alone():
     """Of the numbers that were confirmed, only that in force has a content."""
+
     def replaced_(state, version, content):
         if state.config is not None and version < state.config[0]:
             return state, True
@@ -88,6 +97,7 @@
 
 def refuses_what_is_not_higher():
     """Also what it has confirmed itself."""
+
     def replaced_(state, version, content):
         if state.config is not None and version <= state.config[0]:
             return state, False
@@ -98,6 +108,7 @@
 
 def heeds_who_has_hung_up():
     """An order is carried out although its caller has gone elsewhere."""
+
     def order(self, client_conn, order, body, key, version):
         self._told(client_conn, self.control_plane.order(order, body, self._within), key, version)
 
@@ -119,6 +130,7 @@
 
 def takes_what_is_invalid():
     """A configuration is not checked."""
+
     def version(body):
         return mock.Mock(config_version=int(re.search(rb'"config_version": (\d+)', body)[1]))
 
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -65,19 +65,32 @@
 
     def test_two_contents_under_one_number(self):
         lost = Made().order(7, A, 10.0).order(7, B, 10.0, status=409)
-        self.good(lost, Made().order(7, A, 10.0).order(7, A, 12.0), Made().order(7, A, 10.0).order(8, B, 10.0),
-                  Made().order(7, A, 10.0, status=None).order(7, B, 10.0, status=409))  # fmt: skip
-        self.bad("RIVALS", Made().order(7, A, 10.0).order(7, B, 10.0),
-                 Made().order(7, A, 10.0).order(9, A, 11.0).order(7, B, 12.0),
-                 Made().order(7, A, 10.0, status=409).order(7, B, 10.0, status=409))  # fmt: skip
+        self.good(
+            lost,
+            Made().order(7, A, 10.0).order(7, A, 12.0),
+            Made().order(7, A, 10.0).order(8, B, 10.0),
+            Made().order(7, A, 10.0, status=None).order(7, B, 10.0, status=409),
+        )
+        self.bad(
+            "RIVALS",
+            Made().order(7, A, 10.0).order(7, B, 10.0),
+            Made().order(7, A, 10.0).order(9, A, 11.0).order(7, B, 12.0),
+            Made().order(7, A, 10.0, status=409).order(7, B, 10.0, status=409),
+        )
 
     def test_what_was_acknowledged_is_sent_again(self):
-        self.good(Made().order(7, A, 10.0).order(7, A, 20.0), Made().order(7, A, 10.0).order(7, A, 20.0, status=None),
-                  Made().order(7, A, 10.0).order(7, A, 20.0, status=503),
-                  Made().order(-1, "", 10.0, path=BEGIN).order(-1, "", 20.0, path=BEGIN))  # fmt: skip
-        self.bad("AGAIN", Made().order(7, A, 10.0).order(7, A, 20.0, status=412),
-                 Made().order(7, A, 10.0).order(9, B, 12.0).order(7, A, 20.0, status=412),
-                 Made().order(-1, "", 10.0, path=BEGIN).order(-1, "", 20.0, status=409, path=BEGIN))  # fmt: skip
+        self.good(
+            Made().order(7, A, 10.0).order(7, A, 20.0),
+            Made().order(7, A, 10.0).order(7, A, 20.0, status=None),
+            Made().order(7, A, 10.0).order(7, A, 20.0, status=503),
+            Made().order(-1, "", 10.0, path=BEGIN).order(-1, "", 20.0, path=BEGIN),
+        )
+        self.bad(
+            "AGAIN",
+            Made().order(7, A, 10.0).order(7, A, 20.0, status=412),
+            Made().order(7, A, 10.0).order(9, B, 12.0).order(7, A, 20.0, status=412),
+            Made().order(-1, "", 10.0, path=BEGIN).order(-1, "", 20.0, status=409, path=BEGIN),
+        )
         text = judge(Made().order(7, A, 10.0).order(7, A, 20.0, status=412).record)
         self.assertIn("with no other change since", " ".join(text))
         taken = Made().order(7, A, 10.0, status=None).serves(7, A, 11.0).order(7, A, 20.0, status=409)
@@ -91,30 +104,41 @@
         lost = Made().order(7, A, 10.0).order(7, B, 10.0, status=409)
         self.good(lost.serves(7, A, 11.0).read(7, A, 11.0))
         self.good(Made().order(7, A, 10.0, status=None).serves(7, A, 10.0))
-        self.bad("FORCE", Made().order(7, A, 10.0).order(7, B, 10.0, status=409).serves(7, B, 11.0),
-                 Made().order(7, A, 10.0).order(7, B, 10.0, status=None).serves(7, B, 11.0),
-                 Made().order(7, A, 10.0).order(7, B, 10.0, status=None).read(7, B, 11.0),
-                 Made().order(7, A, 10.0, valid=False), Made().serves(7, A, 10.0),
-                 Made().order(7, A, 10.0, status=None).serves(7, A, 9.0),
-                 Made().order(7, A, 9.0, status=400, valid=False).serves(7, A, 10.0))  # fmt: skip
+        self.bad(
+            "FORCE",
+            Made().order(7, A, 10.0).order(7, B, 10.0, status=409).serves(7, B, 11.0),
+            Made().order(7, A, 10.0).order(7, B, 10.0, status=None).serves(7, B, 11.0),
+            Made().order(7, A, 10.0).order(7, B, 10.0, status=None).read(7, B, 11.0),
+            Made().order(7, A, 10.0, valid=False),
+            Made().serves(7, A, 10.0),
+            Made().order(7, A, 10.0, status=None).serves(7, A, 9.0),
+            Made().order(7, A, 9.0, status=400, valid=False).serves(7, A, 10.0),
+        )
 
     def test_a_read_gives_nothing_older_than_is_known(self):
-        self.good(Made().order(7, A, 10.0).read(7, A, 10.2),
-                  Made().order(7, A, 10.0).read(-1, "", 10.05, status=404),
-                  Made().order(7, A, 10.0).read(-1, "", 20.0, status=503),
-                  Made().order(7, A, 9.0).order(8, B, 20.0, status=None).read(8, B, 20.0).read(7, A, 20.05),
-                  )  # fmt: skip
-        self.bad("STALE", Made().order(7, A, 9.0).order(8, B, 10.0).read(7, A, 10.2),
-                 Made().order(7, A, 10.0).read(-1, "", 10.2, status=404),
-                 Made().order(7, A, 10.0).order(8, B, 20.0, status=None).read(8, B, 20.0).read(7, A, 20.2))  # fmt: skip
+        self.good(
+            Made().order(7, A, 10.0).read(7, A, 10.2),
+            Made().order(7, A, 10.0).read(-1, "", 10.05, status=404),
+            Made().order(7, A, 10.0).read(-1, "", 20.0, status=503),
+            Made().order(7, A, 9.0).order(8, B, 20.0, status=None).read(8, B, 20.0).read(7, A, 20.05),
+        )
+        self.bad(
+            "STALE",
+            Made().order(7, A, 9.0).order(8, B, 10.0).read(7, A, 10.2),
+            Made().order(7, A, 10.0).read(-1, "", 10.2, status=404),
+            Made().order(7, A, 10.0).order(8, B, 20.0, status=None).read(8, B, 20.0).read(7, A, 20.2),
+        )
         told = Made().order(7, A, 9.0).order(8, B, 10.0).order(7, A, 12.0)
         told.record.answers[-1].number = 7  # an acknowledgement that says what is in force
         self.bad("STALE", told)
 
     def test_who_is_out_of_touch_does_not_say_that_something_is_not_there(self):
         away = {"apart": ["m2"], "since": 5.0}
-        self.good(Made(**away).read(-1, "", 10.0, status=503), Made(**away).read(-1, "", 10.0, status=400),
-                  Made().read(-1, "", 10.0, status=404))  # fmt: skip
+        self.good(
+            Made(**away).read(-1, "", 10.0, status=503),
+            Made(**away).read(-1, "", 10.0, status=400),
+            Made().read(-1, "", 10.0, status=404),
+        )
         self.bad("KNOWN", Made(**away).read(-1, "", 10.0, status=404), Made(**away).read(-1, "", 10.0, status=403))
         lately = Made()
         lately.record.troubles.append((8.0, 9.0, "m2"))
@@ -178,6 +202,10 @@
             return made
 
         begun, ended = (BEGIN, 10.0, 200), (FINISH, 20.0, 200)
-        self.good(ends(["z1"], begun), ends([], begun, ended), ends(["z1"], begun, (FINISH, 10.05, 200)),
-                  ends([], begun, (FINISH, 20.0, None)))  # fmt: skip
+        self.good(
+            ends(["z1"], begun),
+            ends([], begun, ended),
+            ends(["z1"], begun, (FINISH, 10.05, 200)),
+            ends([], begun, (FINISH, 20.0, None)),
+        )
         self.bad("LOST", ends([], begun), ends(["z1"], begun, ended), ends([], (FINISH, 4.0, None), begun))
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -112,7 +112,9 @@
 
     def test_nothing_acknowledged_is_lost_with_the_power_of_all_and_one_disk(self):
         def sync(self, acceptor):
-            self.environment.in_thread(self.store.save, acceptor.record, dict(self.held.contents)).addErrback(lambda _: None)
+            self.environment.in_thread(self.store.save, acceptor.record, dict(self.held.contents)).addErrback(
+                lambda _: None
+            )
             acceptor.synced(acceptor.record)
             return succeed(None)
 
@@ -150,7 +152,9 @@
             day.kill([gone], 60.0)
             world.after(3.0, day.operator.forget, gone)
             world.after(5.0, day.kill, [second], 4.0)
-            world.after(6.0, lambda: seen.extend(m.node.control_plane.held.voters() for m in world.machines.values() if m.up))
+            world.after(
+                6.0, lambda: seen.extend(m.node.control_plane.held.voters() for m in world.machines.values() if m.up)
+            )
             world.after(6.0, day.operator.config, None, world.core[2])
 
         seen = []
@@ -181,8 +185,9 @@
         self.assertEqual({to.partition("-")[0] for _, to in pulls if to not in others}, set(ZONES))
         self.assertFalse([to for _, to in pulls if to in others])
         [(at, _, version)] = [order for order in day.record.acknowledged if order[0] > 1007.0]
-        first = {m: min(t for t, n, _, v, _ in day.record.versions if n == m and v >= version)
-                 for m in day.world.machines}  # fmt: skip
+        first = {
+            m: min(t for t, n, _, v, _ in day.record.versions if n == m and v >= version) for m in day.world.machines
+        }
         self.assertLess(max(first.values()) - 1008.2, 0.4)
 
     def test_the_list_is_fresh_everywhere_though_its_holder_is_cut_off_from_the_core(self):
@@ -191,8 +196,10 @@
             holder = next(m for m in world.machines.values() if m.node.leadership.mine)
             holders.append(holder)
             day.cut([holder], world.core, 5.0)
-            day.look = lambda: (ages.extend(world.now - m.node.endpoints.fetched for m in world.machines.values()
-                                            if m is not holder), world.after(0.1, day.look))  # fmt: skip
+            day.look = lambda: (
+                ages.extend(world.now - m.node.endpoints.fetched for m in world.machines.values() if m is not holder),
+                world.after(0.1, day.look),
+            )
             day.look()
 
         ages, holders = [], []
--- a/tests/simulation/test_slow_start_scenarios.py
+++ b/tests/simulation/test_slow_start_scenarios.py
@@ -50,26 +50,42 @@
             self.assertTrue(any(self.found(troubles, seed, **how) for seed in range(3, 7)))  # it hangs on moments
 
     def test_ingresses_that_are_each_alone_are_not_each_the_one(self):
-        self.breaks(slow_start_scenarios.each_alone, mock.patch.object(Proxy, "owns_cold", by_view), length=5.0, load=8.0, others=9)
+        self.breaks(
+            slow_start_scenarios.each_alone,
+            mock.patch.object(Proxy, "owns_cold", by_view),
+            length=5.0,
+            load=8.0,
+            others=9,
+        )
 
     def test_a_zone_taken_back_is_cold_until_a_list_could_show_it(self):
         self.breaks(slow_start_scenarios.list_is_late, mock.patch.object(Proxy, "is_cold", for_a_time), length=10.0)
 
     def test_the_end_of_an_evacuation_counts_where_its_beginning_was_not_heard_of(self):
-        self.breaks(slow_start_scenarios.evacuated_over_a_release, mock.patch.object(Node, "apply", where_begun), length=8.0, load=8.0)
+        self.breaks(
+            slow_start_scenarios.evacuated_over_a_release,
+            mock.patch.object(Node, "apply", where_begun),
+            length=8.0,
+            load=8.0,
+        )
 
     def test_who_hears_nothing_stops_before_an_unheard_evacuation_can_end(self):
         certain = mock.patch.object(Node, "may_serve", lambda self: self.proxy.table is not None)
         self.breaks(slow_start_scenarios.evacuated_behind_a_cut, certain, length=8.0, load=4.0)
         with mock.patch.object(Node, "apply", where_begun):  # and once it hears, it hears of the end alone
-            self.assertTrue(any(self.found(slow_start_scenarios.evacuated_behind_a_cut, seed, length=8.0, load=4.0)
-                                for seed in range(3, 9)))  # fmt: skip
+            self.assertTrue(
+                any(
+                    self.found(slow_start_scenarios.evacuated_behind_a_cut, seed, length=8.0, load=4.0)
+                    for seed in range(3, 9)
+                )
+            )
 
     def test_who_turns_cold_while_cold_is_told_to_all(self):
         self.breaks(slow_start_scenarios.cold_again, mock.patch.object(EndpointList, "_turn", lambda *_: 0), length=6.0)
 
     def test_a_span_that_begins_while_it_is_cold_counts_whole(self):
         """All that wait for a server come as soon as it is warm, in the same second."""
+
         def back(day):
             slow_start_scenarios.press(day, times=30.0)
             day.world.after(1.0, lambda: day.restart(slow_start_scenarios.servers_of(day, "a1")))
@@ -78,7 +94,9 @@
 
     def test_stacked_troubles_by_lot(self):
         for seed in (103, 201, 323):  # broken before: by unheard evacuations, and by beats that had waited (the others)
-            self.assertEqual([x for x in slow_start_scenarios.play(seed)[0] if x.startswith("FAILBACK")], [], f"seed {seed}")
+            self.assertEqual(
+                [x for x in slow_start_scenarios.play(seed)[0] if x.startswith("FAILBACK")], [], f"seed {seed}"
+            )
 
     def test_in_calm_a_cold_server_gets_its_rate(self):
         def back(day):
@@ -102,9 +120,15 @@
             self.start(ip)
 
     def start(self, ip):
-        one = SlowStartLeases(self.clock, ip, self.rng, lambda to, message: self.send(ip, to, message),
-                     lambda: list(range(1, self.size + 1)), lambda now: [7] if ip in self.eager else [],
-                     ip <= self.size)  # fmt: skip
+        one = SlowStartLeases(
+            self.clock,
+            ip,
+            self.rng,
+            lambda to, message: self.send(ip, to, message),
+            lambda: list(range(1, self.size + 1)),
+            lambda now: [7] if ip in self.eager else [],
+            ip <= self.size,
+        )
         self.all[ip] = one
 
     def send(self, ip, to, message):
@@ -187,16 +211,26 @@
             return sum(now - at < LEASE_S for at in rows.values()) >= 2
 
         ask, told = Voter.ask, SlowStartLeases.told
-        for mutant in (mock.patch.object(Voter, "ask", at_once), mock.patch.object(Voter, "ask", to_all),
-                       mock.patch.object(SlowStartLeases, "told", from_the_answer),
-                       mock.patch.object(SlowStartLeases, "holds", half)):  # fmt: skip
+        for mutant in (
+            mock.patch.object(Voter, "ask", at_once),
+            mock.patch.object(Voter, "ask", to_all),
+            mock.patch.object(SlowStartLeases, "told", from_the_answer),
+            mock.patch.object(SlowStartLeases, "holds", half),
+        ):
             with mutant:
                 self.assertGreater(self.most()[0], 1)
 
     def test_a_core_that_grew_counts_as_large_as_any_voter_knows_it(self):
         clock, sent = Agenda(1000.0), []
-        one = SlowStartLeases(clock, 9, random.Random(1), lambda to, message: sent.append((to, message)), lambda: [1, 2, 3],
-                     lambda now: [7], False)  # fmt: skip
+        one = SlowStartLeases(
+            clock,
+            9,
+            random.Random(1),
+            lambda to, message: sent.append((to, message)),
+            lambda: [1, 2, 3],
+            lambda now: [7],
+            False,
+        )
         one.tend()
         for ip, core in ((1, 3), (2, 5)):
             one.told(ip, slow_start_leases.LeaseGrant(1, core, [7]))
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -134,14 +134,18 @@
     assert read(tiny)[1].body == b"z" * 60_000
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (HEAD + b"Content-Length: 2, 3\r\n\r\nxy", 400), (HEAD + b"Content-Length: 2,\r\n\r\nxy", 400),
-    (HEAD + b"Content-Length: 33554433\r\n\r\n", 413),
-    (HEAD + b"Content-Length: 5\r\nExpect: tea\r\n\r\n", 417),
-    (b"GET ftp://a/x HTTP/1.1\r\nHost: a\r\n\r\n", 400),
-    (b"GET http://a b/ HTTP/1.1\r\nHost: a\r\n\r\n", 400),
-    (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"0;" + b"e" * 300 + b"\r\n", 400),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (HEAD + b"Content-Length: 2, 3\r\n\r\nxy", 400),
+        (HEAD + b"Content-Length: 2,\r\n\r\nxy", 400),
+        (HEAD + b"Content-Length: 33554433\r\n\r\n", 413),
+        (HEAD + b"Content-Length: 5\r\nExpect: tea\r\n\r\n", 417),
+        (b"GET ftp://a/x HTTP/1.1\r\nHost: a\r\n\r\n", 400),
+        (b"GET http://a b/ HTTP/1.1\r\nHost: a\r\n\r\n", 400),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"0;" + b"e" * 300 + b"\r\n", 400),
+    ],
+)
 def test_forms_that_are_refused(data, status):
     with pytest.raises(Malformed) as raised:
         read(data)
@@ -374,6 +378,7 @@
 def test_memory_is_bounded_while_nobody_reads(tmp_path):
     server = Peer(lambda *_: b"HTTP/1.1 200 OK\r\n" + framed(large(8_000_000), "length"))
     with running(tmp_path, server, limits={"sockets": 256, "memory_mb": 40}) as ingress:
+
         def held():
             with open(f"/proc/{ingress.process.pid}/statm") as file:
                 return int(file.read().split()[1]) * resource.getpagesize()
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -122,6 +122,7 @@
 
 def test_an_answer_from_the_window_before_is_no_total_of_this_one():
     """Else the next totals look like an emptied counter's, and units of the old window go to the new one."""
+
     def asked(**kw):
         g.brain.asking = 9.0  # no lot
         return ask(g, **kw)[1][0]
@@ -230,8 +231,9 @@
     assert only(acts, i.Fail) and not only(acts, i.Send) + only(acts, i.Refuse)
 
 
-@pytest.mark.parametrize(("scope", "wait", "again"), [(i.Scope.ALL, 0, True), (i.Scope.ALL, 2 * S, False),
-                                                      (i.Scope.CELL, 0, False)])
+@pytest.mark.parametrize(
+    ("scope", "wait", "again"), [(i.Scope.ALL, 0, True), (i.Scope.ALL, 2 * S, False), (i.Scope.CELL, 0, False)]
+)
 def test_keyed_goes_again_only_while_all_servers_drop_the_repeat(scope, wait, again):
     g = Gateway(classes=[i.RequestClass(S, 4 * S, i.Effect.KEYED, scope, 2 * S)])
     rid, acts = g.arrive()
@@ -272,8 +274,15 @@
 
 def test_unknown_things_are_ignored():
     g = Gateway()
-    for ev in (i.Outcome(9, 9, 0, 1, R.OK, True), i.Timer(72), i.Counted(1, R.OK, 1.0, 1), i.Left(3),
-               i.Begun(3, 0, 1), i.Probed(1, R.OK), i.Told(1, b"")):
+    for ev in (
+        i.Outcome(9, 9, 0, 1, R.OK, True),
+        i.Timer(72),
+        i.Counted(1, R.OK, 1.0, 1),
+        i.Left(3),
+        i.Begun(3, 0, 1),
+        i.Probed(1, R.OK),
+        i.Told(1, b""),
+    ):
         assert g.do(ev) == []
 
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -16,8 +16,9 @@
 LOST = st.sampled_from([False, False, False, True])  # one message in four
 
 
-@pytest.mark.parametrize("want, total, part", [(30, 30, 30), (30, 90, 30), (30, 110, 20), (30, 130, 0),
-                                               (30, 500, 0), (0, 100, 0)])  # fmt: skip
+@pytest.mark.parametrize(
+    "want, total, part", [(30, 30, 30), (30, 90, 30), (30, 110, 20), (30, 130, 0), (30, 500, 0), (0, 100, 0)]
+)
 def test_a_claim_gets_what_the_sum_before_it_left(want, total, part):
     assert granted(want, total, WHOLE) == part
 
@@ -29,18 +30,29 @@
     assert budget.usable(now) == epoch_part
 
 
-@pytest.mark.parametrize("demand, demands, members, want", [
-    (0, 100, 4, 25), (60, 240, 4, 25), (60, 120, 3, 50), (60, None, 4, 25), (60, 30, 4, 100), (10, 0, 0, 100),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "demand, demands, members, want",
+    [
+        (0, 100, 4, 25),
+        (60, 240, 4, 25),
+        (60, 120, 3, 50),
+        (60, None, 4, 25),
+        (60, 30, 4, 100),
+        (10, 0, 0, 100),
+    ],
+)
 def test_a_member_wants_its_share_of_the_demands(demand, demands, members, want):
     assert Budget("q", WHOLE, LEASE_S, MARGIN_S).want(demand, demands, members) == want
 
 
-@pytest.mark.parametrize("beats, now, states", [
-    ({1: (1, 10)}, 10.5, ["alive", "alive", "dead"]),
-    ({1: (1, 9), 2: (1, 8)}, 10.5, ["alive", "alive", "suspect"]),
-    ({1: (2, 3), 2: (1, 10)}, 10.5, ["alive", "dead", "alive"]),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "beats, now, states",
+    [
+        ({1: (1, 10)}, 10.5, ["alive", "alive", "dead"]),
+        ({1: (1, 9), 2: (1, 8)}, 10.5, ["alive", "alive", "suspect"]),
+        ({1: (2, 3), 2: (1, 10)}, 10.5, ["alive", "dead", "alive"]),
+    ],
+)
 def test_members_are_alive_suspect_or_dead_by_their_last_beat(beats, now, states):
     view = View(3, 0, 1.0)
     for member, (incarnation, period) in beats.items():
@@ -64,9 +76,8 @@
 
     skew_most = MARGIN_S * 2 * 0.99
 
-    @initialize(members=st.integers(2, 5), skews=st.lists(SKEWS, min_size=5, max_size=5),
-                now=st.floats(108, 110))  # fmt: skip
-        # near an epoch's end, where clocks matter
+    @initialize(members=st.integers(2, 5), skews=st.lists(SKEWS, min_size=5, max_size=5), now=st.floats(108, 110))
+    # near an epoch's end, where clocks matter
     def start(self, members, skews, now):
         self.now = now
         self.skews = [s * self.skew_most for s in skews[:members]]
@@ -121,8 +132,7 @@
         assert sum(used) <= WHOLE + 1e-6, (self.now, used)
 
 
-Claims.TestCase.settings = settings(max_examples=1000, stateful_step_count=30, deadline=None,
-                                    derandomize=True)  # fmt: skip
+Claims.TestCase.settings = settings(max_examples=1000, stateful_step_count=30, deadline=None, derandomize=True)
 test_claims_never_sum_above_the_whole = Claims.TestCase
 
 
@@ -188,12 +198,15 @@
 
 def test_the_floor_goes_on_without_a_lease_and_by_server():
     idle = Parts(1, 4, 10 * S, 0.4, {"cold": 20.0})
-    got = [sum(idle.take("cold", 15 * S, server, size) for _ in range(99)) for server, size in
-           ((1, 1.0), (2, 0.5), (2, 0.5))]  # fmt: skip
+    got = [
+        sum(idle.take("cold", 15 * S, server, size) for _ in range(99))
+        for server, size in ((1, 1.0), (2, 0.5), (2, 0.5))
+    ]
     assert got == [10, 5, 0]  # a tenth of the whole for five seconds; half of it at half warmth; spent
 
 
-@pytest.mark.parametrize("told, members, beat", [({}, 200, 1.0), ({"calls_per_s": 810.0}, 200, 7.41),
-                                                 ({"calls_per_s": 810.0}, 5, 1.0)])  # fmt: skip
+@pytest.mark.parametrize(
+    "told, members, beat", [({}, 200, 1.0), ({"calls_per_s": 810.0}, 200, 7.41), ({"calls_per_s": 810.0}, 5, 1.0)]
+)
 def test_heartbeats_of_a_large_fleet_take_a_tenth_of_the_counters_calls(told, members, beat):
     assert Budgets(**told).beat(members) == pytest.approx(beat, abs=0.01)
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -135,9 +135,13 @@
 
 
 steps = st.lists(
-    st.tuples(st.sampled_from(["accept", "claim", "refuse", "die", "join", "tick", "report"]),
-              st.integers(0, 2), st.integers(0, 40)), max_size=80,
-)  # fmt: skip
+    st.tuples(
+        st.sampled_from(["accept", "claim", "refuse", "die", "join", "tick", "report"]),
+        st.integers(0, 2),
+        st.integers(0, 40),
+    ),
+    max_size=80,
+)
 
 
 @given(steps)
@@ -310,8 +314,17 @@
     plan, memory = i.Plan(rate=20.0, burst=40.0), board(workers)
     brains = []
     for n in range(workers):
-        brain = Brain(settings(gateways=workers, gateway=n, workers=workers, seed=seed + n, plans=[plan],
-                               max_retry_after_ns=S, largest_units=1))  # fmt: skip
+        brain = Brain(
+            settings(
+                gateways=workers,
+                gateway=n,
+                workers=workers,
+                seed=seed + n,
+                plans=[plan],
+                max_retry_after_ns=S,
+                largest_units=1,
+            )
+        )
         brain.asking = 1.1
         if workers > 1:
             brain.kin = Kin(AccountBoard(memory, workers, n, ACCOUNTS))
@@ -357,6 +370,7 @@
 @pytest.mark.parametrize("pattern", THIRDS.values(), ids=THIRDS)
 def test_four_workers_keep_one_count(pattern, lost):
     """Hard case 1: kept per core, the quota was let in by each of them while the counter was down."""
+
     def down(n):
         return lost is not None and lost[0] <= n < lost[1]
 
@@ -409,8 +423,9 @@
     from mapleline.cores.worker import divided
     from mapleline.settings.platform import Config
 
-    config = Config("n", ("", 0), ("", 0), ("", 0), settings(gateway=1, gateways=3), [], [], [], [], None,
-                    1024, 1.0, 1.0, 30_001)  # fmt: skip
+    config = Config(
+        "n", ("", 0), ("", 0), ("", 0), settings(gateway=1, gateways=3), [], [], [], [], None, 1024, 1.0, 1.0, 30_001
+    )
     parts = [divided(config, 4, n) for n in range(4)]
     assert [p.start.gateway for p in parts] == [4, 5, 6, 7] and parts[0].start.gateways == 12
     assert all(a.start.seed != b.start.seed for a, b in pairwise(parts))
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -189,8 +189,11 @@
     """Half of all wake-ups on the calm day were for timers of calls and requests long answered."""
     rig = Rig(count_wait_ns=30 * MS)
     rig.module.then[i.Arrival] = lambda ev: [
-        i.SetTimer(S, 8, ev.request), i.Count(9, 1.0, S), i.SetTimer(40 * S, 2), i.Send(ev.request, 1),
-    ]  # fmt: skip
+        i.SetTimer(S, 8, ev.request),
+        i.Count(9, 1.0, S),
+        i.SetTimer(40 * S, 2),
+        i.Send(ev.request, 1),
+    ]
     rig.arrive()
     rig.engine.counted(rig.calls[0], R.OK, 1.0)
     rig.engine.attempt_ended(rig.attempts[0], R.OK)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -17,23 +17,26 @@
     return FLEET + f'fault "f" {{\n{body}}}\n'
 
 
-@pytest.mark.parametrize("text, key", [
-    (step(at=1, link="ingress-7>counter", mode="cut"), "fault.f.link"),
-    (step(at=1, process="ingress-1", mode="cut"), "fault.f.mode"),
-    (step(at=1, link="ingress-1>counter", mode="kill"), "fault.f.mode"),
-    (step(at=1, process="ingress-1", mode="stall"), "fault.f.for"),
-    (step(at=1, process="counter", mode="clock"), "fault.f.mode"),
-    (step(at=1, mode="kill"), "fault.f"),
-    (step(at=-1, process="ingress-1", mode="kill"), "fault.f.at"),
-    (step(at=1, process="ingress-1", mode="kill", colour=3), "fault.f.colour"),
-    (FLEET.replace('["a", "b"]', '["a", "a"]'), "fleet.zones"),
-    ('fleet {\n  ingresses = 0\n}\n', "fleet.ingresses"),
-    ("seconds = 3\n", "seconds"),
-    (FLEET + "budgets {\n  enabled = 3\n}\n", "budgets.enabled"),
-    (FLEET + "zones {\n  enabled = true\n}\n", "zones.enabled"),
-    (step(at=1, link="*>moon", mode="cut"), "fault.f.link"),
-    (step(at=1, process="zone-a", mode="replace"), "fault.f.mode"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "text, key",
+    [
+        (step(at=1, link="ingress-7>counter", mode="cut"), "fault.f.link"),
+        (step(at=1, process="ingress-1", mode="cut"), "fault.f.mode"),
+        (step(at=1, link="ingress-1>counter", mode="kill"), "fault.f.mode"),
+        (step(at=1, process="ingress-1", mode="stall"), "fault.f.for"),
+        (step(at=1, process="counter", mode="clock"), "fault.f.mode"),
+        (step(at=1, mode="kill"), "fault.f"),
+        (step(at=-1, process="ingress-1", mode="kill"), "fault.f.at"),
+        (step(at=1, process="ingress-1", mode="kill", colour=3), "fault.f.colour"),
+        (FLEET.replace('["a", "b"]', '["a", "a"]'), "fleet.zones"),
+        ("fleet {\n  ingresses = 0\n}\n", "fleet.ingresses"),
+        ("seconds = 3\n", "seconds"),
+        (FLEET + "budgets {\n  enabled = 3\n}\n", "budgets.enabled"),
+        (FLEET + "zones {\n  enabled = true\n}\n", "zones.enabled"),
+        (step(at=1, link="*>moon", mode="cut"), "fault.f.link"),
+        (step(at=1, process="zone-a", mode="replace"), "fault.f.mode"),
+    ],
+)
 def test_a_schedule_that_is_wrong_names_the_key(text, key):
     _, faults = schedule.read(text)
     assert [f.key for f in faults] == [key]
@@ -48,40 +51,66 @@
 
 
 def held(at, part, whole=10.0, epoch=1, until=None):
-    return {"at": at, "event": "budget held", "budget": "q", "whole": whole, "part": part, "epoch": epoch,
-            "until": until}  # fmt: skip
+    return {
+        "at": at,
+        "event": "budget held",
+        "budget": "q",
+        "whole": whole,
+        "part": part,
+        "epoch": epoch,
+        "until": until,
+    }
 
 
 def sent(at, rid, ingress="ingress-0"):
     return {"at": at, "event": "sent", "id": rid, "ingress": ingress, "timeout_ms": 1000}
 
 
-@pytest.mark.parametrize("logs, rules", [
-    ({"ingress-0": [held(1, 6, until=3)], "ingress-1": [held(2, 4, until=4)]}, []),
-    ({"ingress-0": [held(1, 6, until=3)], "ingress-1": [held(2.5, 5, until=4)]}, ["budget"]),
-    ({"ingress-0": [held(1, 6, until=3)], "ingress-1": [held(3, 5, until=4)]}, []),
-    ({"ingress-0": [held(1, 6), {"at": 2, "event": "budget released", "budget": "q", "epoch": 1}],
-      "ingress-1": [held(2, 5)]}, []),
-    ({"ingress-0": [held(1, 6)], "ingress-1": [held(9, 5)]}, ["budget"]),
-    ({"load": [sent(1, "a"), {"at": 1.5, "event": "answer", "id": "a", "status": 200}]}, []),
-    ({"load": [sent(1, "a"), {"at": 2.6, "event": "answer", "id": "a", "status": 503}]}, ["answered"]),
-    ({"load": [sent(1, "a"), {"at": 5, "event": "unanswered", "id": "a"}]}, ["answered"]),
-    ({"load": [sent(1, "a"), {"at": 1.1, "event": "cut off", "id": "a"}]}, ["answered"]),
-    ({"load": [sent(1, "a"), *[{"at": 1.1, "event": "answer", "id": "a", "status": 200}] * 2]},
-     ["answered"]),
-    ({"load": [sent(1, "a"), {"at": 1.1, "event": "cut off", "id": "a"}],
-      "fleet": [{"at": 0.5, "event": "fault begun", "mode": "kill", "process": "ingress-0"}]}, []),
-    ({"load": [sent(9, "a"), {"at": 9.1, "event": "cut off", "id": "a"}],
-      "fleet": [{"at": 0.5, "event": "fault begun", "fault": "s", "mode": "stall", "process": "ingress-0"},
-                {"at": 1, "event": "fault ended", "fault": "s", "mode": "stall", "process": "ingress-0"}]},
-     ["answered"]),
-    ({"fleet": [{"at": 1, "event": "process ended", "process": "ingress-1", "status": -9}]}, ["crash"]),
-    ({"fleet": [{"at": 1, "event": "process ended", "process": "ingress-1", "by_schedule": True}]},
-     []),
-    ({"ingress-1": [{"at": 1, "event": "module raised"}]}, ["crash"]),
-    ({"ingress-1": [{"at": 1, "event": "counters", "counts": {"broken.one_answer": 1, "request.served": 3}}]},
-     ["crash"]),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "logs, rules",
+    [
+        ({"ingress-0": [held(1, 6, until=3)], "ingress-1": [held(2, 4, until=4)]}, []),
+        ({"ingress-0": [held(1, 6, until=3)], "ingress-1": [held(2.5, 5, until=4)]}, ["budget"]),
+        ({"ingress-0": [held(1, 6, until=3)], "ingress-1": [held(3, 5, until=4)]}, []),
+        (
+            {
+                "ingress-0": [held(1, 6), {"at": 2, "event": "budget released", "budget": "q", "epoch": 1}],
+                "ingress-1": [held(2, 5)],
+            },
+            [],
+        ),
+        ({"ingress-0": [held(1, 6)], "ingress-1": [held(9, 5)]}, ["budget"]),
+        ({"load": [sent(1, "a"), {"at": 1.5, "event": "answer", "id": "a", "status": 200}]}, []),
+        ({"load": [sent(1, "a"), {"at": 2.6, "event": "answer", "id": "a", "status": 503}]}, ["answered"]),
+        ({"load": [sent(1, "a"), {"at": 5, "event": "unanswered", "id": "a"}]}, ["answered"]),
+        ({"load": [sent(1, "a"), {"at": 1.1, "event": "cut off", "id": "a"}]}, ["answered"]),
+        ({"load": [sent(1, "a"), *[{"at": 1.1, "event": "answer", "id": "a", "status": 200}] * 2]}, ["answered"]),
+        (
+            {
+                "load": [sent(1, "a"), {"at": 1.1, "event": "cut off", "id": "a"}],
+                "fleet": [{"at": 0.5, "event": "fault begun", "mode": "kill", "process": "ingress-0"}],
+            },
+            [],
+        ),
+        (
+            {
+                "load": [sent(9, "a"), {"at": 9.1, "event": "cut off", "id": "a"}],
+                "fleet": [
+                    {"at": 0.5, "event": "fault begun", "fault": "s", "mode": "stall", "process": "ingress-0"},
+                    {"at": 1, "event": "fault ended", "fault": "s", "mode": "stall", "process": "ingress-0"},
+                ],
+            },
+            ["answered"],
+        ),
+        ({"fleet": [{"at": 1, "event": "process ended", "process": "ingress-1", "status": -9}]}, ["crash"]),
+        ({"fleet": [{"at": 1, "event": "process ended", "process": "ingress-1", "by_schedule": True}]}, []),
+        ({"ingress-1": [{"at": 1, "event": "module raised"}]}, ["crash"]),
+        (
+            {"ingress-1": [{"at": 1, "event": "counters", "counts": {"broken.one_answer": 1, "request.served": 3}}]},
+            ["crash"],
+        ),
+    ],
+)
 def test_the_checker_finds_what_a_history_breaks(logs, rules):
     assert [v.rule for v in checker.judge(logs)] == rules
 
@@ -96,16 +125,26 @@
   work_ms = 150
   seed = 5
 }
-""" + "".join(f'fault "{mode}" {{\n  at = 1\n  for = 1\n  {where} = "{name}"\n  mode = "{mode}"\n{more}}}\n'
-              for mode, where, name, more in [
-    ("delay", "link", "load>ingress-1", "  ms = 300\n"), ("loss", "link", "load>ingress-2", "  share = 1\n"),
-    ("cut", "link", "load>ingress-3", ""), ("cut_up", "link", "load>ingress-4", ""),
-    ("cut_down", "link", "load>ingress-5", ""), ("blackhole", "link", "load>ingress-6", ""),
-    ("reset", "link", "load>ingress-7", ""), ("slow", "link", "load>ingress-8", "  bytes_per_s = 40\n"),
-    ("stall", "process", "ingress-9", ""), ("kill", "process", "ingress-10", ""),
-    ("restart", "process", "ingress-11", ""), ("restart", "process", "ingress-12", ""),
-]).replace('fault "restart" {\n  at = 1\n  for = 1\n  process = "ingress-12"',
-           'fault "restart2" {\n  at = 1.5\n  for = 1\n  process = "ingress-12"')  # fmt: skip
+""" + "".join(
+    f'fault "{mode}" {{\n  at = 1\n  for = 1\n  {where} = "{name}"\n  mode = "{mode}"\n{more}}}\n'
+    for mode, where, name, more in [
+        ("delay", "link", "load>ingress-1", "  ms = 300\n"),
+        ("loss", "link", "load>ingress-2", "  share = 1\n"),
+        ("cut", "link", "load>ingress-3", ""),
+        ("cut_up", "link", "load>ingress-4", ""),
+        ("cut_down", "link", "load>ingress-5", ""),
+        ("blackhole", "link", "load>ingress-6", ""),
+        ("reset", "link", "load>ingress-7", ""),
+        ("slow", "link", "load>ingress-8", "  bytes_per_s = 40\n"),
+        ("stall", "process", "ingress-9", ""),
+        ("kill", "process", "ingress-10", ""),
+        ("restart", "process", "ingress-11", ""),
+        ("restart", "process", "ingress-12", ""),
+    ]
+).replace(
+    'fault "restart" {\n  at = 1\n  for = 1\n  process = "ingress-12"',
+    'fault "restart2" {\n  at = 1.5\n  for = 1\n  process = "ingress-12"',
+)
 
 
 @pytest.mark.schedule(EVERY_FAULT, "--bare")
@@ -245,8 +284,7 @@
     begun = when(logs, fault)
     ended = next(e["at"] for e in logs["fleet"] if e["event"] == "load ended")
     epochs = checker.held_by_epoch(logs)["fleet"]
-    used = [part for e, part in epochs.items()
-            if e * lease_s >= begun + 2 * lease_s and (e + 1) * lease_s <= ended]  # fmt: skip
+    used = [part for e, part in epochs.items() if e * lease_s >= begun + 2 * lease_s and (e + 1) * lease_s <= ended]
     assert used, epochs
     return used
 
@@ -294,8 +332,7 @@
   process = "ingress-3"
   mode = "leave"
 }
-""" + "".join(f'fault "kill-{n}" {{\n  at = 8\n  process = "ingress-{n}"\n  mode = "kill"\n}}\n'
-          for n in (1, 2, 5))  # fmt: skip
+""" + "".join(f'fault "kill-{n}" {{\n  at = 8\n  process = "ingress-{n}"\n  mode = "kill"\n}}\n' for n in (1, 2, 5))
 
 
 @pytest.mark.schedule(COMINGS_AND_GOINGS)
@@ -307,15 +344,38 @@
     assert min(used_after(logs, "kill-1", 3.0)) >= 90
 
 
-DIVIDED = fleet(
-    ingresses=5, zones=["a", "b"], seconds=20, rate=300, grace=2, seed=8, work_ms=40, lean=0.6, shift_s=10,
-    bears_per_s=100, warm_s=5,
-) + block(
-    "budgets", enabled=True, whole=100, lease_s=1.5, clock_margin_s=0.05, beat_s=0.4, calls_per_s=100,
-    retries_per_s=10, room=5, server_per_s=100,
-) + (fault("zone-gone", 4, process="zone-b", mode="kill", lasts=2)
-     + fault("halved", 16, link="ingress-[01]>counter", mode="cut", lasts=2)
-     + fault("stall", 16.5, process="ingress-3", mode="stall", lasts=2))  # fmt: skip
+DIVIDED = (
+    fleet(
+        ingresses=5,
+        zones=["a", "b"],
+        seconds=20,
+        rate=300,
+        grace=2,
+        seed=8,
+        work_ms=40,
+        lean=0.6,
+        shift_s=10,
+        bears_per_s=100,
+        warm_s=5,
+    )
+    + block(
+        "budgets",
+        enabled=True,
+        whole=100,
+        lease_s=1.5,
+        clock_margin_s=0.05,
+        beat_s=0.4,
+        calls_per_s=100,
+        retries_per_s=10,
+        room=5,
+        server_per_s=100,
+    )
+    + (
+        fault("zone-gone", 4, process="zone-b", mode="kill", lasts=2)
+        + fault("halved", 16, link="ingress-[01]>counter", mode="cut", lasts=2)
+        + fault("stall", 16.5, process="ingress-3", mode="stall", lasts=2)
+    )
+)
 
 
 @pytest.mark.schedule(DIVIDED)
@@ -327,8 +387,7 @@
     spent = checker.spent_by_epoch(logs)
     assert {name.partition(":")[0] for name, _ in spent} == {"calls", "retries", "cold"}
     begun = when(logs, "zone-gone") - 4
-    used = {epoch * 1.5 - begun: total / whole for (name, epoch), (total, whole, _) in spent.items()
-            if name == "calls"}  # fmt: skip
+    used = {epoch * 1.5 - begun: total / whole for (name, epoch), (total, whole, _) in spent.items() if name == "calls"}
     settled = [share for at, share in used.items() if 3 <= at <= 8.5 or 13 <= at <= 14.5]
     # 0.94 can be, 1 - (1 - floor) * 2 * margin / lease, less fractions of a unit.
     assert len(settled) >= 4 and statistics.median(settled) >= 0.87 and min(settled) >= 0.8, used
@@ -336,12 +395,25 @@
 
 
 QUOTAS = fleet(
-    ingresses=5, zones=["a", "b"], seconds=35, rate=300, grace=2, seed=13, customers=20, hot=4, hot_share=0.5,
-    quota_rate=12.5, quota_burst=25, overrun_most=0.06, refused_most=0.03,
-) + (fault("emptied", 9, process="counter", mode="restart")
-     + fault("silent", 13, link="*>counter", mode="blackhole", lasts=4)
-     + fault("slow", 21, link="*>counter", mode="delay", ms=60, jitter_ms=60, lasts=4)
-     + fault("replaced", 29, process="counter", mode="replace", jitter_ms=500))  # fmt: skip
+    ingresses=5,
+    zones=["a", "b"],
+    seconds=35,
+    rate=300,
+    grace=2,
+    seed=13,
+    customers=20,
+    hot=4,
+    hot_share=0.5,
+    quota_rate=12.5,
+    quota_burst=25,
+    overrun_most=0.06,
+    refused_most=0.03,
+) + (
+    fault("emptied", 9, process="counter", mode="restart")
+    + fault("silent", 13, link="*>counter", mode="blackhole", lasts=4)
+    + fault("slow", 21, link="*>counter", mode="delay", ms=60, jitter_ms=60, lasts=4)
+    + fault("replaced", 29, process="counter", mode="replace", jitter_ms=500)
+)
 
 
 @pytest.mark.schedule(QUOTAS)
@@ -358,17 +430,27 @@
     assert all(c.get("counter.timeout", 0) > 0 and c.get("reload.done", 0) == 1 for c in counts)
 
 
-BROKEN = {"ingress-0": [{"at": 2, "event": "budget spent", "epoch": 1, "spent": {"calls": 60},
-                         "wholes": {"calls": 100}}],
-          "ingress-1": [{"at": 3, "event": "budget spent", "epoch": 1, "spent": {"calls": 41},
-                         "wholes": {"calls": 100}}],
-          "fleet": [{"at": 0, "event": "load begun", "own": {"budgets": {"room": 2}},
-                     "quota_rate": 1, "quota_burst": 4,
-                     "overrun_most": 0.1, "refused_most": 0.1}],
-          "zone-a": [{"at": 1, "event": "run", "server": "s", "id": "x", "in_work": 3},
-                     {"at": 2, "event": "fell over", "server": "s", "arrivals": 9, "most": 8.0}],
-          "load": [{**sent(1 + n / 100, f"r{n}"), "customer": 1} for n in range(8)]
-          + [{"at": 2, "event": "answer", "id": f"r{n}", "status": 200 if n else 429} for n in range(8)]}
+BROKEN = {
+    "ingress-0": [{"at": 2, "event": "budget spent", "epoch": 1, "spent": {"calls": 60}, "wholes": {"calls": 100}}],
+    "ingress-1": [{"at": 3, "event": "budget spent", "epoch": 1, "spent": {"calls": 41}, "wholes": {"calls": 100}}],
+    "fleet": [
+        {
+            "at": 0,
+            "event": "load begun",
+            "own": {"budgets": {"room": 2}},
+            "quota_rate": 1,
+            "quota_burst": 4,
+            "overrun_most": 0.1,
+            "refused_most": 0.1,
+        }
+    ],
+    "zone-a": [
+        {"at": 1, "event": "run", "server": "s", "id": "x", "in_work": 3},
+        {"at": 2, "event": "fell over", "server": "s", "arrivals": 9, "most": 8.0},
+    ],
+    "load": [{**sent(1 + n / 100, f"r{n}"), "customer": 1} for n in range(8)]
+    + [{"at": 2, "event": "answer", "id": f"r{n}", "status": 200 if n else 429} for n in range(8)],
+}
 
 
 def test_the_checker_finds_overspending_a_crowded_server_a_fall_and_broken_quotas():
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -60,19 +60,22 @@
         scan(data, "n", 3)
 
 
-@pytest.mark.parametrize("records, cls, now, fate", [
-    ([], ONCE, 100, Fate.SEND),
-    ([sent("x")], ONCE, 100, Fate.UNKNOWN),
-    ([sent("x"), {"op": "n", "id": "x", "n": 0}], ONCE, 100, Fate.SEND),  # proven never to have run
-    ([sent("x"), {"op": "n", "id": "x", "n": 0}, sent("x", 1)], ONCE, 100, Fate.UNKNOWN),
-    ([sent("x")], SAFE, 100, Fate.SEND),
-    ([sent("x")], KEYED, 150, Fate.SEND),
-    ([sent("x")], KEYED, 155, Fate.UNKNOWN),  # nine tenths of the key's life are over
-    ([sent("x"), sent("x", 1, 150)], KEYED, 155, Fate.UNKNOWN),  # since the first sending
-    ([sent("x")], NEAR, 101, Fate.UNKNOWN),  # other servers do not know the key
-    ([sent("x"), {"op": "d", "id": "x", "how": "served"}], ONCE, 100, Fate.TOLD),
-    ([sent("x"), {"op": "d", "id": "x", "how": "served"}], SAFE, 100, Fate.DROP),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "records, cls, now, fate",
+    [
+        ([], ONCE, 100, Fate.SEND),
+        ([sent("x")], ONCE, 100, Fate.UNKNOWN),
+        ([sent("x"), {"op": "n", "id": "x", "n": 0}], ONCE, 100, Fate.SEND),  # proven never to have run
+        ([sent("x"), {"op": "n", "id": "x", "n": 0}, sent("x", 1)], ONCE, 100, Fate.UNKNOWN),
+        ([sent("x")], SAFE, 100, Fate.SEND),
+        ([sent("x")], KEYED, 150, Fate.SEND),
+        ([sent("x")], KEYED, 155, Fate.UNKNOWN),  # nine tenths of the key's life are over
+        ([sent("x"), sent("x", 1, 150)], KEYED, 155, Fate.UNKNOWN),  # since the first sending
+        ([sent("x")], NEAR, 101, Fate.UNKNOWN),  # other servers do not know the key
+        ([sent("x"), {"op": "d", "id": "x", "how": "served"}], ONCE, 100, Fate.TOLD),
+        ([sent("x"), {"op": "d", "id": "x", "how": "served"}], SAFE, 100, Fate.DROP),
+    ],
+)
 def test_the_fate_of_a_request_follows_from_its_record_and_its_class(records, cls, now, fate):
     book = Book().read([accepted("x"), *records])
     assert book.entries["x"].fate(cls, now) is fate
@@ -151,9 +154,13 @@
     assert store.read("gone.1") == []
 
 
-@pytest.mark.parametrize("text, key", [
-    ("handoff { enabled = true }", "handoff.dir"), ("handoff { lease_s = 0 }", "handoff.lease_s"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "text, key",
+    [
+        ("handoff { enabled = true }", "handoff.dir"),
+        ("handoff { lease_s = 0 }", "handoff.lease_s"),
+    ],
+)
 def test_settings_that_do_not_fit_name_the_key(text, key):
     assert [f.key for f in own.read(text)[1]] == [key]
 
@@ -182,8 +189,22 @@
     a.store.claim("c.1", a.log_name)  # it was taking over c's work as well
     a._note({"op": "t", "log": "c.1"})
     assert a.store.hold(b"x", a.log_name)
-    a._note({"op": "a", "id": "x", "cls": "book", "plan": "wide", "customer": 5, "units": 1.0, "spread": 1,
-             "start": 0, "method": "POST", "target": "/book/5", "lines": "", "body": ""})  # fmt: skip
+    a._note(
+        {
+            "op": "a",
+            "id": "x",
+            "cls": "book",
+            "plan": "wide",
+            "customer": 5,
+            "units": 1.0,
+            "spread": 1,
+            "start": 0,
+            "method": "POST",
+            "target": "/book/5",
+            "lines": "",
+            "body": "",
+        }
+    )
     now[0] += 3.2
     assert a.good() and a.epoch == 2 and a.store.owner(b"x") == "a.2"
     assert a.store.claimed_by("c.1") == "a.2"
@@ -208,16 +229,33 @@
 
 
 def plan(*faults, handoff=None, **values):
-    base = dict(ingresses=5, zones=["a"], seconds=9, rate=100, grace=14, seed=9, work_ms=WORK_MS,
-                servers=64, aim_ms=15000, deadline_ms=20000, retry_s=10, keyed_share=0.3, once_share=0.3,
-                timeout_ms=9000)  # fmt: skip
+    base = dict(
+        ingresses=5,
+        zones=["a"],
+        seconds=9,
+        rate=100,
+        grace=14,
+        seed=9,
+        work_ms=WORK_MS,
+        servers=64,
+        aim_ms=15000,
+        deadline_ms=20000,
+        retry_s=10,
+        keyed_share=0.3,
+        once_share=0.3,
+        timeout_ms=9000,
+    )
     return fleet(**{**base, **values}) + block("handoff", **{**HANDOFF, **(handoff or {})}) + "".join(faults)
 
 
 def counted(logs, name):
     """A counter summed over the ingresses that lived to print it."""
-    return sum(e["counts"].get(name, 0) for lines in logs.values() for e in lines
-               if e["event"] == "counters" and e.get("why") == "exit")  # fmt: skip
+    return sum(
+        e["counts"].get(name, 0)
+        for lines in logs.values()
+        for e in lines
+        if e["event"] == "counters" and e.get("why") == "exit"
+    )
 
 
 def outcomes(logs):
@@ -241,19 +279,34 @@
     for e in (e for name, lines in logs.items() if name.startswith("zone-") for e in lines):
         if e["event"] == "run":
             runs[e["id"]] = min(e["at"], runs.get(e["id"], e["at"]))
-    return {e["id"]: e["cls"] for e in logs["load"] if e["event"] == "sent" and e["ingress"] == process
-            and began - (WORK_MS - 20) / 1000 < runs.get(e["id"], 0) < began}  # fmt: skip
+    return {
+        e["id"]: e["cls"]
+        for e in logs["load"]
+        if e["event"] == "sent"
+        and e["ingress"] == process
+        and began - (WORK_MS - 20) / 1000 < runs.get(e["id"], 0) < began
+    }
 
 
 def taken(logs):
     """Log by taker, of every takeover that was begun."""
-    return [(e["log"], e["by"].rpartition(".")[0]) for name, lines in logs.items()
-            if name.startswith("ingress-") for e in lines if e["event"] == "taking over"]  # fmt: skip
+    return [
+        (e["log"], e["by"].rpartition(".")[0])
+        for name, lines in logs.items()
+        if name.startswith("ingress-")
+        for e in lines
+        if e["event"] == "taking over"
+    ]
 
 
 KILLED = plan(
     fault("kill", 3, process="ingress-0", mode="kill", in_flight=220),  # the one that most of the load goes to
-    ingresses=3, servers=384, seconds=13, rate=150, lean=0.6, shift_s=60,
+    ingresses=3,
+    servers=384,
+    seconds=13,
+    rate=150,
+    lean=0.6,
+    shift_s=60,
 )
 
 
@@ -287,14 +340,18 @@
     begun = [e["epoch"] for e in logs["ingress-1"] if e["event"] == "handoff begun"]
     assert begun == [1, 2]  # and it serves again
     woke = when(logs, "stall", "fault ended")
-    assert any(e["event"] == "answer" and e["ingress"] == "ingress-1" and e["status"] == 200
-               and e["at"] > woke + 0.5 for e in logs["load"])  # fmt: skip
+    assert any(
+        e["event"] == "answer" and e["ingress"] == "ingress-1" and e["status"] == 200 and e["at"] > woke + 0.5
+        for e in logs["load"]
+    )
 
 
 CASCADE = plan(
     fault("first", 3, process="ingress-1", mode="kill", in_flight=30),
     fault("its-taker", 0.5, process="ingress-2", mode="kill", after="taking over"),
-    grace=18, retry_s=16, handoff={"pace_per_s": 20},
+    grace=18,
+    retry_s=16,
+    handoff={"pace_per_s": 20},
 )
 
 
@@ -309,7 +366,8 @@
 
 
 TWO = plan(
-    fault("one", 3, process="ingress-1", mode="kill"), fault("two", 3, process="ingress-2", mode="kill"),
+    fault("one", 3, process="ingress-1", mode="kill"),
+    fault("two", 3, process="ingress-2", mode="kill"),
     fault("cut", 2.5, link="ingress-3>counter", mode="cut", lasts=6),
     fault("back", 8, process="ingress-2", mode="restart"),
     seconds=11,
@@ -323,8 +381,12 @@
     assert sorted(taken(logs)) == [("ingress-1.1", "ingress-3"), ("ingress-2.1", "ingress-3")]
 
 
-SPOILT = plan(*(fault(f"kill-{n}", 3, process=f"ingress-{n}", mode="kill", record=record)
-                for n, record in ((0, "torn"), (2, "empty"), (4, "foreign"))))  # fmt: skip
+SPOILT = plan(
+    *(
+        fault(f"kill-{n}", 3, process=f"ingress-{n}", mode="kill", record=record)
+        for n, record in ((0, "torn"), (2, "empty"), (4, "foreign"))
+    )
+)
 
 
 @pytest.mark.schedule(SPOILT)
@@ -343,8 +405,10 @@
 
 def test_an_answer_read_of_a_stopped_ingress_was_written_before_and_one_read_later_breaks_the_fence():
     load = [{"at": 1, "event": "sent", "id": rid, "ingress": "ingress-0", "timeout_ms": 9000} for rid in "ab"]
-    load += [{"at": at, "event": "answer", "id": rid, "ingress": "ingress-0", "status": 200}
-             for rid, at in (("a", 4), ("b", 6))]  # fmt: skip
+    load += [
+        {"at": at, "event": "answer", "id": rid, "ingress": "ingress-0", "status": 200}
+        for rid, at in (("a", 4), ("b", 6))
+    ]
     stall = {"fault": "stall", "mode": "stall", "process": "ingress-0"}
     fleet = [{"at": 2, "event": "fault begun", **stall}, {"at": 5, "event": "fault ended", **stall}]
     over = {"at": 3, "event": "taking over", "log": "ingress-0.1", "by": "ingress-1.1", "ids": ["a", "b"]}
@@ -357,10 +421,14 @@
     assert [(v.rule, v.where) for v in checker.judge({"fleet": fleet})] == [("schedule", "ingress-0")]
 
 
-@pytest.mark.parametrize("values", [
-    dict(process="counter", mode="kill", in_flight=3), dict(link="ingress-1>counter", mode="cut", after="serving"),
-    dict(process="ingress-1", mode="kill", in_flight=3, after="serving"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "values",
+    [
+        dict(process="counter", mode="kill", in_flight=3),
+        dict(link="ingress-1>counter", mode="cut", after="serving"),
+        dict(process="ingress-1", mode="kill", in_flight=3, after="serving"),
+    ],
+)
 def test_a_fault_waits_for_one_thing_of_an_ingress(values):
     assert [f.key for f in schedule.read(fleet() + fault("f", 1, **values))[1]] == ["fault.f"]
 
@@ -372,21 +440,35 @@
     kinds = {"b": "book", "p": "pay", "l": "look", "n": "book", "r": "book", "u": "look", "v": "book"}
     runs = [{"at": 2, "event": "run", "id": rid, "in_work": 1} for rid in "bbppllrv"]
     logs = {
-        "load": [{"at": 1, "event": "sent", "id": rid, "ingress": "ingress-0", "cls": cls, "timeout_ms": 9000}
-                 for rid, cls in kinds.items()]
-        + [answer("b", 200), answer("p", 200), answer("l", 200), answer("n", 200), answer("r", 503),
-           answer("u", 502, unknown=True), answer("v", 200)],
+        "load": [
+            {"at": 1, "event": "sent", "id": rid, "ingress": "ingress-0", "cls": cls, "timeout_ms": 9000}
+            for rid, cls in kinds.items()
+        ]
+        + [
+            answer("b", 200),
+            answer("p", 200),
+            answer("l", 200),
+            answer("n", 200),
+            answer("r", 503),
+            answer("u", 502, unknown=True),
+            answer("v", 200),
+        ],
         "zone-a": runs,
-        "ingress-1": [{"at": 2.5, "event": "taking over", "log": "ingress-0.1", "by": "ingress-1.1",
-                       "ids": list("bplnru")}],  # v lay unread: it is not on record
-        "counter": [{"at": 2, "event": "add", "name": "0123456789abcdef", "amount": 8.0},
-                    {"at": 2, "event": "add", "name": "hb.f.1", "amount": 99.0}],
-    }  # fmt: skip
+        "ingress-1": [
+            {"at": 2.5, "event": "taking over", "log": "ingress-0.1", "by": "ingress-1.1", "ids": list("bplnru")}
+        ],  # v lay unread: it is not on record
+        "counter": [
+            {"at": 2, "event": "add", "name": "0123456789abcdef", "amount": 8.0},
+            {"at": 2, "event": "add", "name": "hb.f.1", "amount": 99.0},
+        ],
+    }
     found = [str(v).partition(": ")[2] for v in checker.judge(logs)]
     fenced = [one for one in found if "taken it over" in one]
     assert len(fenced) == 6 and sorted(set(found) - set(fenced)) == [
-        "8 units charged for 7 requests", "request b (book) ran 2 times",
+        "8 units charged for 7 requests",
+        "request b (book) ran 2 times",
         "request n answered 200 without having run",
-        "request p (pay) ran 2 times", "request r (book) refused though it ran",
+        "request p (pay) ran 2 times",
+        "request r (book) refused though it ran",
         "request u may be repeated, and its outcome is unknown",
-    ]  # fmt: skip
+    ]
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -86,17 +86,21 @@
 @pytest.mark.parametrize(
     "data",
     [
-        b"SPDY/3 200 OK\r\n\r\n", b"HTTP/1.1 99\r\n\r\n", b"HTTP/1.1 200 OK\r\nA : b\r\n\r\n",
+        b"SPDY/3 200 OK\r\n\r\n",
+        b"HTTP/1.1 99\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nA : b\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 1, 2\r\n\r\n",
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", b"x" * 9000,
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n",
+        b"x" * 9000,
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n",
-        b"HTTP/1.1 103 Early Hints\r\n\r\n" * 50, b"HTTP/1.1 101 Switching Protocols\r\n\r\n",
+        b"HTTP/1.1 103 Early Hints\r\n\r\n" * 50,
+        b"HTTP/1.1 101 Switching Protocols\r\n\r\n",
     ],
-)  # fmt: skip
+)
 def test_malformed_answers_end_the_use_of_the_connection_and_hold_no_buffer(data):
     pool = BufferPool()
     connection = ClientConnection(pool)
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -268,8 +268,14 @@
         assert ingress.counts()["attempt.no_connection"] >= 1
 
 
-KEYED = {"name": "keyed", "effect": "guarded", "key_scope": "all", "key_ttl_ns": 60_000_000_000,
-         "aim_ns": 750_000_000, "deadline_ns": 2_500_000_000}  # fmt: skip
+KEYED = {
+    "name": "keyed",
+    "effect": "guarded",
+    "key_scope": "all",
+    "key_ttl_ns": 60_000_000_000,
+    "aim_ns": 750_000_000,
+    "deadline_ns": 2_500_000_000,
+}
 HALF = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal"
 
 
@@ -337,9 +343,7 @@
 
 @pytest.mark.parametrize("surplus", [message(body=b"other"), b"\xff\x00noise\r\n"], ids=["copy", "noise"])
 @pytest.mark.parametrize("size", [100, 16384], ids=["same read", "next read"])
-def test_a_good_answer_with_more_behind_it_is_given_and_its_connection_never_used_again(
-    tmp_path, surplus, size
-):
+def test_a_good_answer_with_more_behind_it_is_given_and_its_connection_never_used_again(tmp_path, surplus, size):
     """A reader of 16 KiB can leave the surplus in the kernel, where it would answer the next request."""
     room = 2 * size - 50 - len(message(body=b"x" * (size - 50)))
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -51,15 +51,35 @@
 
     def trial(workers, rate, seconds, connections, seed):
         held = rate < 2000 * workers
-        return {"workers": workers, "offered_rps": rate, "answered_rps": rate, "p50_ms": 1.0,
-                "p99_ms": 2.0 if held else 99.0, "p999_ms": 3.0, "cpu_ms_per_request": 0.1,
-                "quota_error": 0.0, "rss_mb": 1.0, "load_lag_p99_ms": 0.1, "ends": {"200": 1},
-                "held": held}  # fmt: skip
+        return {
+            "workers": workers,
+            "offered_rps": rate,
+            "answered_rps": rate,
+            "p50_ms": 1.0,
+            "p99_ms": 2.0 if held else 99.0,
+            "p999_ms": 3.0,
+            "cpu_ms_per_request": 0.1,
+            "quota_error": 0.0,
+            "rss_mb": 1.0,
+            "load_lag_p99_ms": 0.1,
+            "ends": {"200": 1},
+            "held": held,
+        }
 
     monkeypatch.setattr(cores, "trial", trial)
     files = {kind: tmp_path / f"runs.{kind}" for kind in ("json", "parquet", "png")}
-    args = ["lab", "cores", "--workers", "1,2", "--json", files["json"], "--parquet", files["parquet"],
-            "--plot", files["png"]]  # fmt: skip
+    args = [
+        "lab",
+        "cores",
+        "--workers",
+        "1,2",
+        "--json",
+        files["json"],
+        "--parquet",
+        files["parquet"],
+        "--plot",
+        files["png"],
+    ]
     done = CliRunner().invoke(group, [str(arg) for arg in args], catch_exceptions=False)
     assert done.exit_code == 0
     runs = json.loads(files["json"].read_text())["runs"]
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -18,17 +18,20 @@
     return life
 
 
-@pytest.mark.parametrize(("events", "phase"), [
-    ([], Phase.STARTING),
-    ([(LISTED, 0)], Phase.READY),
-    ([(DRAIN, 0)], Phase.DRAINING),
-    ([(DRAIN, 0), (LISTED, 1)], Phase.DRAINING),
-    ([(DRAIN, 0), (RESUME, 1)], Phase.STARTING),
-    ([(LISTED, 0), (DRAIN, 1), (DRAIN, 2), (RESUME, 3)], Phase.READY),
-    ([(LISTED, 0), (RESUME, 1)], Phase.READY),
-    ([(LISTED, 0), (DRAIN, 1), (LEAVE, 2), (RESUME, 3)], Phase.LEAVING),
-    ([(LISTED, 0), (LEAVE, 1), (DRAIN, 2)], Phase.LEAVING),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("events", "phase"),
+    [
+        ([], Phase.STARTING),
+        ([(LISTED, 0)], Phase.READY),
+        ([(DRAIN, 0)], Phase.DRAINING),
+        ([(DRAIN, 0), (LISTED, 1)], Phase.DRAINING),
+        ([(DRAIN, 0), (RESUME, 1)], Phase.STARTING),
+        ([(LISTED, 0), (DRAIN, 1), (DRAIN, 2), (RESUME, 3)], Phase.READY),
+        ([(LISTED, 0), (RESUME, 1)], Phase.READY),
+        ([(LISTED, 0), (DRAIN, 1), (LEAVE, 2), (RESUME, 3)], Phase.LEAVING),
+        ([(LISTED, 0), (LEAVE, 1), (DRAIN, 2)], Phase.LEAVING),
+    ],
+)
 def test_phases(events, phase):
     life = play(*events)
     assert life.phase is phase and life.ready is (phase is Phase.READY)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -27,11 +27,22 @@
     return Peer(answer), gate
 
 
-@pytest.mark.parametrize(("line", "status"), [
-    ("GET /-/ready", 200), ("GET /-/ready?verbose", 200), ("POST /-/drain", 200), ("POST /-/resume", 200),
-    ("GET /-/drain", 405), ("POST /-/ready", 405), ("GET /-/", 404), ("GET /health/ready", 404),
-    ("GET /look/0000000000000005", 404), ("GET -", 400), ("BREW", 400),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("line", "status"),
+    [
+        ("GET /-/ready", 200),
+        ("GET /-/ready?verbose", 200),
+        ("POST /-/drain", 200),
+        ("POST /-/resume", 200),
+        ("GET /-/drain", 405),
+        ("POST /-/ready", 405),
+        ("GET /-/", 404),
+        ("GET /health/ready", 404),
+        ("GET /look/0000000000000005", 404),
+        ("GET -", 400),
+        ("BREW", 400),
+    ],
+)
 def test_calls(tmp_path, line, status):
     with running(tmp_path, serving(), **DOOR) as ingress:
         caller = Client(ingress.door)
@@ -43,12 +54,15 @@
             assert headers["allow"] in ("GET", "POST")
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"POST /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 70000000\r\n\r\n", 413),
-    (b"GET /-/ready HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 20_000 + b"\r\n\r\n", 431),
-    (b"\x00\x01\x02\r\n\r\n", 400),
-    (b"POST /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"POST /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 70000000\r\n\r\n", 413),
+        (b"GET /-/ready HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 20_000 + b"\r\n\r\n", 431),
+        (b"\x00\x01\x02\r\n\r\n", 400),
+        (b"POST /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+    ],
+)
 def test_calls_that_cannot_be_read_order_nothing(tmp_path, data, status):
     with running(tmp_path, serving(), **DOOR) as ingress:
         caller = Client(ingress.door)
@@ -165,7 +179,11 @@
         discovery.next(), discovery.next()  # the second watch: the first one's answer has been read
         assert ingress.ready() == 503
         assert ingress.call("POST /-/resume")[2] == {
-            "state": "ready", "ready": True, "connections": 0, "open_requests": 0}  # fmt: skip
+            "state": "ready",
+            "ready": True,
+            "connections": 0,
+            "open_requests": 0,
+        }
         assert ingress.ready() == 200
 
 
@@ -194,9 +212,14 @@
         assert ingress.ready() == 503
 
 
-@pytest.mark.parametrize(("value", "fault"), [
-    ("nowhere", "management: expected host:port"), (5, "management: expected text"), (None, "management: "),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("value", "fault"),
+    [
+        ("nowhere", "management: expected host:port"),
+        (5, "management: expected text"),
+        (None, "management: "),
+    ],
+)
 def test_a_door_that_cannot_be_opened_ends_the_start(tmp_path, value, fault):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         value = value or f"127.0.0.1:{taken.getsockname()[1]}"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,18 +8,25 @@
 
 R = i.Result
 steps = st.lists(
-    st.tuples(st.sampled_from(["arrive"] * 5 + ["end"] * 5 + ["count"] * 3 + ["wait"] * 4 + ["list", "left"]),
-              st.integers(0, 10**6), st.integers(0, 400)),
-    min_size=20, max_size=150,
+    st.tuples(
+        st.sampled_from(["arrive"] * 5 + ["end"] * 5 + ["count"] * 3 + ["wait"] * 4 + ["list", "left"]),
+        st.integers(0, 10**6),
+        st.integers(0, 400),
+    ),
+    min_size=20,
+    max_size=150,
 )
 EFFECTS = [i.Effect.SAFE, i.Effect.UNSAFE, i.Effect.KEYED]
 
 
 def play(script, **changes):
     """Runs a script and checks rules 1, 2, 3 and 5 at every step; returns all actions."""
-    classes = [i.RequestClass(S, 4 * S), i.RequestClass(2 * S, 5 * S, i.Effect.UNSAFE),
-               i.RequestClass(S, 4 * S, i.Effect.KEYED, i.Scope.CELL, 2 * S),
-               i.RequestClass(S, 4 * S, i.Effect.KEYED, i.Scope.ALL, 2 * S)]
+    classes = [
+        i.RequestClass(S, 4 * S),
+        i.RequestClass(2 * S, 5 * S, i.Effect.UNSAFE),
+        i.RequestClass(S, 4 * S, i.Effect.KEYED, i.Scope.CELL, 2 * S),
+        i.RequestClass(S, 4 * S, i.Effect.KEYED, i.Scope.ALL, 2 * S),
+    ]
     g = Gateway(classes=classes, **changes)
     owed, live, may_run, timers, calls, stores = {}, {}, {}, [], [], {}
     life = dict.fromkeys(range(1, 7), i.Life.READY)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -66,8 +66,7 @@
 def test_an_asking_try_stands_for_those_that_did_not_ask():
     g = Gateway(gateways=300)
     g.brain.asking = 0.5
-    amounts = [c.amount for n in range(40)
-               for c in only(g.arrive(plan=0, spread=300, customer=n)[1], i.Count)]
+    amounts = [c.amount for n in range(40) for c in only(g.arrive(plan=0, spread=300, customer=n)[1], i.Count)]
     assert amounts and all(1.0 < a <= 4.0 for a in amounts)
     few = Gateway(gateways=3)
     few.brain.asking = 0.5
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,8 +15,13 @@
 
 
 def command(*args, **environment):
-    return subprocess.run([sys.executable, "-m", "mapleline", *map(str, args)], cwd=ROOT, text=True,
-                          capture_output=True, env={**os.environ, **environment})  # fmt: skip
+    return subprocess.run(
+        [sys.executable, "-m", "mapleline", *map(str, args)],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        env={**os.environ, **environment},
+    )
 
 
 def faults_of(text):
@@ -30,12 +35,15 @@
         ("cores {\n  workers = 0\n}", ["line 2: cores.workers: expected 1 to 16, got 0"]),
         ("cores { workers = 2.0 }", ["line 1: cores.workers: expected a whole number, got 2.0"]),
         ("cores { workers = true }", ["line 1: cores.workers: expected a whole number, got True"]),
-        ("cores { workers = 1 + 1 }", ["line 1: cores.workers: expected a constant: a number, a text, true, "
-                                       "false, null or a list of them"]),
-        ("cores { workers = n }", ["line 1: cores.workers: expected a constant: a number, a text, true, "
-                                   "false, null or a list of them"]),
-        ('log { form = "jason" }',
-         ["line 1: log.form: expected one of auto, json, text; did you mean 'json'?"]),
+        (
+            "cores { workers = 1 + 1 }",
+            ["line 1: cores.workers: expected a constant: a number, a text, true, false, null or a list of them"],
+        ),
+        (
+            "cores { workers = n }",
+            ["line 1: cores.workers: expected a constant: a number, a text, true, false, null or a list of them"],
+        ),
+        ('log { form = "jason" }', ["line 1: log.form: expected one of auto, json, text; did you mean 'json'?"]),
         ('log { form = "a${b}" }', ["line 1: log.form: expected a constant, not an expression in a text"]),
         ("cores {\n workers = 1\n workers = 2\n}", ["line 3: cores.workers: set twice, first on line 2"]),
         ("cores {}\n\ncores {}", ["line 3: cores: stands twice, first on line 1"]),
@@ -43,13 +51,19 @@
         ("cores {\n zone {}\n}", ["line 2: cores.zone: no block is known here"]),
         ("core {}", ["line 1: core: unknown block; did you mean 'cores'?"]),
         ("cores = 1", ["line 1: cores: no such setting here; is a block: write it without '='"]),
-        ("cores {\n restart_pause_ms = 9000\n}",
-         ["line 1: cores.restart_pause_most_ms: expected at least restart_pause_ms (9000)"]),
-        ("cores {\n lean = 1\n offer_ms = \"x\"\n}",
-         ["line 2: cores.lean: expected 1.05 to 10, got 1",
-          "line 3: cores.offer_ms: expected a whole number, got 'x'"]),
+        (
+            "cores {\n restart_pause_ms = 9000\n}",
+            ["line 1: cores.restart_pause_most_ms: expected at least restart_pause_ms (9000)"],
+        ),
+        (
+            'cores {\n lean = 1\n offer_ms = "x"\n}',
+            [
+                "line 2: cores.lean: expected 1.05 to 10, got 1",
+                "line 3: cores.offer_ms: expected a whole number, got 'x'",
+            ],
+        ),
     ],
-)  # fmt: skip
+)
 def test_every_fault_names_its_line_and_key(text, told):
     assert faults_of(text) == told
 
@@ -85,9 +99,16 @@
     told = [line.split(": ", 1)[1].split(":")[0] for line in done.stdout.splitlines()]
     assert done.returncode == 1
     assert told == [
-        "good", "seed", "settings.classes[0].aim_ns", "settings.plans[1].refill", "counter",
-        "limits.sockets", "known", "line 1", "No such file or directory",
-    ]  # fmt: skip
+        "good",
+        "seed",
+        "settings.classes[0].aim_ns",
+        "settings.plans[1].refill",
+        "counter",
+        "limits.sockets",
+        "known",
+        "line 1",
+        "No such file or directory",
+    ]
     assert command("check", good).returncode == 0
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -23,8 +23,12 @@
 # --- claims
 
 
-@given(st.lists(st.tuples(st.sampled_from(["look", "take", "start", "term", "die"]), st.integers(0, 3),
-                          st.integers(0, 600)), max_size=60))  # fmt: skip
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["look", "take", "start", "term", "die"]), st.integers(0, 3), st.integers(0, 600)),
+        max_size=60,
+    )
+)
 def test_the_sum_of_what_is_held_stays_within_the_limit(steps):
     """A model of up to three processes that look, take descriptors as claimed, leave and die in any order."""
     claims, held, leaving, born = {0: TOTAL - START}, {0: START}, set(), {0: 0}
@@ -300,9 +304,15 @@
         assert ingress.process.poll() is None
 
 
-@pytest.mark.parametrize(("fd", "fault"), [
-    ("x", "expected a descriptor"), ("-1", "expected a descriptor"), ("909", "Bad file"), ("2", ""),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("fd", "fault"),
+    [
+        ("x", "expected a descriptor"),
+        ("-1", "expected a descriptor"),
+        ("909", "Bad file"),
+        ("2", ""),
+    ],
+)
 def test_a_descriptor_that_is_no_listener_ends_the_start(tmp_path, fd, fault):
     process = start(config_for(Counter(), Discovery(), []), tmp_path, EDGE_ACCEPT_FD=fd)
     error = process.communicate(timeout=WAIT_S)[1]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -67,8 +67,7 @@
 
 def test_list_and_news():
     entries = bytes.fromhex(
-        "0000000000000000000000" "0000803f00000000" "074a1203"
-        "0000009d966b01000000" "000000c03f00000100" "f211902c"
+        "00000000000000000000000000803f00000000074a12030000009d966b01000000000000c03f00000100f211902c"
     )
     body = record("08 0000 00000000 02000000") + record("0c 0000 29000000 02 0000") + entries
     first, second = read_batch(body, 2)
@@ -123,8 +122,12 @@
 
 @pytest.mark.parametrize(
     "data",
-    [b"\x00\x00", struct.pack("<IQI", 48, 0, 1) + b"\x01" * 10, struct.pack("<IQI", 48, 0, 1) + b"\x63" * 48,
-     struct.pack("<IQI", 10, 0, 3) + bytes(10)],
+    [
+        b"\x00\x00",
+        struct.pack("<IQI", 48, 0, 1) + b"\x01" * 10,
+        struct.pack("<IQI", 48, 0, 1) + b"\x63" * 48,
+        struct.pack("<IQI", 10, 0, 3) + bytes(10),
+    ],
     ids=["short header", "short body", "unknown code", "records do not fit"],
 )
 def test_bad_frames_end_with_one_line_and_an_error(data):
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -277,8 +277,9 @@
 
 
 def test_too_few_descriptors_for_so_many_workers_name_the_key(tmp_path):
-    process = start(config_for(Counter(), Discovery(), [], limits={"sockets": 256}), tmp_path,
-                    command=("run", "--workers", "4"))  # fmt: skip
+    process = start(
+        config_for(Counter(), Discovery(), [], limits={"sockets": 256}), tmp_path, command=("run", "--workers", "4")
+    )
     lines = [json.loads(line) for line in process.stderr]
     assert process.wait(WAIT_S) == 2
     assert lines[0]["fault"] == "limits.sockets: expected at least 616 for 4 workers"
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -19,27 +19,42 @@
 BEAT_S = 0.5
 
 
-@pytest.mark.parametrize("text, tiers", [
-    ("", []), ("own > *", [{1}, {0, 2}]), ("c, a > own", [{0, 2}, {1}]), ("*", [{0, 1, 2}]),
-    ("a > b, *", [{0}, {1, 2}]),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "text, tiers",
+    [
+        ("", []),
+        ("own > *", [{1}, {0, 2}]),
+        ("c, a > own", [{0, 2}, {1}]),
+        ("*", [{0, 1, 2}]),
+        ("a > b, *", [{0}, {1, 2}]),
+    ],
+)
 def test_tiers_are_read_in_their_order(text, tiers):
     assert read_tiers(text, ["a", "b", "c"], 1) == [frozenset(t) for t in tiers]
 
 
-@pytest.mark.parametrize("text, word", [
-    ("a > d", "'d'"), ("a > a, b", "'a'"), ("own > b", "'b'"), ("a >", "''"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "text, word",
+    [
+        ("a > d", "'d'"),
+        ("a > a, b", "'a'"),
+        ("own > b", "'b'"),
+        ("a >", "''"),
+    ],
+)
 def test_tiers_that_are_wrong_name_the_zone(text, word):
     with pytest.raises(ValueError, match=word):
         read_tiers(text, ["a", "b", "c"], 1)
 
 
-@pytest.mark.parametrize("text, key", [
-    ("zones { enabled = true }", "zones.enabled"),
-    ("budgets { enabled = true }\nzones {\n hold_s = 9\n hold_most_s = 3\n}", "zones.hold_most_s"),
-    ("zones { evidence_s = 0 }", "zones.evidence_s"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "text, key",
+    [
+        ("zones { enabled = true }", "zones.enabled"),
+        ("budgets { enabled = true }\nzones {\n hold_s = 9\n hold_most_s = 3\n}", "zones.hold_most_s"),
+        ("zones { evidence_s = 0 }", "zones.evidence_s"),
+    ],
+)
 def test_settings_that_do_not_fit_name_the_key(text, key):
     assert [f.key for f in own.read(text)[1]] == [key]
 
@@ -54,18 +69,21 @@
     return zones
 
 
-@pytest.mark.parametrize("results, failing", [
-    ({0: [R.OK] * 3, 1: [None] * 3}, [1]),
-    ({0: [R.OK] * 3, 1: [R.NO_CONNECTION, R.TIMEOUT, R.RESET]}, [1]),
-    ({0: [R.OK] * 3, 1: [R.CANCELLED] * 4}, [1]),
-    ({0: [R.OK] * 3, 1: [None] * 2}, []),  # too few
-    ({0: [R.OK], 1: [None] * 3}, []),  # the other's answer is older than half of the evidence
-    ({0: [R.OK] * 3, 1: [None, None, R.ERROR]}, []),  # an answer, if a bad one
-    ({0: [R.OK] * 3, 1: [R.REJECTED] * 4}, []),
-    ({0: [R.OK] * 3, 1: [R.MOOT] * 4}, []),  # never went
-    ({0: [None] * 3, 1: [None] * 3}, []),  # nothing answers: this one is the one cut off
-    ({1: [None] * 3}, []),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "results, failing",
+    [
+        ({0: [R.OK] * 3, 1: [None] * 3}, [1]),
+        ({0: [R.OK] * 3, 1: [R.NO_CONNECTION, R.TIMEOUT, R.RESET]}, [1]),
+        ({0: [R.OK] * 3, 1: [R.CANCELLED] * 4}, [1]),
+        ({0: [R.OK] * 3, 1: [None] * 2}, []),  # too few
+        ({0: [R.OK], 1: [None] * 3}, []),  # the other's answer is older than half of the evidence
+        ({0: [R.OK] * 3, 1: [None, None, R.ERROR]}, []),  # an answer, if a bad one
+        ({0: [R.OK] * 3, 1: [R.REJECTED] * 4}, []),
+        ({0: [R.OK] * 3, 1: [R.MOOT] * 4}, []),  # never went
+        ({0: [None] * 3, 1: [None] * 3}, []),  # nothing answers: this one is the one cut off
+        ({1: [None] * 3}, []),
+    ],
+)
 def test_a_zone_is_failed_when_nothing_came_back_from_it(results, failing):
     zones = seen(Zones(2, TOLD, BEAT_S), results)
     assert zones.failing(11 * S - MS) == []  # not before the evidence is old enough
@@ -90,14 +108,17 @@
     return turned
 
 
-@pytest.mark.parametrize("counts, alive, turned", [
-    ([2, 2, 2], 5, []),  # two of five are no quorum
-    ([2, 3], 5, [(1, True)]),
-    ([2, 2], 4, []),  # nor is a half
-    ([3, 0, 0, 0, 0], 5, [(0, True), (4, False)]),  # back after four good periods: the hold of 2 s
-    ([3, 0, 0, 3, 0, 0, 0, 0], 5, [(0, True), (7, False)]),  # running
-    ([3, 2, 2, 2, 2], 5, [(0, True), (4, False)]),  # who still says failed is outvoted
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "counts, alive, turned",
+    [
+        ([2, 2, 2], 5, []),  # two of five are no quorum
+        ([2, 3], 5, [(1, True)]),
+        ([2, 2], 4, []),  # nor is a half
+        ([3, 0, 0, 0, 0], 5, [(0, True), (4, False)]),  # back after four good periods: the hold of 2 s
+        ([3, 0, 0, 3, 0, 0, 0, 0], 5, [(0, True), (7, False)]),  # running
+        ([3, 2, 2, 2, 2], 5, [(0, True), (4, False)]),  # who still says failed is outvoted
+    ],
+)
 def test_the_fleet_turns_by_a_quorum_and_a_hold(counts, alive, turned):
     assert hear(Zones(2, TOLD, BEAT_S), counts, alive=alive) == turned
 
@@ -225,13 +246,18 @@
 
 def plan(*faults, zones=None, budgets=None, **values):
     base = dict(ingresses=5, zones=["a", "b", "c"], seconds=16, rate=250, grace=2, seed=5, work_ms=15)
-    return (fleet(**{**base, **values}) + block("budgets", **{**BUDGETS, **(budgets or {})})
-            + block("zones", **{**ZONES, **(zones or {})}) + "".join(faults))  # fmt: skip
+    return (
+        fleet(**{**base, **values})
+        + block("budgets", **{**BUDGETS, **(budgets or {})})
+        + block("zones", **{**ZONES, **(zones or {})})
+        + "".join(faults)
+    )
 
 
 def turns(logs, event="zone left"):
-    return {name: [e for e in lines if e["event"] == event] for name, lines in logs.items()
-            if name.startswith("ingress-")}  # fmt: skip
+    return {
+        name: [e for e in lines if e["event"] == event] for name, lines in logs.items() if name.startswith("ingress-")
+    }
 
 
 DEAD = plan(
@@ -239,9 +265,13 @@
     fault("killed-amid-the-leave", 3.6, process="ingress-4", mode="kill"),
     fault("stalled-amid-the-leave", 4, process="ingress-3", mode="stall", lasts=2),
     fault("stalled-amid-the-return", 12.5, process="ingress-2", mode="stall", lasts=2),
-    seconds=23, servers=2, bears_per_s=120, cold_from=0.18, warm_s=5,
+    seconds=23,
+    servers=2,
+    bears_per_s=120,
+    cold_from=0.18,
+    warm_s=5,
     budgets={"server_per_s": 120},
-)  # fmt: skip
+)
 
 
 @pytest.mark.schedule(DEAD)
@@ -264,7 +294,8 @@
 CUT = plan(
     fault("cut", 3, link="*>zone-b", mode="cut", lasts=7),
     fault("lies", 3, link="ingress-0>zone-c", mode="blackhole", lasts=7),
-    zones={"tiers": "own > *", "spill_share": 0.25}, budgets={"server_per_s": 100},
+    zones={"tiers": "own > *", "spill_share": 0.25},
+    budgets={"server_per_s": 100},
 )
 
 
@@ -278,8 +309,11 @@
     assert {name for name in spent if name.startswith("spill")}
     start, end = when(logs, "cut") + 3, when(logs, "cut", "fault ended")
     ends = {e["id"]: e["status"] for e in logs["load"] if e["event"] == "answer"}
-    there = [ends.get(e["id"]) for e in logs["load"] if e["event"] == "sent" and start < e["at"] < end
-             and e["ingress"] in ("ingress-1", "ingress-4")]  # fmt: skip
+    there = [
+        ends.get(e["id"])
+        for e in logs["load"]
+        if e["event"] == "sent" and start < e["at"] < end and e["ingress"] in ("ingress-1", "ingress-4")
+    ]
     assert 0.3 < there.count(200) / len(there)  # 100 a second arrive there; 100 of spill, in two parts
 
 
@@ -287,7 +321,8 @@
     fault("two-of-five-0", 2, link="ingress-0>zone-b", mode="cut", lasts=5),
     fault("two-of-five-1", 2, link="ingress-1>zone-b", mode="cut_down", lasts=5),
     fault("one-cut-off", 2, link="ingress-4>zone-*", mode="blackhole", lasts=5),
-    seconds=9, timeout_ms=1000,
+    seconds=9,
+    timeout_ms=1000,
 )
 
 
@@ -301,8 +336,7 @@
     assert counts[2].get("zones.told_failed", 0) == 0  # who reaches nothing takes itself for the one cut off
 
 
-FLAPS = plan(*(fault(f"flap-{n}", 2 + 4 * n, link="*>zone-b", mode="cut", lasts=2.5) for n in range(6)),
-             seconds=26)  # fmt: skip
+FLAPS = plan(*(fault(f"flap-{n}", 2 + 4 * n, link="*>zone-b", mode="cut", lasts=2.5) for n in range(6)), seconds=26)
 
 
 @pytest.mark.schedule(FLAPS)
@@ -314,20 +348,27 @@
         assert holds == [1.0, 2.0, 4.0, 8.0][: len(holds)] and 2 <= len(holds) <= 4, (name, holds)
 
 
-@pytest.mark.parametrize("events, found", [
-    ([], True),  # nobody left
-    ([("zone left", 2.0)], False),
-    ([("zone left", 4.5)], True),  # too late
-    ([("zone left", 2.0), ("zone back", 2.5)], True),  # before its hold
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "events, found",
+    [
+        ([], True),  # nobody left
+        ([("zone left", 2.0)], False),
+        ([("zone left", 4.5)], True),  # too late
+        ([("zone left", 2.0), ("zone back", 2.5)], True),  # before its hold
+    ],
+)
 def test_the_checker_judges_leaving_and_holds(events, found):
     ingress = [{"at": at, "event": event, "zone": "b", "hold_s": 1.0} for event, at in events]
     started = [{"at": 0, "event": "process started", "process": "ingress-0"}]
-    logs = {"ingress-0": ingress, "fleet": [
-        *started, {"at": 0, "event": "load begun", "own": {"zones": ZONES, "budgets": BUDGETS}},
-        {"at": 1, "event": "fault begun", "fault": "f", "mode": "cut", "link": "*>zone-b", "process": ""},
-        {"at": 9, "event": "fault ended", "fault": "f", "mode": "cut", "link": "*>zone-b", "process": ""},
-    ]}  # fmt: skip
+    logs = {
+        "ingress-0": ingress,
+        "fleet": [
+            *started,
+            {"at": 0, "event": "load begun", "own": {"zones": ZONES, "budgets": BUDGETS}},
+            {"at": 1, "event": "fault begun", "fault": "f", "mode": "cut", "link": "*>zone-b", "process": ""},
+            {"at": 9, "event": "fault ended", "fault": "f", "mode": "cut", "link": "*>zone-b", "process": ""},
+        ],
+    }
     assert bool(checker.judge(logs)) is found
 
 
@@ -339,7 +380,15 @@
     assert [v.what for v in checker.judge(logs)] == ["left zone b, which most ingresses reached"]
     cut = {"fault": "f", "mode": "cut", "link": "*>zone-b", "process": ""}
     vain = {"at": 5, "event": "sent in vain", "link": "ingress-2>zone-b"}
-    logs = {"fleet": [*started, begun, {"at": 1, "event": "fault begun", **cut}, {**vain, "at": 1.1}, vain,
-                      {"at": 6, "event": "fault ended", **cut}],
-            **{f"ingress-{n}": [left] for n in range(3)}}  # fmt: skip
+    logs = {
+        "fleet": [
+            *started,
+            begun,
+            {"at": 1, "event": "fault begun", **cut},
+            {**vain, "at": 1.1},
+            vain,
+            {"at": 6, "event": "fault ended", **cut},
+        ],
+        **{f"ingress-{n}": [left] for n in range(3)},
+    }
     assert [v.what for v in checker.judge(logs)] == ["sent into zone b after the bound"]
