--- /dev/null
+++ b/tests/balancer/golden_samples.py
@@ -0,0 +1,479 @@
+"""Samples with fixed values of everything that crosses the wire or lies on a disk, and the golden files made of them.
+
+The golden files in `golden/` were written by the sources of one day and are read by those of every later day: a change
+of names in the sources must not change a byte of them.  `python -m tests.balancer.golden_samples` writes them anew;
+that is right only where the format is meant to change.
+
+The classes of the system are named in the imports and in the sample functions alone.  Fields are given by name: two of
+one type that change places would not be seen otherwise.  Who renames a field renames it here.
+"""
+
+from __future__ import annotations
+
+import typing
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+from zlib import crc32
+
+import msgspec
+
+from mapleline.balancer.cli import data_folder
+from mapleline.balancer.control.audit_log import AuditLog
+from mapleline.balancer.control.commands import RemoveReplica, ReplaceConfiguration, SetEvacuation
+from mapleline.balancer.control.consensus import Record
+from mapleline.balancer.control.snapshot import Snapshot
+from mapleline.balancer.control.state import Replica, State, digest
+from mapleline.balancer.discovery.endpoints import EndpointList, ListedInstance
+from mapleline.balancer.membership.table import DISK, FORMED, READY, Member, MembershipTable
+from mapleline.balancer.transport import messages
+from mapleline.balancer.transport.fencing import Fence, Outstanding, Taken
+
+GOLDEN = Path(__file__).parent / "golden"
+MESSAGES_FILE = GOLDEN / "messages.hex"
+SEALED_FILE = GOLDEN / "sealed.hex"
+PARTS_FILE = GOLDEN / "parts.hex"
+DUMP_FILE, EARLIER_DUMP_FILE = GOLDEN / "dump.json", GOLDEN / "dump_earlier.json"
+SNAPSHOTS, HISTORY, EARLIER = GOLDEN / "snapshots", GOLDEN / "history", GOLDEN / "earlier"
+
+DATAGRAMS = typing.get_args(messages.Datagram)
+CALLS = typing.get_args(messages.Call)
+REPLIES = typing.get_args(messages.Reply)
+
+SYSTEM = 0x5EED0001
+ZONES = {"a1": "a", "a2": "a", "a3": "a"}  #: of the simulated system that is started on the golden folders
+ADDRESSES = (0x0A010001, 0x0A020001, 0x0A030001)  #: 10.1.0.1, 10.2.0.1, 10.3.0.1: its machines with a disk
+DISKS = (0x11111111, 0x22222222, 0x33333333)
+OLD_VERSION, NEW_VERSION = 6, 7  #: of the two configurations
+EVACUATED_ZONE = "a3"
+
+SENDER, RECEIVER = ADDRESSES[0], ADDRESSES[1]
+SENDER_INCARNATION, RECEIVER_INCARNATION = 0x01020304, 0x05060708
+
+
+# -- values that others are made of ------------------------------------------------------------------------
+
+
+def config_body(version: int) -> bytes:
+    """A configuration as an operator sends it: kept as a file, so that samples hang on nothing else."""
+    return (GOLDEN / f"config_{version}.json").read_bytes()
+
+
+def contents(*versions: int) -> dict[int, bytes]:
+    """Bodies of configurations by their digest."""
+    return {digest(config_body(version)): config_body(version) for version in versions}
+
+
+def voters() -> tuple[Replica, ...]:
+    """The three replicas of the simulated system."""
+    return tuple(
+        Replica(ip=ip, disk=disk, zone=zone) for zone, (ip, disk) in enumerate(zip(ADDRESSES, DISKS, strict=True))
+    )
+
+
+def agreed_state(number: int, version: int) -> State:
+    """A state that is in force, with no change of members under way."""
+    past = tuple((one, digest(config_body(one))) for one in range(OLD_VERSION, version + 1))
+    config = (version, digest(config_body(version)))
+    return State(
+        number=number,
+        system=SYSTEM,
+        epoch=2,
+        voters=voters(),
+        former=(),
+        config=config,
+        evacuated=(EVACUATED_ZONE,),
+        changed=((EVACUATED_ZONE, 4),),
+        past=past,
+    )
+
+
+def full_state() -> State:
+    """A state with every field away from its default."""
+    config = (NEW_VERSION, digest(config_body(NEW_VERSION)))
+    former = (Replica(ip=0x0A040001, disk=0x44444444, zone=3), Replica(ip=0x0A050001, disk=0, zone=4))
+    return State(
+        number=9,
+        system=SYSTEM,
+        epoch=3,
+        voters=voters(),
+        former=former,
+        config=config,
+        evacuated=("a1", "a3"),
+        changed=(("a1", 8), ("a3", 4)),
+        past=((6, 600), (7, 700)),
+    )
+
+
+def bare_state() -> State:
+    """A state with every field that has a default at it."""
+    return State(number=1, system=SYSTEM, epoch=1, voters=(Replica(ip=SENDER, disk=DISKS[0]),))
+
+
+# -- messages ----------------------------------------------------------------------------------------------
+
+
+def datagram_samples() -> dict[str, messages.Datagram]:
+    """Each datagram, with every field away from its default; `_bare`: with every default."""
+    part = messages.CounterRows(tenant="t1", window=170, rows=[(SENDER, 3, 1.5), (RECEIVER, 4, 2.25)])
+    return {
+        "heartbeat": messages.Heartbeat(
+            rows=b"\x00rows\xff", number=6, list_digest=0xDEADBEEF, list_age_ms=1200, reply=True, term=5, holder=SENDER
+        ),
+        "heartbeat_bare": messages.Heartbeat(rows=b"", number=0, list_digest=0, list_age_ms=0),
+        "replica_query": messages.StateQuery(nonce=0x7FFFFFFF, disk=DISKS[1], seen=12),
+        "replica_query_bare": messages.StateQuery(nonce=1),
+        "replica_status": messages.StateReport(
+            nonce=0x7FFFFFFF,
+            disk=DISKS[1],
+            turn=12,
+            accepted=7,
+            number=6,
+            kept=5,
+            age_ms=250,
+            theirs=DISKS[0],
+            seen=11,
+            sure=False,
+        ),
+        "replica_status_bare": messages.StateReport(nonce=1, disk=0, turn=0, accepted=0, number=0, kept=0),
+        "chosen": messages.Chosen(ballot=(4, SENDER, DISKS[0]), number=6),
+        "count_add": messages.CounterIncrement(
+            nonce=77, tenant="t1", window=170, units=2.5, homes=["a", "b"], limit=20.0, ask=False
+        ),
+        "count_add_bare": messages.CounterIncrement(nonce=77, tenant="t1", window=170, units=2.5, homes=[], limit=20.0),
+        "count_total": messages.CounterValue(nonce=77, before=3.5, previous=18.75),
+        "count_rows": messages.CounterSync(
+            parts=[part, messages.CounterRows(tenant="t2", window=171, rows=[])], answer=True
+        ),
+        "count_rows_bare": messages.CounterSync(parts=[]),
+        "server_load": messages.LoadReport(out={0x01020304: 3, 0xFFFFFFFF: 1}, sick={0x01020304: 2}, turn=41),
+        "server_load_bare": messages.LoadReport(out={}, sick={}),
+        "vote_request": messages.VoteRequest(term=5),
+        "vote": messages.Vote(term=5),
+        "lease_request": messages.LeaseRequest(
+            nonce=78, life=SENDER << 32 | SENDER_INCARNATION, numbers=[3, 300, 70000]
+        ),
+        "lease_grant": messages.LeaseGrant(nonce=78, core=3, numbers=[3, 70000]),
+    }
+
+
+def call_samples() -> dict[str, messages.Call]:
+    """Each call, and each order of an operator that one carries."""
+    ballot = (4, SENDER, DISKS[0])
+    return {
+        "prepare": messages.Prepare(ballot=ballot, known=6, content=digest(config_body(NEW_VERSION))),
+        "prepare_bare": messages.Prepare(ballot=ballot, known=6),
+        "accept": messages.Accept(ballot=ballot, state=full_state(), body=b'{"config_version": 7}'),
+        "accept_bare": messages.Accept(ballot=ballot, state=bare_state()),
+        "propose_replace": messages.Propose(
+            order=ReplaceConfiguration(version=7, content=0xFEDCBA9876543210), body=b'{"config_version": 7}'
+        ),
+        "propose_replace_bare": messages.Propose(order=ReplaceConfiguration(version=7, content=0xFEDCBA9876543210)),
+        "propose_evacuate": messages.Propose(order=SetEvacuation(zone="a3", begin=True, known=6), body=b"body"),
+        "propose_evacuate_bare": messages.Propose(order=SetEvacuation(zone="a3", begin=False)),
+        "propose_forget": messages.Propose(order=RemoveReplica(ip=RECEIVER), body=b"body"),
+        "pull": messages.FetchState(
+            number=6, content=digest(config_body(NEW_VERSION)), whole=True, state=False, servers=True
+        ),
+        "pull_bare": messages.FetchState(),
+    }
+
+
+def reply_samples() -> dict[str, messages.Reply]:
+    """Each reply."""
+    ballot, higher = (4, SENDER, DISKS[0]), (5, RECEIVER, DISKS[1])
+    return {
+        "promised": messages.Promised(
+            ok=True,
+            disk=DISKS[1],
+            promised=higher,
+            ballot=ballot,
+            state=full_state(),
+            body=b'{"config_version": 7}',
+            turn=12,
+        ),
+        "promised_bare": messages.Promised(ok=False, disk=0),
+        "accepted": messages.Accepted(ok=True, disk=DISKS[1], promised=higher, lacks=True, turn=13),
+        "accepted_bare": messages.Accepted(ok=False, disk=0),
+        "proposed": messages.Proposed(status=409, text="config_version 7 stands for another configuration"),
+        "proposed_bare": messages.Proposed(status=200),
+        "pulled": messages.FetchedState(
+            state=full_state(), body=b'{"config_version": 7}', list_body=server_list_body(), list_age_ms=800
+        ),
+        "pulled_bare": messages.FetchedState(),
+    }
+
+
+def decoded_message(name: str, data: bytes) -> object:
+    """A golden message as the sources of today read it."""
+    if name in datagram_samples():
+        return messages.decode_datagram(data)
+    return messages.decode_call(data) if name in call_samples() else messages.decode_reply(data)
+
+
+def encoded_messages() -> dict[str, bytes]:
+    """All messages as the sources of today encode them."""
+    samples = datagram_samples() | call_samples() | reply_samples()
+    return {name: messages.encode(sample) for name, sample in samples.items()}
+
+
+# -- stamped messages --------------------------------------------------------------------------------------
+
+
+def fence(ip: int, incarnation: int, known: dict[int, int], system: int = SYSTEM) -> Fence:
+    """One process's fence that knows the incarnations of these others."""
+    table = MembershipTable(Member(ip, 0, DISK, incarnation), 0.5)
+    for other, of_other in known.items():
+        table.learn(other, of_other)
+    return Fence(table, system)
+
+
+def sender_fence() -> Fence:
+    """Of the process that sends the datagrams and calls."""
+    return fence(SENDER, SENDER_INCARNATION, {RECEIVER: RECEIVER_INCARNATION})
+
+
+def receiver_fence() -> Fence:
+    """Of the process that they are meant for."""
+    return fence(RECEIVER, RECEIVER_INCARNATION, {SENDER: SENDER_INCARNATION})
+
+
+def restarted_receiver_fence() -> Fence:
+    """Of the next life of that process, which refuses what was meant for the one before."""
+    return fence(RECEIVER, RECEIVER_INCARNATION + 1, {SENDER: SENDER_INCARNATION})
+
+
+@dataclass
+class Exchange:
+    """One call, both sides of it and its reply."""
+
+    caller: Fence
+    outstanding: Outstanding
+    request: bytes
+    callee: Fence
+    taken: Taken
+    reply: bytes
+
+
+def exchange() -> Exchange:
+    """A call as it is sent, taken and answered."""
+    caller, callee = sender_fence(), receiver_fence()
+    outstanding, request = caller.request(RECEIVER, call_samples()["accept"])
+    taken = callee.take(request)
+    return Exchange(caller, outstanding, request, callee, taken, callee.reply(taken, reply_samples()["accepted"]))
+
+
+def sealed_samples() -> dict[str, bytes]:
+    """What goes out on the wire, stamps and message."""
+    sender, samples = sender_fence(), datagram_samples()
+    to_one_life = sender.seal(RECEIVER, samples["replica_query"])
+    call = exchange()
+    return {
+        "datagram_to_any_life": sender.seal(RECEIVER, samples["heartbeat"]),
+        "datagram_to_one_life": to_one_life,
+        "datagram_before_founding": fence(SENDER, SENDER_INCARNATION, {}, 0).seal(RECEIVER, samples["replica_query"]),
+        "datagram_refusal": restarted_receiver_fence().open(SENDER, to_one_life)[1],
+        "call_request": call.request,
+        "call_reply": call.reply,
+        "call_refusal": restarted_receiver_fence().take(call.request).refusal,
+    }
+
+
+# -- what messages carry as bytes --------------------------------------------------------------------------
+
+
+def sample_servers() -> list[ListedInstance]:
+    """Entries of the platform's list, one with every default and one with none."""
+    return [
+        ListedInstance(instance_id="i-1", target_service="slots", address="10.128.0.1:8080", zone="a1"),
+        ListedInstance(
+            instance_id="i-2",
+            target_service="records",
+            address="10.128.1.2:8081",
+            zone="a2",
+            state="draining",
+            slot_count=4,
+            cold_left="1500ms",
+            turn=0,
+        ),
+    ]
+
+
+def server_catalogue() -> EndpointList:
+    """A catalogue that fetched that list twice, the second time with a cold server whose cold time began anew."""
+    catalogue = EndpointList(0.8)
+    catalogue.take_list(100.0, sample_servers())
+    catalogue.take_list(105.0, sample_servers())
+    return catalogue
+
+
+def server_list_body() -> bytes:
+    """The list as it travels between ingresses."""
+    return server_catalogue().body
+
+
+def heartbeat_table() -> MembershipTable:
+    """A table of three ingresses."""
+    table = MembershipTable(Member(SENDER, 0, DISK | READY, SENDER_INCARNATION, 40, 99.5), 0.5)
+    table.members[RECEIVER] = Member(RECEIVER, 1, DISK | FORMED | READY, RECEIVER_INCARNATION, 41, 99.0)
+    table.members[ADDRESSES[2]] = Member(ADDRESSES[2], 2, 0)
+    return table
+
+
+def part_samples() -> dict[str, bytes]:
+    """Bytes that a message carries and another part of the sources reads."""
+    catalogue = server_catalogue()
+    return {
+        "heartbeat_rows": heartbeat_table().rows(100.0),
+        "server_list": catalogue.body,
+        "server_list_digest": catalogue.digest.to_bytes(4, "big"),
+    }
+
+
+# -- data folders ------------------------------------------------------------------------------------------
+
+
+@dataclass(frozen=True)
+class SnapshotSample:
+    """A replica's record and the contents it names."""
+
+    record: Record
+    contents: dict[int, bytes]
+
+
+def snapshot_samples() -> dict[str, SnapshotSample]:
+    """Folders by name: those of the three machines of the simulated system, and the corners of the format."""
+    old, new = agreed_state(5, OLD_VERSION), agreed_state(6, NEW_VERSION)
+    ballot, higher = (4, SENDER, DISKS[0]), (5, RECEIVER, DISKS[1])
+    both = contents(OLD_VERSION, NEW_VERSION)
+    first, second, third = ({"ip": ip, "disk": disk} for ip, disk in zip(ADDRESSES, DISKS, strict=True))
+    return {
+        "machine_1": SnapshotSample(
+            Record(**first, promised=ballot, ballot=ballot, state=new, decided=None, is_decided=True, turn=12),
+            contents(NEW_VERSION),
+        ),
+        "machine_2": SnapshotSample(
+            Record(**second, promised=ballot, ballot=ballot, state=new, decided=old, is_decided=False, turn=11), both
+        ),
+        "machine_3": SnapshotSample(
+            Record(**third, promised=higher, ballot=ballot, state=new, decided=None, is_decided=True, turn=13),
+            contents(NEW_VERSION),
+        ),
+        "every_field": SnapshotSample(
+            Record(**first, promised=higher, ballot=ballot, state=full_state(), decided=old, is_decided=True, turn=99),
+            both,
+        ),
+        "empty": SnapshotSample(Record(**first), {}),
+    }
+
+
+def restored_sample() -> SnapshotSample:
+    """What is restored of the dump of machine 1: its state under no identity, and so without a vote."""
+    none = (0, 0, 0)
+    return SnapshotSample(
+        Record(
+            ip=0,
+            disk=0,
+            promised=none,
+            ballot=none,
+            state=None,
+            decided=agreed_state(6, NEW_VERSION),
+            is_decided=False,
+            turn=1,
+        ),
+        contents(NEW_VERSION),
+    )
+
+
+def write_snapshot(folder: Path, sample: SnapshotSample) -> None:
+    """The folder as today's sources write it."""
+    store = Snapshot(str(folder))
+    store.load()
+    store.save(sample.record, sample.contents)
+
+
+def write_history(folder: Path) -> AuditLog:
+    """A history as today's sources write it: two configurations and two orders."""
+    history = AuditLog(str(folder), 1 << 20)
+    for version in (OLD_VERSION, NEW_VERSION):
+        history.keep(1.7e9 + version, "config", version, f"{version:x}", config_body(version))
+    history.order(1.7e9 + 10, "config", NEW_VERSION, True, 0.25)
+    history.order(1.7e9 + 11, "evacuation/a3", 1, False, 6.0)
+    return history
+
+
+HISTORY_ROWS = {
+    "word": [
+        {"at": 1.7e9 + version, "key": "config", "version": version, "bytes": len(config_body(version)), "kept": True}
+        for version in (NEW_VERSION, OLD_VERSION)
+    ],
+    "orders": [
+        {"at": 1.7e9 + 11, "key": "evacuation/a3", "version": 1, "acknowledged": False, "took_s": 6.0},
+        {"at": 1.7e9 + 10, "key": "config", "version": NEW_VERSION, "acknowledged": True, "took_s": 0.25},
+    ],
+}
+
+
+# -- the earlier format ------------------------------------------------------------------------------------
+
+EARLIER_ENTRIES = (
+    ("config", OLD_VERSION, "t", config_body(OLD_VERSION)),
+    ("evacuation/a1", 2, "t", b"finish"),
+    ("evacuation/a3", 1, "t", b"begin"),
+)
+
+
+def write_earlier_file(path: Path, body: bytes) -> None:
+    """A file framed as the earlier format was; today's sources do not write it any more."""
+    path.write_bytes(b"mapleline word 1\n%08x %d\n" % (crc32(body), len(body)) + body)
+
+
+def write_earlier(folder: Path) -> None:
+    """A data folder of the earlier format."""
+    registers = folder / "word"
+    registers.mkdir(parents=True)
+    for entry in EARLIER_ENTRIES:
+        write_earlier_file(registers / f"r-{entry[0].encode().hex()}", msgspec.msgpack.encode(entry))
+    core = {"core": [[ip, zone] for zone, ip in enumerate(ADDRESSES)]}
+    write_earlier_file(registers / "core", msgspec.msgpack.encode(core))
+
+
+# -- golden files ------------------------------------------------------------------------------------------
+
+
+def read_hex(path: Path) -> dict[str, bytes]:
+    """The named byte strings of a golden file: a name and its bytes in hexadecimal on each line."""
+    lines = [line.split(" ") for line in path.read_text().splitlines()]
+    return {name: bytes.fromhex(data) for name, data in lines}
+
+
+def write_hex(path: Path, samples: dict[str, bytes]) -> None:
+    """Such a file."""
+    path.write_text("".join(f"{name} {data.hex()}\n" for name, data in samples.items()))
+
+
+def files_of(folder: Path) -> dict[str, bytes]:
+    """All files below a folder by their relative path."""
+    return {str(path.relative_to(folder)): path.read_bytes() for path in folder.rglob("*") if path.is_file()}
+
+
+def write_golden_files() -> None:
+    """All golden files anew, in a `golden/` that holds the configurations alone."""
+    hex_files: dict[Path, Callable[[], dict[str, bytes]]] = {
+        MESSAGES_FILE: encoded_messages,
+        SEALED_FILE: sealed_samples,
+        PARTS_FILE: part_samples,
+    }
+    for path, samples in hex_files.items():
+        write_hex(path, samples())
+    for name, sample in snapshot_samples().items():
+        write_snapshot(SNAPSHOTS / name, sample)
+    HISTORY.mkdir()
+    write_history(HISTORY)
+    write_earlier(EARLIER)
+    DUMP_FILE.write_text(data_folder.dump_archive(SNAPSHOTS / "machine_1").ok)
+    EARLIER_DUMP_FILE.write_text(data_folder.dump_archive(EARLIER).ok)
+
+
+if __name__ == "__main__":
+    write_golden_files()
