--- a/mapleline/balancer/logs.py
+++ b/mapleline/balancer/logs.py
@@ -1,4 +1,7 @@
-"""The log: one JSON line an event on standard error; short sentences with a fixed prefix for each part."""
+"""The log: one JSON object a line on standard error, each message prefixed with the name of its module.
+
+Modules log through `logging.getLogger(__name__)`, with structured fields in `extra`.
+"""
 
 from __future__ import annotations
 
@@ -7,17 +10,29 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-PARTS = ("archive", "catalogue", "courier", "custody", "desk", "ledger", "lookup", "node", "register")
+ROOT_LOGGER = "mapleline.balancer"
+
+
+class PrefixFormatter(JsonFormatter):
+    """Formats `message` as "<module>: <text>", where the module is the last part of the logger's name."""
+
+    def format(self, record: logging.LogRecord) -> str:
+        """Return the record as one line of JSON."""
+        prefix = record.name.rpartition(".")[2]
+        record.msg, record.args = f"{prefix}: {record.getMessage()}", None
+        return super().format(record)
 
 
-def configure(node: str) -> None:
+def configure(node_name: str) -> None:
+    """Send the log of the balancer's modules to standard error; each line names the node."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(JsonFormatter("%(message)s", timestamp=True, static_fields={"node": node}))
-    root = logging.getLogger("mapleline.balancer")
-    root.handlers[:], root.propagate = [handler], False
+    handler.setFormatter(PrefixFormatter("%(message)s", timestamp=True, static_fields={"node": node_name}))
+    root = logging.getLogger(ROOT_LOGGER)
+    root.handlers[:] = [handler]
+    root.propagate = False
     root.setLevel(logging.INFO)
 
 
 def say(part: str, text: str, **fields: object) -> None:
-    """`part` is one of PARTS."""
-    logging.getLogger("mapleline.balancer").info("%s: %s", part, text, extra=fields)
+    """Log for modules that have no logger of their own yet."""
+    logging.getLogger(f"{ROOT_LOGGER}.{part}").info(text, extra=fields)
