--- a/mapleline/membership/__init__.py
+++ b/mapleline/membership/__init__.py
@@ -1,6 +1,6 @@
-"""Who is in the fleet: heartbeats on the counter, leases in a store, each read into one view (pure)."""
+"""Fleet membership of the ingress in service: heartbeats on the counter, leases in a store (pure)."""
 
-from .leases import Lease, Leases
-from .view import View, period_of
+from .leases import Lease, LeaseTable
+from .view import MembershipView, MemberState, period_of
 
-__all__ = ["Lease", "Leases", "View", "period_of"]
+__all__ = ["Lease", "LeaseTable", "MemberState", "MembershipView", "period_of"]
--- a/mapleline/membership/leases.py
+++ b/mapleline/membership/leases.py
@@ -1,7 +1,7 @@
-"""Members known by leases: who is good, and who takes over from whom (pure: told leases, with the time).
+"""Members known by their leases: which leases have expired, and which member succeeds another (pure).
 
-A member's lease is its name, its epoch and until when it holds, on its own clock.  Clocks differ by less than
-`margin_s`: a lease is over for others only that much after its end.
+A lease holds until a moment on its owner's clock.  Clocks differ by less than `clock_margin_s`, so that a lease has
+expired for the other members only that much after its end.
 """
 
 from __future__ import annotations
@@ -11,25 +11,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
+    """One member's lease.
+
+    Attributes:
+        name: the member.
+        epoch: its incarnation; a restart has a higher one.
+        until: the end, in Unix seconds of the member's own clock.
+    """
+
     name: str
     epoch: int
-    until: float  #: Unix seconds
+    until: float
 
 
 @dataclass(slots=True)
-class Leases:
-    margin_s: float
+class LeaseTable:
+    """The leases as they were last read from the store.
+
+    Attributes:
+        clock_margin_s: the largest difference of two members' clocks, in seconds.
+        known: the leases by member.
+    """
+
+    clock_margin_s: float
     known: dict[str, Lease] = field(default_factory=dict)
 
-    def told(self, leases: list[Lease]) -> None:
-        """All leases of the store, as just read."""
+    def replace_all(self, leases: list[Lease]) -> None:
+        """Take the store's leases, as just read, in place of those known before."""
         self.known = {lease.name: lease for lease in leases}
 
-    def over(self, now: float) -> list[Lease]:
-        """The leases that are over for others too."""
-        return [lease for lease in self.known.values() if lease.until + self.margin_s < now]
+    def expired(self, now: float) -> list[Lease]:
+        """Return the leases that have expired on every member's clock; `now` is in Unix seconds."""
+        return [lease for lease in self.known.values() if lease.until + self.clock_margin_s < now]
 
-    def taker(self, name: str, now: float) -> str | None:
-        """Who takes over from `name`: the next on the ring of names whose lease holds now."""
-        alive = sorted(n for n, lease in self.known.items() if lease.until >= now and n != name)
-        return next((n for n in alive if n > name), alive[0] if alive else None)
+    def successor_of(self, name: str, now: float) -> str | None:
+        """Return the member that takes over from `name`: the next by name, in a ring, whose lease holds now."""
+        holders = sorted(lease.name for lease in self.known.values() if lease.until >= now and lease.name != name)
+        if not holders:
+            return None
+        return next((holder for holder in holders if holder > name), holders[0])
--- a/mapleline/membership/view.py
+++ b/mapleline/membership/view.py
@@ -1,10 +1,9 @@
-"""The fleet's view of its members (pure: told what the counter answered, with the time).
+"""One member's view of the fleet, from what the shared counter answered (pure; the time is an argument).
 
-Each member adds 1 a period to the fleet's number `hb.<fleet>.<period>`, and the total, read again
-at the period's end, says how many beat in that period.  Who beat is known of the members one watches (its
-predecessor on the ring, for handoff): each adds 1 to `hb.<fleet>.<member>.<period>` as well.  A member is
-alive while it beat in this period or the one before, suspect after one period missed, dead after two.  A
-restart is a new incarnation: a beat of an older one counts for nothing.
+Each member adds 1 to the fleet's number `hb.<fleet>.<period>` in each heartbeat period.  The total, read again at the
+period's end, says how many members sent a heartbeat in that period.  Who did is known of the members that one watches
+(its predecessor on the ring, for handoff): each member also adds to `hb.<fleet>.<member>.<period>`.  A restart is a new
+incarnation: heartbeats of an older one are ignored.
 
 Periods are numbered from Unix time (`period_of`), so that all members agree on them without a message.
 """
@@ -13,48 +12,80 @@
 
 import math
 from dataclasses import dataclass, field
+from enum import StrEnum
 
+PERIODS_KEPT = 4  #: totals of older periods are forgotten
 
-def period_of(now_s: float, beat_s: float) -> int:
-    """The number of the heartbeat period that holds `now_s` (Unix seconds)."""
-    return math.floor(now_s / beat_s)
+
+def period_of(now_s: float, heartbeat_s: float) -> int:
+    """Return the number of the heartbeat period that holds `now_s` (Unix seconds)."""
+    return math.floor(now_s / heartbeat_s)
+
+
+class MemberState(StrEnum):
+    """What the heartbeats of a watched member say: dead after two periods missed in a row, suspect after one."""
+
+    ALIVE = "alive"
+    SUSPECT = "suspect"
+    DEAD = "dead"
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class LastHeartbeat:
+    """The newest heartbeat of a member; a higher incarnation is newer, whatever its period."""
+
+    incarnation: int
+    period: int
 
 
 @dataclass(slots=True)
-class View:
-    """What one member knows; `members` is the roster of possible members, from the settings."""
+class MembershipView:
+    """What one member knows of the others.
+
+    Attributes:
+        members: the size of the roster of possible members, from the settings.
+        own_index: this member's place in the roster.
+        heartbeat_s: the length of a heartbeat period, in seconds.
+        counts: how many members sent a heartbeat, by period.
+        last_heartbeats: the newest heartbeat of each watched member.
+    """
 
     members: int
-    me: int
-    beat_s: float
-    counts: dict[int, int] = field(default_factory=dict)  #: period -> members that beat in it
-    beats: dict[int, tuple[int, int]] = field(default_factory=dict)  #: member -> (incarnation, last period)
+    own_index: int
+    heartbeat_s: float
+    counts: dict[int, int] = field(default_factory=dict)
+    last_heartbeats: dict[int, LastHeartbeat] = field(default_factory=dict)
 
-    def counted(self, period: int, total: float) -> None:
-        """The fleet's number for `period` read as `total`: at least that many beat in it."""
+    def record_count(self, period: int, total: float) -> None:
+        """Record that the fleet's number for `period` was read as `total`: at least that many are alive."""
         self.counts[period] = max(self.counts.get(period, 0), int(total))
-        for old in [p for p in self.counts if p < period - 4]:
+        for old in [known for known in self.counts if known < period - PERIODS_KEPT]:
             del self.counts[old]
 
-    def beat(self, member: int, incarnation: int, period: int) -> None:
-        """`member` beat in `period` as `incarnation`; an older incarnation's beat is ignored."""
-        known = self.beats.get(member)
-        if known is None or incarnation > known[0] or (incarnation == known[0] and period > known[1]):
-            self.beats[member] = (incarnation, period)
+    def record_heartbeat(self, member: int, incarnation: int, period: int) -> None:
+        """Record a heartbeat of a watched member; one that is older than the newest known is ignored."""
+        heartbeat = LastHeartbeat(incarnation, period)
+        known = self.last_heartbeats.get(member)
+        if known is None or heartbeat > known:
+            self.last_heartbeats[member] = heartbeat
 
-    def alive(self, now_s: float) -> int:
-        """Members alive now, at least 1 (this one): the larger count of the last two whole periods."""
-        period = period_of(now_s, self.beat_s)
+    def alive_count(self, now_s: float) -> int:
+        """Return the number of members alive, at least 1 (this one): the larger count of the last two periods."""
+        period = period_of(now_s, self.heartbeat_s)
         return max(1, self.counts.get(period - 1, 0), self.counts.get(period, 0))
 
-    def state(self, member: int, now_s: float) -> str:
-        """`alive`, `suspect` or `dead`, of a member whose beats are watched."""
-        if member == self.me:
-            return "alive"
-        known = self.beats.get(member)
-        missed = period_of(now_s, self.beat_s) - known[1] if known else math.inf
-        return "alive" if missed <= 1 else "suspect" if missed == 2 else "dead"
+    def state_of(self, member: int, now_s: float) -> MemberState:
+        """Return the state of a member whose heartbeats are watched."""
+        if member == self.own_index:
+            return MemberState.ALIVE
+        known = self.last_heartbeats.get(member)
+        if known is None:
+            return MemberState.DEAD
+        periods_missed = period_of(now_s, self.heartbeat_s) - known.period
+        if periods_missed <= 1:
+            return MemberState.ALIVE
+        return MemberState.SUSPECT if periods_missed == 2 else MemberState.DEAD
 
     def predecessor(self) -> int:
-        """The member this one watches and takes over from: the one before it on the ring."""
-        return (self.me - 1) % self.members
+        """Return the member that this one watches and takes over from: the one before it on the ring."""
+        return (self.own_index - 1) % self.members
--- a/mapleline/net/handoff.py
+++ b/mapleline/net/handoff.py
@@ -15,7 +15,7 @@
 from ..handoff.store import Log, Store, log_of
 from ..http1.messages import MOST_WHOLE, Request, Response
 from ..http1.server import Wish
-from ..membership import Lease, Leases
+from ..membership import Lease, LeaseTable
 from ..policy.interface import Arrival, Effect
 from ..settings.own import Handoff as Told
 from ..telemetry import COUNTS, log
@@ -90,7 +90,7 @@
         self.reactor, self.told, self.engine, self.name = reactor, told, engine, name
         self.classes, self.plans = classes, plans
         self.store = Store(told.dir)
-        self.leases = Leases(told.margin_s)
+        self.leases = LeaseTable(told.margin_s)
         self.freed: deque[tuple[float, bytes]] = deque()
         self.ids = FleetIds(self)
         self.kept: set[bytes] = set()  #: ids that stay held when the client's connection lets them go
@@ -277,9 +277,9 @@
             self.store.forget(now - self.told.keep_s)
 
     def _look(self, now: float) -> None:
-        self.leases.told(self.store.leases())
-        for lease in self.leases.over(now):
-            if lease.name != self.name and self.leases.taker(lease.name, now) == self.name:
+        self.leases.replace_all(self.store.leases())
+        for lease in self.leases.expired(now):
+            if lease.name != self.name and self.leases.successor_of(lease.name, now) == self.name:
                 self._take(log_of(lease.name, lease.epoch))
                 self.store.drop_lease(lease)
 
--- a/mapleline/net/peers.py
+++ b/mapleline/net/peers.py
@@ -17,7 +17,7 @@
 from ..budgets import Parts
 from ..http1.buffers import BufferPool
 from ..http1.messages import Response
-from ..membership import View, period_of
+from ..membership import MembershipView, period_of
 from ..settings.own import Budgets
 from ..telemetry import COUNTS, log
 from .claims import Claims, lost
@@ -48,7 +48,7 @@
     ) -> None:
         self.reactor, self.buffers, self.counter = reactor, buffers, counter
         self.told = told = replace(told, beat_s=told.beat(members))
-        self.view = View(members, me, told.beat_s)
+        self.view = MembershipView(members, me, told.beat_s)
         self.parts = Parts(
             me,
             members,
@@ -119,10 +119,10 @@
     def _beat(self, period: int) -> None:
         self.beaten.add(period)
         self.beaten.discard(period - 8)
-        fleet, me = self.told.fleet, self.view.me
-        self.call(f"hb.{fleet}.{period}", 1).addCallbacks(lambda t: self.view.counted(period, t), lost)
+        fleet, me = self.told.fleet, self.view.own_index
+        self.call(f"hb.{fleet}.{period}", 1).addCallbacks(lambda t: self.view.record_count(period, t), lost)
         before = period - 1
-        self.call(f"hb.{fleet}.{before}", 0).addCallbacks(lambda t: self.view.counted(before, t), lost)
+        self.call(f"hb.{fleet}.{before}", 0).addCallbacks(lambda t: self.view.record_count(before, t), lost)
         self.call(f"hb.{fleet}.{me}.{period}", self.incarnation % 1_000_000).addErrback(lost)
 
     def call(self, name: str, delta: float) -> defer.Deferred[float]:
--- a/mapleline/net/zones.py
+++ b/mapleline/net/zones.py
@@ -52,7 +52,7 @@
         self.names, self.places, self.clock = names, places, clock
         self.told: set[tuple[int, int]] = set()  # zone and period
         self.read = 0  # the newest period whose predecessor was asked for
-        self.turn = peers.view.me  # members start their rounds of the servers at different ones
+        self.turn = peers.view.own_index  # members start their rounds of the servers at different ones
 
     def _name(self, zone: int, period: int) -> str:
         return f"zn.{self.peers.told.fleet}.{zone}.{period}"
@@ -74,7 +74,7 @@
             self.peers.call(self._name(zone, period - 1), 0).addCallbacks(self._heard, lost, (zone,))
 
     def _heard(self, count: float, zone: int) -> None:
-        alive = self.peers.view.alive(self.peers.now())
+        alive = self.peers.view.alive_count(self.peers.now())
         left = self.zones.heard(zone, int(count), alive, self.clock())
         if left is not None:
             COUNTS["zones.left" if left else "zones.back"] += 1
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets and membership, pure: claims on a model of the counter with loss, reordering, stalls and skew."""
+"""Budgets, pure: claims on a model of the counter with loss, reordering, stalls and skew."""
 
 from __future__ import annotations
 
@@ -8,7 +8,6 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from mapleline.budgets import Budget, Parts, granted
-from mapleline.membership import View
 from mapleline.settings.own import Budgets
 
 WHOLE, LEASE_S, MARGIN_S = 100.0, 10.0, 0.75
@@ -45,29 +44,6 @@
     assert Budget("q", WHOLE, LEASE_S, MARGIN_S).want(demand, demands, members) == want
 
 
-@pytest.mark.parametrize(
-    "beats, now, states",
-    [
-        ({1: (1, 10)}, 10.5, ["alive", "alive", "dead"]),
-        ({1: (1, 9), 2: (1, 8)}, 10.5, ["alive", "alive", "suspect"]),
-        ({1: (2, 3), 2: (1, 10)}, 10.5, ["alive", "dead", "alive"]),
-    ],
-)
-def test_members_are_alive_suspect_or_dead_by_their_last_beat(beats, now, states):
-    view = View(3, 0, 1.0)
-    for member, (incarnation, period) in beats.items():
-        view.beat(member, incarnation, period)
-    view.beat(1, 1, 10)  # an older incarnation's beat counts for nothing
-    assert [view.state(m, now) for m in range(3)] == states
-
-
-def test_the_count_of_members_is_the_larger_of_the_last_two_periods():
-    view = View(5, 2, 1.0)
-    view.counted(9, 4)
-    view.counted(10, 2)
-    assert (view.alive(10.5), view.alive(11.5), view.alive(13.0), view.predecessor()) == (4, 2, 1, 1)
-
-
 class Claims(RuleBasedStateMachine):
     """Members claim on one counter; messages are lost, reordered, late; members stall; clocks differ.
 
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -13,7 +13,6 @@
 from mapleline.faults import checker, schedule
 from mapleline.handoff import Book, Fate, frame, header, scan
 from mapleline.handoff.store import Log, Store
-from mapleline.membership import Lease, Leases
 from mapleline.net import handoff as driver
 from mapleline.policy import interface as i
 from mapleline.settings import own
@@ -99,14 +98,6 @@
         assert again.entries[rid].fate(KEYED, 30) is entry.fate(KEYED, 30)
 
 
-def test_the_taker_is_the_next_on_the_ring_whose_lease_holds():
-    leases = Leases(0.5)
-    leases.told([Lease("a", 1, 10), Lease("b", 2, 9), Lease("c", 1, 10), Lease("d", 1, 9.8)])
-    assert leases.over(9.5) == [] and [one.name for one in leases.over(9.6)] == ["b"]
-    assert [leases.taker(n, 9.9) for n in "abcd"] == ["c", "c", "a", "a"]
-    assert leases.taker("a", 11) is None
-
-
 def test_the_store_gives_each_claim_and_each_id_to_one(tmp_path):
     store, other = Store(str(tmp_path)), Store(str(tmp_path))
     assert [store.claim("a.1", "b"), other.claim("a.1", "c"), other.claim("a.2", "c")] == [True, False, True]
