--- a/mapleline/balancer/control/api.py
+++ b/mapleline/balancer/control/api.py
@@ -34,28 +34,28 @@
     def __init__(self, control_plane: ControlPlane, status: Callable[[], dict[str, Any]]) -> None:
         self.control_plane, self.status, self.settings = control_plane, status, control_plane.settings
 
-    def take(self, client_conn: ClientConnection, request: Request) -> None:
+    def handle_request(self, client_conn: ClientConnection, request: Request) -> None:
         path = request.target.partition(b"?")[0].decode("latin-1")
         match request.method.decode(), path.strip("/").split("/"):
             case "POST", ["config", "replace"]:
                 self.replace(client_conn, request.body)
             case "GET", ["config", "read"]:
-                self.in_touch(client_conn, self.read)
+                self.with_read_lease(client_conn, self.read)
             case "GET", ["config", "history"]:
-                self.in_touch(
+                self.with_read_lease(
                     client_conn, lambda client_conn: self.history(client_conn, path, lambda kept: kept.rows())
                 )
             case "GET", ["config", "history", version] if version.isdigit():
-                self.in_touch(
+                self.with_read_lease(
                     client_conn,
                     lambda client_conn: self.history(client_conn, path, lambda kept: kept.body(int(version))),
                 )
             case "POST", ["evacuations", zone, "begin" | "finish" as order]:
                 if zone not in self.settings.zones:
-                    return self.in_touch(
+                    return self.with_read_lease(
                         client_conn, lambda client_conn: client_conn.reply(404, b"no such zone: " + zone.encode())
                     )
-                self.in_touch(client_conn, lambda client_conn: self.evacuate(client_conn, zone, order))
+                self.with_read_lease(client_conn, lambda client_conn: self.evacuate(client_conn, zone, order))
             case "POST", ["core", address, "forget"]:
                 self.forget(client_conn, address)
             case "GET", ["status"]:
@@ -68,31 +68,35 @@
 
         client_conn.reply(200, msgspec.json.encode(said), JSON)
 
-    def in_touch(self, client_conn: ClientConnection, then: Callable[[ClientConnection], None]) -> None:
+    def with_read_lease(self, client_conn: ClientConnection, then: Callable[[ClientConnection], None]) -> None:
         """Only with contact that is younger than the call."""
-        self.control_plane.confirm().addCallback(lambda known: then(client_conn) if known else self.unsure(client_conn))
+        self.control_plane.acquire_read_lease().addCallback(
+            lambda known: then(client_conn) if known else self.unsure(client_conn)
+        )
 
     def unsure(self, client_conn: ClientConnection, text: str = "") -> None:
         client_conn.reply(UNSURE, text.encode() or b"no majority of the core can be reached", b"Retry-After: 0.3\r\n")
 
-    def order(self, client_conn: ClientConnection, order: Command, body: bytes | None, key: str, version: Any) -> None:
+    def submit(self, client_conn: ClientConnection, order: Command, body: bytes | None, key: str, version: Any) -> None:
         """An order that is put to the core, unless its caller has hung up: a process that was frozen finds orders in
         its sockets that were given to others, and overtaken, long ago.
         """
 
         def put() -> None:
             if client_conn.connected:
-                self._told(client_conn, self.control_plane.order(order, body, self._within), key, version)
+                self._reply_when_decided(
+                    client_conn, self.control_plane.submit_command(order, body, self._command_timeout_s), key, version
+                )
             else:
                 say("archive", "order dropped: its caller has hung up", key=key, version=version)
 
         self.control_plane.reactor.callLater(HUNG_UP_S, put)
 
     @property
-    def _within(self) -> float:
+    def _command_timeout_s(self) -> float:
         return ORDER_SHARE * self.settings.protocol_bounds.ack_timeout
 
-    def _told(self, client_conn: ClientConnection, done: Deferred, key: str, version: Any) -> None:
+    def _reply_when_decided(self, client_conn: ClientConnection, done: Deferred, key: str, version: Any) -> None:
         control_plane = self.control_plane
         began = control_plane.reactor.seconds()
 
@@ -100,11 +104,11 @@
             took = round(control_plane.reactor.seconds() - began, 3)
             text = {DONE: "acknowledged", CONFLICT: "refused"}.get(outcome.status, "not acknowledged")
             say("archive", text, key=key, version=version, took=took)
-            if control_plane.history is not None:
+            if control_plane.audit_log is not None:
                 kept = outcome.status == DONE
                 number = version if isinstance(version, int) else 0
                 control_plane.recall(
-                    control_plane.history.order, control_plane.environment.unix(), key, number, kept, took
+                    control_plane.audit_log.order, control_plane.environment.unix(), key, number, kept, took
                 )
             if outcome.status == DONE:
                 client_conn.reply(DONE, b"{}", JSON)
@@ -122,14 +126,14 @@
         except ConfigurationError as err:
             return client_conn.reply(400, str(err).encode())
         version = config.config_version
-        self.order(client_conn, ReplaceConfiguration(version, digest(body)), body, "config", version)
+        self.submit(client_conn, ReplaceConfiguration(version, digest(body)), body, "config", version)
 
     def evacuate(self, client_conn: ClientConnection, zone: str, order: str) -> None:
-        known = self.control_plane.held.number
-        self.order(client_conn, SetEvacuation(zone, order == "begin", known), None, f"evacuation/{zone}", order)
+        known = self.control_plane.committed.number
+        self.submit(client_conn, SetEvacuation(zone, order == "begin", known), None, f"evacuation/{zone}", order)
 
     def read(self, client_conn: ClientConnection) -> None:
-        body = self.control_plane.held.body
+        body = self.control_plane.committed.body
         if body is None:
             return client_conn.reply(404, b"no configuration yet")
         client_conn.reply(200, body, JSON)
@@ -142,14 +146,16 @@
             return client_conn.reply(400, b"no address: " + address.encode())
 
         def known(client_conn: ClientConnection) -> None:
-            self._told(client_conn, self.control_plane.forget(ip, self._within), f"core/{address}", "forget")
+            self._reply_when_decided(
+                client_conn, self.control_plane.remove_replica(ip, self._command_timeout_s), f"core/{address}", "forget"
+            )
 
-        self.in_touch(client_conn, known)
+        self.with_read_lease(client_conn, known)
 
     def history(self, client_conn: ClientConnection, path: str, read: Callable[[AuditLog], Any]) -> None:
         """What this machine's history says; one without a disk names one that has it."""
         control_plane = self.control_plane
-        if control_plane.history is None:
+        if control_plane.audit_log is None:
             others = [
                 m.ip
                 for m in control_plane.membership.alive(control_plane.reactor.seconds(), FORMED)
@@ -168,4 +174,4 @@
             else:
                 self.reply_json(client_conn, answer)
 
-        control_plane.recall(read, control_plane.history).addCallback(found)
+        control_plane.recall(read, control_plane.audit_log).addCallback(found)
--- a/mapleline/balancer/control/control_plane.py
+++ b/mapleline/balancer/control/control_plane.py
@@ -52,11 +52,15 @@
             rng,
         )
         self.in_force, self.teach, self.give_list, self.take_list = in_force, teach, give_list, take_list
-        self.me, self.history = membership.me.ip, environment.history()
-        self.held, self.contact = CommittedState(), ReadLease()
-        self.replica = LocalReplica(reactor, environment, self.me, settings.initial_start, rng, self.held, self._hold)
-        self.members = ReplicaMonitor(reactor, settings, membership, self.held, self.replica, self.since)
-        self.proposer = Proposer(reactor, settings, environment, rng, self.held, self.replica, self.members, self._won)
+        self.me, self.audit_log = membership.me.ip, environment.history()
+        self.committed, self.read_lease = CommittedState(), ReadLease()
+        self.replica = LocalReplica(
+            reactor, environment, self.me, settings.initial_start, rng, self.committed, self._hold
+        )
+        self.monitor = ReplicaMonitor(reactor, settings, membership, self.committed, self.replica, self.current_as_of)
+        self.proposer = Proposer(
+            reactor, settings, environment, rng, self.committed, self.replica, self.monitor, self._won
+        )
         self.probes: dict[int, tuple[int, float]] = {}  #: questions out: whom and when
         self.waiting: list[tuple[float, Deferred]] = []
         self.pulling = self.list_pulling = False
@@ -80,16 +84,16 @@
     @property
     def state(self) -> State | None:
         """The newest that is known to be chosen."""
-        return self.held.state
+        return self.committed.state
 
-    def since(self) -> float:
+    def current_as_of(self) -> float:
         """Everything chosen before that moment is held here."""
-        return self.contact.since(self.held.state)
+        return self.read_lease.since(self.committed.state)
 
     def probe(self) -> None:
         """Often while contact is wanting, and at leisure while it is fresh."""
         now = self.reactor.seconds()
-        wanting = now - self.since() > 2 * PROBE_S or self.members.learners(now)
+        wanting = now - self.current_as_of() > 2 * PROBE_S or self.monitor.learners(now)
         every = PROBE_S * self.rng.uniform(0.9, 1.1) if not wanting else PROBE_HASTE_S
         self.reactor.callLater(every, self.probe)
         self.ask_core()
@@ -97,10 +101,10 @@
     def ask_core(self) -> None:
         """Ask each replica what it holds; and some others, where these are out of reach."""
         now = self.reactor.seconds()
-        asked = set(self.held.voters())
+        asked = set(self.committed.voters())
         if self.replica.store is not None or not asked:
             asked |= {m.ip for m in self.membership.alive(now, DISK)}
-        if now - self.since() > 2 * PROBE_S:
+        if now - self.current_as_of() > 2 * PROBE_S:
             others = [m.ip for m in self.membership.alive(now) if not m.disk and m.ip != self.me]
             asked |= set(self.rng.sample(others, min(RELAYS, len(others))))
         self.probes = {n: out for n, out in self.probes.items() if now - out[1] < 5}
@@ -110,22 +114,22 @@
                 continue
             self.nonce = (self.nonce + 1) & 0x7FFFFFFF
             self.probes[self.nonce] = ip, now
-            self.environment.send(ip, StateQuery(self.nonce, *self.members.known(ip)))
+            self.environment.send(ip, StateQuery(self.nonce, *self.monitor.known(ip)))
 
     def _ask_self(self, now: float) -> None:
         if self.replica.is_voter:
             accepted = self.replica.acceptor.state
-            if accepted is None or accepted.number <= self.held.number:
-                self.contact.agree(self.me, self.replica.disk, now)
+            if accepted is None or accepted.number <= self.committed.number:
+                self.read_lease.agree(self.me, self.replica.disk, now)
         self._confirmed()
 
-    def probed(self, ip: int, probe: StateQuery) -> None:
+    def handle_state_query(self, ip: int, probe: StateQuery) -> None:
         """Another one asks what is held here."""
-        replica, number = self.replica, self.held.number
-        replica.witness(ip, probe.disk, probe.seen)
-        age = self.reactor.seconds() - self.since()
+        replica, number = self.replica, self.committed.number
+        replica.check_rollback(ip, probe.disk, probe.seen)
+        age = self.reactor.seconds() - self.current_as_of()
         age_ms = int(age * 1000) + 1 if age < 60 else -1
-        known = self.members.known(ip)
+        known = self.monitor.known(ip)
         if replica.disk:
             acceptor = replica.acceptor
             self.environment.send(
@@ -139,41 +143,41 @@
                     acceptor.kept,
                     age_ms,
                     *known,
-                    replica.vouched,
+                    replica.is_verified,
                 ),
             )
         else:
             self.environment.send(ip, StateReport(probe.nonce, 0, 0, number, number, 0, age_ms, *known))
 
-    def told(self, ip: int, said: StateReport) -> None:
+    def handle_state_report(self, ip: int, said: StateReport) -> None:
         """What another one holds; fetched first where that is newer."""
         out = self.probes.pop(said.nonce, None)
         if out is None or out[0] != ip:
             return
-        self.replica.witness(ip, said.theirs, said.seen)
-        if said.disk and not (said.sure and self.members.told(ip, said.disk, said.turn, said.kept, out[1])):
+        self.replica.check_rollback(ip, said.theirs, said.seen)
+        if said.disk and not (said.sure and self.monitor.record_report(ip, said.disk, said.turn, said.kept, out[1])):
             return
-        if said.number > self.held.number:
-            self.pull(ip, then=lambda: self._agree(ip, said, out[1]))
+        if said.number > self.committed.number:
+            self.fetch(ip, then=lambda: self._agree(ip, said, out[1]))
         else:
             self._agree(ip, said, out[1])
 
     def _agree(self, ip: int, said: StateReport, asked: float) -> None:
-        number = self.held.number
+        number = self.committed.number
         if said.disk and said.accepted <= number:
-            self.contact.agree(ip, said.disk, asked)
+            self.read_lease.agree(ip, said.disk, asked)
         if said.age_ms >= 0 and said.number <= number:
-            self.contact.relay(asked, said.age_ms / 1000)
+            self.read_lease.relay(asked, said.age_ms / 1000)
         self._confirmed()
 
     def _confirmed(self) -> None:
-        since = self.since()
+        since = self.current_as_of()
         sure = [done for at, done in self.waiting if since >= at]
         self.waiting = [(at, done) for at, done in self.waiting if since < at]
         for done in sure:
             done.callback(True)
 
-    def confirm(self, timeout_s: float = 1.5) -> Deferred:
+    def acquire_read_lease(self, timeout_s: float = 1.5) -> Deferred:
         """Fires with whether all that was chosen before this call is held here now."""
         done: Deferred = Deferred()
         pair = (self.reactor.seconds(), done)
@@ -196,20 +200,20 @@
 
     # -- news ----------------------------------------------------------------------------------------------
 
-    def heard_of(self, ip: int, number: int, now: float) -> None:
+    def handle_advertised_number(self, ip: int, number: int, now: float) -> None:
         """Another one holds that.  What is newer is fetched from the core; from others only after a while, or where no
         machine of the core is heard of: a thin link must not carry a large configuration to all.
         """
-        if number <= self.held.number:
+        if number <= self.committed.number:
             return
         if self.wanting is None:
             self.wanting = now
         member = self.membership.members.get(ip)
         known = [m for m in self.membership.alive(now, DISK) if m.ip != self.me]
         if member is not None and member.disk or not known or now - self.wanting > WANTING_S:
-            self.pull(ip)
+            self.fetch(ip)
 
-    def pull(self, ip: int, servers: bool = False, state: bool = True, then: Callable[[], None] | None = None) -> None:
+    def fetch(self, ip: int, servers: bool = False, state: bool = True, then: Callable[[], None] | None = None) -> None:
         """Fetch what is newer from who has it."""
         state = state and (not self.pulling or then is not None)
         servers = servers and not self.list_pulling
@@ -229,13 +233,17 @@
             if then is not None:
                 then()
 
-        call = FetchState(self.held.number, self.held.content, self.replica.store is not None, state, servers)
+        call = FetchState(self.committed.number, self.committed.content, self.replica.store is not None, state, servers)
         self.environment.call(ip, call, CALL_S).addBoth(pulled)
 
     def learn(self, state: State, body: bytes | None) -> None:
         """A chosen state, from who holds it.  One as it goes to machines without a disk is nothing for a replica."""
         brief = state.config is not None and not state.past
-        if self.held.newer(state) and not (brief and self.replica.store is not None) and self.held.put(state, body):
+        if (
+            self.committed.newer(state)
+            and not (brief and self.replica.store is not None)
+            and self.committed.put(state, body)
+        ):
             self.replica.learn(state)
             self._hold(state)
 
@@ -246,29 +254,29 @@
 
     def _hold(self, state: State) -> None:
         """That is chosen: it is in force here if it is newer than what was held."""
-        before = self.held.state
-        if not self.held.newer(state):
+        before = self.committed.state
+        if not self.committed.newer(state):
             return
-        self.held.state, self.wanting = state, None
+        self.committed.state, self.wanting = state, None
         if before is None or before.epoch != state.epoch:
-            self.contact.keep(state)
-            self.membership.pinned = set(self.held.voters())
+            self.read_lease.keep(state)
+            self.membership.pinned = set(self.committed.voters())
             for one in state.members():
                 self.membership.know(one.ip, one.zone, DISK)
             say("archive", "members", epoch=state.epoch, voters=len(state.voters), former=len(state.former))
-        self.held.prune(self.replica.names() | self.proposer.names())
+        self.committed.prune(self.replica.names() | self.proposer.names())
         self.in_force(before)
         if self.replica.store is not None:
             self.teach()
-        if self.history is not None:
+        if self.audit_log is not None:
             for change in self._changes(before, state):
-                self.recall(self.history.keep, self.environment.unix(), *change)
+                self.recall(self.audit_log.keep, self.environment.unix(), *change)
 
     def _changes(self, before: State | None, state: State) -> list[tuple[str, int, str, bytes]]:
         found = []
         if state.config is not None and (before is None or before.config != state.config):
             version, content = state.config
-            found.append(("config", version, f"{content:016x}", self.held.contents[content]))
+            found.append(("config", version, f"{content:016x}", self.committed.contents[content]))
         for zone in sorted(set(state.evacuated) ^ set(before.evacuated if before is not None else ())):
             said = b"begin" if zone in state.evacuated else b"finish"
             found.append((f"evacuation/{zone}", state.number, "", said))
@@ -283,7 +291,7 @@
 
         return self.environment.in_thread(work, *with_).addErrback(refused)
 
-    def called(self, call: Call) -> Any:
+    def handle_call(self, call: Call) -> Any:
         """A call of another ingress: a reply or a Deferred of one."""
         match call:
             case Prepare():
@@ -296,7 +304,7 @@
                 return self._give(call)
 
     def _give(self, call: FetchState) -> FetchedState:
-        held, state, body = self.held, None, None
+        held, state, body = self.committed, None, None
         if call.state and held.number > call.number:
             state = held.state if call.whole else held.state.brief()
             body = held.body if held.content != call.content else None
@@ -304,15 +312,15 @@
 
     # -- orders, leaving, repair ---------------------------------------------------------------------------
 
-    def order(self, order: Command, body: bytes | None, timeout_s: float) -> Deferred:
+    def submit_command(self, order: Command, body: bytes | None, timeout_s: float) -> Deferred:
         """Fires with the outcome of an operator's order."""
-        return self.proposer.order(order, body, timeout_s)
+        return self.proposer.submit(order, body, timeout_s)
 
-    def forget(self, ip: int, timeout_s: float) -> Deferred:
+    def remove_replica(self, ip: int, timeout_s: float) -> Deferred:
         """Let a machine of the core go that is gone for good; refused while it is there."""
-        if ip in self.held.voters() and ip in {m.ip for m in self.membership.alive(self.reactor.seconds())}:
+        if ip in self.committed.voters() and ip in {m.ip for m in self.membership.alive(self.reactor.seconds())}:
             return succeed(CommandResult(CONFLICT, "it is there: stop it first"))
-        return self.order(RemoveReplica(ip), None, timeout_s)
+        return self.submit_command(RemoveReplica(ip), None, timeout_s)
 
     def mend(self) -> None:
         """Once in a while the disk is compared with what is held."""
@@ -321,15 +329,15 @@
 
     def status(self) -> dict[str, Any]:
         """What is held here, for people."""
-        state, replica, since = self.held.state, self.replica, self.since()
+        state, replica, since = self.committed.state, self.replica, self.current_as_of()
         known = state is not None
         return {
             "system": state.system if known else None,
             "epoch": state.epoch if known else None,
-            "number": self.held.number,
+            "number": self.committed.number,
             "config_version": state.config[0] if known and state.config is not None else None,
             "evacuated": list(state.evacuated) if known else [],
-            "members": self.members.rows(),
+            "members": self.monitor.rows(),
             "ballot": list(replica.acceptor.record.promised) if replica.disk else None,
             "contact_age_s": round(self.reactor.seconds() - since, 3) if since > -1e9 else None,
             "disk": replica.fault or ("well" if replica.store is not None else "none"),
--- a/mapleline/balancer/control/proposer.py
+++ b/mapleline/balancer/control/proposer.py
@@ -61,7 +61,7 @@
         won: Callable[[State], None],
     ) -> None:
         self.reactor, self.settings, self.environment, self.rng = reactor, settings, environment, rng
-        self.held, self.replica, self.members, self.won = held, replica, members, won
+        self.committed, self.replica, self.monitor, self.won = held, replica, members, won
         self.me = replica.me
         self.orders: list[_Asked] = []
         self.taken: list[_Asked] = []  #: orders in the ballot that is out
@@ -73,7 +73,7 @@
 
     # -- orders --------------------------------------------------------------------------------------------
 
-    def order(self, order: Command, body: bytes | None, timeout_s: float) -> Deferred:
+    def submit(self, order: Command, body: bytes | None, timeout_s: float) -> Deferred:
         """Fires with the outcome of an operator's order: UNSURE if a majority could not be reached in time."""
         asked = _Asked(order, body, self.reactor.seconds() + timeout_s)
         self.reactor.callLater(timeout_s, asked.answer, CommandResult(UNSURE))
@@ -85,9 +85,9 @@
         now = self.reactor.seconds()
         if asked.done.called or now > asked.end:
             return
-        untried = [m.ip for m in self.members.proposers(now) if m.ip not in tried]
+        untried = [m.ip for m in self.monitor.proposers(now) if m.ip not in tried]
         if not untried:
-            if self._out_of_touch(now):
+            if self._is_without_read_lease(now):
                 return asked.answer(CommandResult(UNSURE))
             return self.reactor.callLater(0.2, self._route, asked, set())
         ip = untried[0]
@@ -126,7 +126,7 @@
     def _take(self, asked: _Asked) -> None:
         """An order that this one proposes itself."""
         if isinstance(asked.order, ReplaceConfiguration) and asked.body is not None:
-            self.held.contents[asked.order.content] = asked.body
+            self.committed.contents[asked.order.content] = asked.body
         self.orders.append(asked)
         self.look()
 
@@ -136,9 +136,9 @@
         proposed = self.proposal.state if self.proposal is not None else None
         return wanted | ({proposed.config[1]} if proposed is not None and proposed.config is not None else set())
 
-    def _out_of_touch(self, now: float) -> bool:
+    def _is_without_read_lease(self, now: float) -> bool:
         """Whether who asks here had better ask another: there was no contact for some questions on end."""
-        return now - self.members.since() > OUT_S
+        return now - self.monitor.current_as_of() > OUT_S
 
     # -- when to propose -----------------------------------------------------------------------------------
 
@@ -149,26 +149,26 @@
 
     def look(self) -> None:
         """Begin a ballot if there is something to propose, and none is out."""
-        now, state = self.reactor.seconds(), self.held.state
+        now, state = self.reactor.seconds(), self.committed.state
         self.orders = [one for one in self.orders if not one.done.called and one.end > now]
         if self.proposal is not None or now < self.rest_until or not self.replica.disk:
             return
         if state is None:
-            if self.members.may_found(now):
+            if self.monitor.may_found(now):
                 self._begin(genesis(number(at) for at, _ in self.settings.seed_nodes), self._found)
         elif self.replica.is_voter and (
             self.orders
             or self._in_limbo(now)
             or state.former
-            and self.members.coordinates(now)
-            or self.members.due(state, now)
+            and self.monitor.is_coordinator(now)
+            or self.monitor.due(state, now)
         ):
             self._begin(state, self._next)
 
     def _in_limbo(self, now: float) -> bool:
         """Something was accepted here, and whether it is chosen is not known: who proposed it may be gone."""
         record = self.replica.acceptor.record
-        if record.state is None or record.state.number <= self.held.number:
+        if record.state is None or record.state.number <= self.committed.number:
             return False
         if self.limbo[0] != record.ballot:
             self.limbo = record.ballot, now + LIMBO_S * self.rng.uniform(1.0, 2.0)
@@ -176,17 +176,17 @@
 
     def _found(self, base: State) -> State:
         """The first core; another's, if one was accepted already."""
-        return founded(base, self.rng.getrandbits(31) | 1, self.members.first(self.reactor.seconds()))
+        return founded(base, self.rng.getrandbits(31) | 1, self.monitor.first(self.reactor.seconds()))
 
     def _next(self, base: State) -> State:
         """What the orders at hand make of a state, and the members' change that is due."""
-        known = base == self.held.state  # so that it is known to be chosen
+        known = base == self.committed.state  # so that it is known to be chosen
         self.taken = [one for one in self.orders if not one.done.called]
         state, self.outcomes = batch(
-            settled(base) if known else base, [one.order for one in self.taken], self.members.losses, self.members.zones
+            settled(base) if known else base, [one.order for one in self.taken], self.monitor.losses, self.monitor.zones
         )
         if known and not base.former and not state.former:
-            voters = self.members.due(state, self.reactor.seconds())
+            voters = self.monitor.due(state, self.reactor.seconds())
             state = reformed(state, voters) if voters is not None else state
         return state
 
@@ -205,12 +205,16 @@
             else:
                 self._give_up(proposal)
 
-        own = maybeDeferred(self.replica.prepare, Prepare(proposal.ballot, proposal.known.number, self.held.content))
+        own = maybeDeferred(
+            self.replica.prepare, Prepare(proposal.ballot, proposal.known.number, self.committed.content)
+        )
         own.addCallback(first).addErrback(self._fault)
 
     def _ask(self, proposal: Proposal) -> None:
         for ip in proposal.to_ask():
-            self._call(ip, Prepare(proposal.ballot, proposal.known.number, self.held.content), self._promised, proposal)
+            self._call(
+                ip, Prepare(proposal.ballot, proposal.known.number, self.committed.content), self._promised, proposal
+            )
 
     def _call(self, ip: int, call: Call, then: Callable[..., None], proposal: Proposal) -> None:
         if ip == self.me:
@@ -218,13 +222,13 @@
             done = maybeDeferred(take, call)
         else:
             done = self.environment.call(ip, call, CALL_S)
-        known = dict(self.members.high)
+        known = dict(self.monitor.high)
 
         def answered(reply: Any) -> None:
             if isinstance(reply, Promised | Accepted) and reply.ok:
                 if reply.turn < known.get((ip, reply.disk), 0):
                     return  # an older folder was put back there
-                self.members.answered(ip, reply.disk, reply.turn)
+                self.monitor.record_turn(ip, reply.disk, reply.turn)
             then(proposal, ip, reply)
 
         done.addCallbacks(answered, lambda _: self._call_again(ip, call, then, proposal))
@@ -246,14 +250,14 @@
         if not isinstance(reply, Promised) or proposal is not self.proposal or not reply.ok and not reply.disk:
             return
         if reply.state is not None:
-            self.held.put(reply.state, reply.body)
+            self.committed.put(reply.state, reply.body)
         self._step(proposal, proposal.promised(ip, reply.disk, reply.ok, reply.promised, reply.ballot, reply.state))
 
     def _accepted(self, proposal: Proposal, ip: int, reply: Any) -> None:
         if not isinstance(reply, Accepted) or proposal is not self.proposal:
             return
         if reply.lacks:
-            body = self.held.contents[proposal.state.config[1]]
+            body = self.committed.contents[proposal.state.config[1]]
             self._call(ip, Accept(proposal.ballot, proposal.state, body), self._accepted, proposal)
         elif reply.ok or reply.disk:
             self._step(proposal, proposal.accepted(ip, reply.disk, reply.ok, reply.promised))
@@ -262,10 +266,10 @@
         match step:
             case Step.ASK:
                 self._ask(proposal)
-            case Step.ACCEPT if whole(proposal.state, self.held.contents):
+            case Step.ACCEPT if whole(proposal.state, self.committed.contents):
                 base, state = proposal.base, proposal.state
                 fresh = state.config is not None and state.config != base.config
-                body = self.held.contents[state.config[1]] if fresh else None
+                body = self.committed.contents[state.config[1]] if fresh else None
                 for ip in proposal.to_accept():
                     self._call(ip, Accept(proposal.ballot, state, body), self._accepted, proposal)
             case Step.CHOSEN:
@@ -291,7 +295,7 @@
         if proposal is not self.proposal:
             return
         self.proposal, now = None, self.reactor.seconds()
-        if self._out_of_touch(now) or self.replica.fault is not None:
+        if self._is_without_read_lease(now) or self.replica.fault is not None:
             for one in self.orders:
                 one.answer(CommandResult(UNSURE))
         rest = self.rng.uniform(0.02, min(REST_MOST_S, REST_S * 2**self.lost))
--- a/mapleline/balancer/control/replica.py
+++ b/mapleline/balancer/control/replica.py
@@ -37,11 +37,11 @@
         decided: Callable[[State], None],
     ) -> None:
         self.reactor, self.environment, self.me, self.seed, self.rng = reactor, environment, me, seed, rng
-        self.held, self.decided = held, decided
+        self.committed, self.decided = held, decided
         self.store = environment.store()
         self.acceptor: Acceptor | None = None  #: none until the identity of the disk is lasting
         self.fault: str | None = None  #: why the disk last refused, until it takes something
-        self.vouched = True  #: it has all that it once had, as far as the others know
+        self.is_verified = True  #: it has all that it once had, as far as the others know
         self._vouchers: dict[int, float] = {}  #: who said so, and when
 
     def load(self) -> State | None:
@@ -65,8 +65,8 @@
             self.seed = self.seed and not spoilt and record is None  # what was here may have voted on the first core
             self._renew(record.turn if record is not None else 0)
             return None
-        self.acceptor, self.held.contents = Acceptor(record), contents
-        self.vouched = not any(self._others())
+        self.acceptor, self.committed.contents = Acceptor(record), contents
+        self.is_verified = not any(self._others())
         state = self.acceptor.decided
         return state if whole(state, contents) else None
 
@@ -77,14 +77,14 @@
 
     @property
     def is_voter(self) -> bool:
-        state = self.held.state
-        return bool(self.disk) and self.vouched and state is not None and state.is_voter(self.me, self.disk)
+        state = self.committed.state
+        return bool(self.disk) and self.is_verified and state is not None and state.is_voter(self.me, self.disk)
 
     def _renew(self, turn: int) -> None:
         """An empty disk is another replica than whatever was here before: it has promised nothing."""
         acceptor = Acceptor(Record(self.me, self.rng.getrandbits(31) | 1, turn=turn + 1))
         acceptor.turn = -1  # nothing of it is on the disk yet
-        self.acceptor, self.vouched = None, True
+        self.acceptor, self.is_verified = None, True
         if self.store is None:
             self.acceptor = acceptor  # a seed's part in the founding
             return
@@ -92,8 +92,8 @@
         def kept(_: object) -> None:
             if self.acceptor is None:
                 self.acceptor = acceptor
-                if self.held.state is not None:
-                    self.learn(self.held.state)
+                if self.committed.state is not None:
+                    self.learn(self.committed.state)
 
         def refused(reason: Any) -> None:
             self.refused(reason)
@@ -101,7 +101,7 @@
 
         self._sync(acceptor).addCallbacks(kept, refused)
 
-    def witness(self, ip: int, disk: int, seen: int) -> None:
+    def check_rollback(self, ip: int, disk: int, seen: int) -> None:
         """Another one last heard from that disk here, and that its record had come so far; disk 0: it knows of none.
 
         After a start nothing is promised, accepted or proposed until so many of the voters have spoken that no majority
@@ -109,20 +109,20 @@
         """
         if disk and disk == self.disk and seen > self.acceptor.turn:
             return self._disown(seen)
-        if self.vouched or self.acceptor is None or disk not in (0, self.disk):
+        if self.is_verified or self.acceptor is None or disk not in (0, self.disk):
             return
         now, others = self.reactor.seconds(), [one for one in self._others() if one]
         if any(ip in one for one in others):
             self._vouchers.setdefault(ip, now)
         heard = self._vouchers.keys()
         enough = all(len(one & heard) > len(one) // 2 for one in others)
-        self.vouched = enough or bool(heard) and now - min(self._vouchers.values()) > VOUCH_S
+        self.is_verified = enough or bool(heard) and now - min(self._vouchers.values()) > VOUCH_S
 
     def _others(self) -> list[set[int]]:
         """Whose word counts beside this one's, in each set that has to agree; of what was accepted where no more is
         known; none where nothing was.
         """
-        state = self.held.state or self.acceptor.decided or self.acceptor.state
+        state = self.committed.state or self.acceptor.decided or self.acceptor.state
         sets = (state.voters, state.former) if state is not None else ()
         return [{r.ip for r in one} - {self.me} for one in sets]
 
@@ -146,7 +146,7 @@
 
         if self.store is None or record.turn <= acceptor.turn and not self.fault:
             return succeed(None).addCallback(synced)
-        contents = {name: self.held.contents[name] for name in named(record) if name in self.held.contents}
+        contents = {name: self.committed.contents[name] for name in named(record) if name in self.committed.contents}
         return self.environment.in_thread(self.store.save, record, contents).addCallback(synced)
 
     def keep(self) -> None:
@@ -164,7 +164,7 @@
 
     def mend(self) -> None:
         """What is held and not lasting is written again, and one file that lies still is read."""
-        acceptor, state = self.acceptor, self.held.state
+        acceptor, state = self.acceptor, self.committed.state
         if self.store is None or acceptor is None:
             return
         if state is not None and acceptor.kept < state.number:
@@ -174,7 +174,7 @@
             if name is not None:
                 say("archive", "bad file mended", file=name)
 
-        self.environment.in_thread(self.store.scrub, dict(self.held.contents)).addCallbacks(scrubbed, self.refused)
+        self.environment.in_thread(self.store.scrub, dict(self.committed.contents)).addCallbacks(scrubbed, self.refused)
 
     # -- its part in the agreement -------------------------------------------------------------------------
 
@@ -182,8 +182,8 @@
         """Whether its promises may count: with a disk, or as a seed until the founding is over.  Who knows of no core,
         and has accepted none, takes part in a founding at the first start alone: else its disk may be another.
         """
-        acceptor, state = self.acceptor, self.held.state
-        if acceptor is None or not self.vouched:
+        acceptor, state = self.acceptor, self.committed.state
+        if acceptor is None or not self.is_verified:
             return False
         if state is None:
             return self.seed or acceptor.state is not None or acceptor.decided is not None
@@ -197,7 +197,7 @@
         ok, record = acceptor.prepare(call.ballot, call.known), acceptor.record
         state, body = record.state, None
         if state is not None and state.config is not None and state.config[1] != call.content:
-            body = self.held.contents.get(state.config[1])
+            body = self.committed.contents.get(state.config[1])
         reply = Promised(ok, record.disk, record.promised, record.ballot, state, body, record.turn if ok else 0)
         return self._answer(ok, reply, Promised(False, 0))
 
@@ -206,7 +206,7 @@
         acceptor = self.acceptor
         if not self.votes():
             return Accepted(False, 0)
-        if not self.held.put(call.state, call.body):
+        if not self.committed.put(call.state, call.body):
             return Accepted(False, acceptor.disk, lacks=True)
         ok, record = acceptor.accept(call.ballot, call.state), acceptor.record
         return self._answer(ok, Accepted(ok, record.disk, record.promised, turn=record.turn), Accepted(False, 0))
@@ -223,7 +223,7 @@
         # what was promised under an identity that was given up meanwhile counts for nothing
         return self._sync(acceptor).addCallbacks(lambda _: reply if acceptor is self.acceptor else failed, refused)
 
-    def chosen(self, message: Chosen) -> None:
+    def handle_chosen(self, message: Chosen) -> None:
         """What was accepted here under that ballot is chosen."""
         if self.acceptor is not None and self.acceptor.chosen(message.ballot, message.number):
             self.keep()
--- a/mapleline/balancer/control/replica_monitor.py
+++ b/mapleline/balancer/control/replica_monitor.py
@@ -31,14 +31,14 @@
         replica: LocalReplica,
         since: Callable[[], float],
     ) -> None:
-        self.reactor, self.settings, self.membership, self.held, self.replica = (
+        self.reactor, self.settings, self.membership, self.committed, self.replica = (
             reactor,
             settings,
             membership,
             held,
             replica,
         )
-        self.since, self.me, self.started = since, membership.me.ip, reactor.seconds()
+        self.current_as_of, self.me, self.started = since, membership.me.ip, reactor.seconds()
         self.losses, self.zones = settings.fault_tolerance.machine_losses, settings.fault_tolerance.zones
         self.lost_s = settings.protocol_bounds.contact_window + settings.protocol_bounds.catch_up
         self.high: dict[tuple[int, int], int] = {}  #: by address and disk: the highest turn that it told
@@ -47,15 +47,15 @@
         self._epoch = (0, 0.0)  #: that of the voters as they are held here, and since when
         self._disks = (0, self.started)  #: how many were heard of, and since when so many
 
-    def told(self, ip: int, disk: int, turn: int, kept: int, asked: float) -> bool:
+    def record_report(self, ip: int, disk: int, turn: int, kept: int, asked: float) -> bool:
         """What a machine with a disk says of itself; False if it has less than it once had, under the same identity."""
-        if not self.answered(ip, disk, turn):
+        if not self.record_turn(ip, disk, turn):
             return False  # the next question will tell it so
         if asked >= self.seen.get(ip, (0, 0, 0.0))[2]:
             self.seen[ip] = disk, kept, asked
         return True
 
-    def answered(self, ip: int, disk: int, turn: int) -> bool:
+    def record_turn(self, ip: int, disk: int, turn: int) -> bool:
         """How far the record of a machine's disk has come, as it says; False if that is less than it once was."""
         high = self.high.get((ip, disk), 0)
         self.high[ip, disk] = max(high, turn)
@@ -66,37 +66,37 @@
         disk = self.seen.get(ip, (0,))[0]
         return disk, self.high.get((ip, disk), 0)
 
-    # -- who proposes --------------------------------------------------------------------------------------
+    # -- who can_propose --------------------------------------------------------------------------------------
 
     @property
-    def proposes(self) -> bool:
+    def can_propose(self) -> bool:
         """Whether orders may well be passed on to this one: it has a vote, and its disk takes what it is given."""
         return self.replica.is_voter and self.replica.fault is None
 
     def proposers(self, now: float) -> list[Member]:
         """The voters that are there, in the order in which they are asked to propose."""
-        voters = set(self.held.voters())
+        voters = set(self.committed.voters())
         able = [
             m
             for m in self.membership.alive(now, DISK)
-            if m.ip in voters and (self.proposes if m.ip == self.me else m.flags & FORMED)
+            if m.ip in voters and (self.can_propose if m.ip == self.me else m.flags & FORMED)
         ]
         staying = [m for m in able if not m.flags & LEAVING]
         return sorted(staying or able, key=lambda m: m.place)
 
     def coordinator(self, now: float) -> int:
-        """Who proposes, so that ballots do not meet: the first of those.  Only a habit: others do no harm."""
+        """Who can_propose, so that ballots do not meet: the first of those.  Only a habit: others do no harm."""
         return next((m.ip for m in self.proposers(now)), 0)
 
-    def coordinates(self, now: float) -> bool:
+    def is_coordinator(self, now: float) -> bool:
         """Whether this one is to see to the members."""
         return self.replica.is_voter and self.coordinator(now) == self.me
 
     def learners(self, now: float) -> bool:
         """Whether this one sees to the members, and a machine with a disk has had no vote for a little while."""
-        if not self.coordinates(now):
+        if not self.is_coordinator(now):
             return False
-        voters = {(r.ip, r.disk) for r in self.held.state.voters}
+        voters = {(r.ip, r.disk) for r in self.committed.state.voters}
         learners = {
             m.ip
             for m in self.membership.alive(now, DISK)
@@ -111,7 +111,7 @@
         """Other voters, if this one is to see to that."""
         if state.epoch != self._epoch[0]:
             self._epoch = state.epoch, now
-        if not self.coordinates(now) or now - self.since() > FRESH_S:
+        if not self.is_coordinator(now) or now - self.current_as_of() > FRESH_S:
             return None
         known = {r.ip: r for r in state.voters}
         ips = known.keys() | {m.ip for m in self.membership.alive(now, DISK)}
@@ -163,13 +163,13 @@
             if m.ip == self.me or m.ip in self.seen
         ]
 
-    def is_let_go(self) -> bool:
+    def is_released(self) -> bool:
         """Whether the core does without this one: it has no vote any more; or, where the others could then not bear a
         loss and it keeps its vote, a majority without it holds all that is decided.
         """
         if not self.replica.is_voter:
             return True
-        state = self.held.state
+        state = self.committed.state
         if bears([r for r in state.voters if r.ip != self.me], self.losses, self.zones):
             return False
         return state.quorum(
@@ -180,7 +180,7 @@
 
     def rows(self) -> list[dict[str, Any]]:
         """Who votes and who does not, as this one knows it."""
-        now, state = self.reactor.seconds(), self.held.state
+        now, state = self.reactor.seconds(), self.committed.state
         alive = {m.ip: m for m in self.membership.alive(now, DISK)}
         voters = {r.ip: r for r in (state.members() if state is not None else ())}
         rows = []
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -128,11 +128,11 @@
     def start(self) -> None:
         self.control_plane.load()
         settings, listen = self.settings, self.settings.listen_addresses
-        self.environment.open(self.fence, self.told, self.control_plane.called)
+        self.environment.open(self.fence, self.told, self.control_plane.handle_call)
         pool = BufferPool(kept=4)  # never tight: what is said here is taken in whole
         for place, take in (
             (listen.ready_addr, self.readiness),
-            (listen.control_addr, self.control.take),
+            (listen.control_addr, self.control.handle_request),
             (listen.directory_addr, self.directory.take),
         ):
             if place is not None:
@@ -161,7 +161,7 @@
 
     def _leave_when_done(self) -> None:
         spent = self.reactor.seconds() - self.left_at
-        done = not self.proxy.calls and self.control_plane.members.is_let_go()
+        done = not self.proxy.calls and self.control_plane.monitor.is_released()
         if done and spent > 0.45 * self.bounds.grace_period or spent > self.bounds.grace_period - 0.5:
             say("node", "left", in_hand=len(self.proxy.calls))
             return self.reactor.stop()
@@ -179,7 +179,7 @@
 
     def contact_age(self) -> float:
         """For how long there was no contact with a majority of the core, in seconds."""
-        return self.reactor.seconds() - self.control_plane.since()
+        return self.reactor.seconds() - self.control_plane.current_as_of()
 
     def in_touch(self) -> bool:
         """Whether contact with a majority of the core is younger than what may be done without."""
@@ -188,7 +188,7 @@
 
     def flags(self) -> int:
         ready = self.may_serve() and not self.leaving and bool(self.endpoints.instances)
-        formed = self.control_plane.members.proposes
+        formed = self.control_plane.monitor.can_propose
         return READY * ready | LEAVING * self.leaving | DISK * self.membership.me.disk | FORMED * formed
 
     def readiness(self, client_conn: ClientConnection, request: Request) -> None:
@@ -217,7 +217,7 @@
         listed = self.endpoints
         return Heartbeat(
             self.membership.rows(now),
-            self.control_plane.held.number,
+            self.control_plane.committed.number,
             listed.digest,
             listed.age_ms(now),
             reply,
@@ -293,15 +293,15 @@
                     self.send(ip, self._beat())
                 if self.membership.overtaken(ip, message.rows):
                     return  # of its sender something newer is known: its list would seem fresher than it is
-                self.control_plane.heard_of(ip, message.number, now)
+                self.control_plane.handle_advertised_number(ip, message.number, now)
                 self.leadership.told(message.term, message.holder)
                 self._list_news(ip, message, now)
             case StateQuery():
-                self.control_plane.probed(ip, message)
+                self.control_plane.handle_state_query(ip, message)
             case StateReport():
-                self.control_plane.told(ip, message)
+                self.control_plane.handle_state_report(ip, message)
             case Chosen():
-                self.control_plane.replica.chosen(message)
+                self.control_plane.replica.handle_chosen(message)
             case LoadReport() if self.fence.newest(ip, message.turn):
                 self.proxy.heard(ip, message, now)
             case VoteRequest():
@@ -324,13 +324,13 @@
         if beat.list_digest == self.endpoints.digest:
             self.endpoints.same_at(self.membership.told_at - beat.list_age_ms / 1000, beat.list_digest)
         else:
-            self.control_plane.pull(ip, servers=True, state=False)
+            self.control_plane.fetch(ip, servers=True, state=False)
 
     # -- the operator's word -------------------------------------------------------------------------------
 
     def apply(self, before: State | None) -> None:
         """Put what is held in force."""
-        state, body = self.control_plane.state, self.control_plane.held.body
+        state, body = self.control_plane.state, self.control_plane.committed.body
         self.fence.system = state.system
         if body is not None and (before is None or before.config != state.config or self.proxy.table is None):
             try:
@@ -368,7 +368,7 @@
             return
         able = self._able(now)
         next_one = first(able) == self.membership.me.ip
-        known = self.control_plane.held.voters() or now - self.started > UNKNOWN_S
+        known = self.control_plane.committed.voters() or now - self.started > UNKNOWN_S
         if next_one and known and self._listless(now):
             self._claim()
         elif self.leadership.mine and not next_one:
@@ -397,7 +397,7 @@
 
     def _voters(self) -> list[int]:
         """The core; without one, all there are."""
-        return self.control_plane.held.voters() or sorted(self.membership.members)
+        return self.control_plane.committed.voters() or sorted(self.membership.members)
 
     def _granted(self, by: int, term: int) -> None:
         if self.leadership.granted(term, by, self._voters()):
--- a/mapleline/simulation/world.py
+++ b/mapleline/simulation/world.py
@@ -223,7 +223,7 @@
 
     def is_coordinator(self) -> bool:
         """It is the one that orders are passed on to, as far as it knows."""
-        return self.is_running and self.node.control_plane.members.coordinates(self.world.now)
+        return self.is_running and self.node.control_plane.monitor.is_coordinator(self.world.now)
 
     def evacuated_zones(self) -> set[str]:
         """Zones whose servers get nothing from it."""
@@ -818,7 +818,7 @@
         request = Request(method.encode(), path.encode(), fields, body, True, False, b"1", len(body))
         self.observe("request", PORTS[of], machine.name, b"%b\r\n%b" % (repr((method, path, headers)).encode(), body))
         node = machine.node
-        take = {"proxy": node.proxy.take, "control": node.control.take, "directory": node.directory.take}[of]
+        take = {"proxy": node.proxy.take, "control": node.control.handle_request, "directory": node.directory.take}[of]
         machine.reactor.run(take, client_conn, request)
         return client_conn
 
--- a/tests/balancer/control/test_recovery.py
+++ b/tests/balancer/control/test_recovery.py
@@ -67,7 +67,7 @@
                 body = body_of(self.version + 1)
                 machine = at if at is not None and at.up else self.up()[0]
                 order = ReplaceConfiguration(self.version + 1, digest(body))
-                machine.node.control_plane.order(order, body, 4.5).addCallback(
+                machine.node.control_plane.submit_command(order, body, 4.5).addCallback(
                     lambda outcome: world.after(0.0 if outcome.status == DONE else 0.2, next_one, outcome)
                 )
 
@@ -253,14 +253,14 @@
 
     def test_without_the_others_word_it_would_vote_with_the_old(self):
         believed = mock.patch.object(
-            LocalReplica, "vouched", property(lambda self: True, lambda self, value: None), create=True
+            LocalReplica, "is_verified", property(lambda self: True, lambda self, value: None), create=True
         )
         found = []
         for seed in range(11, 17):
             core = Core(seed)
             core.put(5)
             victim = min(core.machines, key=lambda m: m.node.membership.me.place)
-            with believed, mock.patch.object(LocalReplica, "witness"):
+            with believed, mock.patch.object(LocalReplica, "check_rollback"):
                 _, votes, ballots = self.put_back(core, victim)
                 core.put(20, at=next(m for m in core.machines if m is not victim))
             found += votes + ballots
--- a/tests/balancer/transport/test_fencing.py
+++ b/tests/balancer/transport/test_fencing.py
@@ -443,7 +443,7 @@
             day = Day(3)
             world = day.world
             day.begin()
-            first = next(m for m in world.core if m.node.control_plane.members.coordinator(world.now) == m.ip)
+            first = next(m for m in world.core if m.node.control_plane.monitor.coordinator(world.now) == m.ip)
             earlier, others = {}, [m for m in world.core if m is not first]
 
             def astray(to, data):
@@ -471,6 +471,6 @@
         self.assertEqual(lost(), [])
         with (
             mock.patch.object(Fence, "_why_not_reply", lambda *_: None),
-            mock.patch.object(ReplicaMonitor, "answered", lambda *_: True),
+            mock.patch.object(ReplicaMonitor, "record_turn", lambda *_: True),
         ):  # either is enough
             self.assertTrue(lost()[0].startswith("LOST"))
--- a/tests/simulation/test_directed_scenarios.py
+++ b/tests/simulation/test_directed_scenarios.py
@@ -28,7 +28,9 @@
 
 def reads_what_is_held():
     """Without asking the others."""
-    return mock.patch(CONTROL + "control_plane.ControlPlane.confirm", lambda self, timeout_s=1.5: succeed(True))
+    return mock.patch(
+        CONTROL + "control_plane.ControlPlane.acquire_read_lease", lambda self, timeout_s=1.5: succeed(True)
+    )
 
 
 def half_is_enough():
@@ -44,7 +46,7 @@
 
     def sync(self, acceptor):
         if self.store is not None:
-            self.environment.in_thread(self.store.save, acceptor.record, dict(self.held.contents)).addErrback(
+            self.environment.in_thread(self.store.save, acceptor.record, dict(self.committed.contents)).addErrback(
                 lambda _: None
             )
         acceptor.synced(acceptor.record)
@@ -109,12 +111,16 @@
 def heeds_who_has_hung_up():
     """An order is carried out although its caller has gone elsewhere."""
 
-    def order(self, client_conn, order, body, key, version):
-        self._told(client_conn, self.control_plane.order(order, body, self._within), key, version)
+    def submit(self, client_conn, order, body, key, version):
+        self._reply_when_decided(
+            client_conn, self.control_plane.submit_command(order, body, self._command_timeout_s), key, version
+        )
 
     always = contextlib.ExitStack()
-    always.enter_context(mock.patch(CONTROL + "api.ControlApi.order", order))
-    always.enter_context(mock.patch(CONTROL + "proposer.Proposer._out_of_touch", lambda *_: False))  # either is enough
+    always.enter_context(mock.patch(CONTROL + "api.ControlApi.submit", submit))
+    always.enter_context(
+        mock.patch(CONTROL + "proposer.Proposer._is_without_read_lease", lambda *_: False)
+    )  # either is enough
     return always
 
 
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -114,7 +114,7 @@
 
     def test_nothing_acknowledged_is_lost_with_the_power_of_all_and_one_disk(self):
         def sync(self, acceptor):
-            self.environment.in_thread(self.store.save, acceptor.record, dict(self.held.contents)).addErrback(
+            self.environment.in_thread(self.store.save, acceptor.record, dict(self.committed.contents)).addErrback(
                 lambda _: None
             )
             acceptor.synced(acceptor.record)
@@ -128,7 +128,7 @@
             world = day.world
             day.begin()
             first = next(
-                m for m in world.control_replicas if m.node.control_plane.members.coordinator(world.now) == m.ip
+                m for m in world.control_replicas if m.node.control_plane.monitor.coordinator(world.now) == m.ip
             )
             for machine in world.control_replicas:
                 machine.disk.hangs_until = 0.0 if machine is first else world.now + 9.0
@@ -159,7 +159,7 @@
             world.after(
                 6.0,
                 lambda: seen.extend(
-                    m.node.control_plane.held.voters() for m in world.machines.values() if m.is_running
+                    m.node.control_plane.committed.voters() for m in world.machines.values() if m.is_running
                 ),
             )
             world.after(6.0, day.operator.config, None, world.control_replicas[2])
