--- a/mapleline/__main__.py
+++ b/mapleline/__main__.py
@@ -15,7 +15,7 @@
         stand_in.AbstractEventLoop = stand_in.Future = type("Unused", (), {})  # a tenth of a process's memory
         stand_in.iscoroutine = lambda value: isinstance(value, types.CoroutineType)
         held = sys.modules.setdefault("asyncio", stand_in)
-        from .balancer.node import main as serve_balancer
+        from .balancer.process import main as serve_balancer
 
         if held is stand_in:
             del sys.modules["asyncio"]
--- a/mapleline/balancer/__init__.py
+++ b/mapleline/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""The global load balancer's programs: one program, the role is a subcommand (docs/design/system.md)."""
+"""The global load balancer: one program, the role is a subcommand (docs/design/system.md)."""
--- a/mapleline/balancer/cli/commands.py
+++ b/mapleline/balancer/cli/commands.py
@@ -41,7 +41,7 @@
 @dataclass
 class Balancer:
     def __call__(self) -> None:
-        from ..node import main
+        from ..process import main
 
         raise cappa.Exit(code=main())
 
--- /dev/null
+++ b/mapleline/balancer/configuration_applier.py
@@ -0,0 +1,65 @@
+"""Puts a newly committed control state in force in the data plane."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+from .configuration import ConfigurationError, Table
+from .configuration import read as read_config
+
+if TYPE_CHECKING:
+    from .control.control_plane import ControlPlane
+    from .control.state import State
+    from .proxy.listener import Listener
+    from .proxy.proxy import Proxy
+    from .transport.fencing import Fence
+
+logger = logging.getLogger(__name__)
+
+
+class ConfigurationApplier:
+    """Applies configuration and evacuations of the committed state."""
+
+    def __init__(self, control_plane: ControlPlane, fence: Fence, proxy: Proxy, front: Listener) -> None:
+        """`front` is the clients' listener, whose limits are part of the configuration."""
+        self._control_plane = control_plane
+        self._fence = fence
+        self._proxy = proxy
+        self._front = front
+
+    def apply(self, before: State | None) -> None:
+        """Put the committed state in force; `before` is the one that it replaces."""
+        state = self._control_plane.state
+        assert state is not None  # the control plane calls this once there is one
+        self._fence.system = state.system
+        if not self._apply_configuration(before, state):
+            return
+        self._proxy.evacuated = set(state.evacuated)
+        changed_before = before.changed if before is not None else ()
+        for zone, _ in {*state.changed} - {*changed_before}:
+            if zone not in state.evacuated:
+                self._proxy.taken_back(zone)  # also where the evacuation's beginning was never heard of
+
+    def _apply_configuration(self, before: State | None, state: State) -> bool:
+        """Serve by the state's configuration if it is new; return False if it cannot be read."""
+        body = self._control_plane.committed.body
+        is_new = before is None or before.config != state.config or self._proxy.table is None
+        if body is None or not is_new:
+            return True
+        try:
+            table = Table(read_config(body))
+        except ConfigurationError as error:
+            logger.info("committed configuration cannot be read", extra={"error": str(error)})
+            return False
+        self._proxy.table = table
+        self._set_listener_limits(table)
+        logger.info("configuration in force", extra={"version": table.version})
+        return True
+
+    def _set_listener_limits(self, table: Table) -> None:
+        limits = table.limits
+        self._front.idle_s = limits.idle_timeout
+        self._front.header_s = limits.header_timeout
+        self._front.max_header = limits.max_header_bytes
+        self._front.max_body = limits.max_body_bytes
--- /dev/null
+++ b/mapleline/balancer/dispatcher.py
@@ -0,0 +1,87 @@
+"""Dispatch of datagrams: each message goes to the part of the node that handles it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+from .transport.messages import (
+    Chosen,
+    CounterIncrement,
+    CounterSync,
+    CounterValue,
+    Datagram,
+    Heartbeat,
+    LeaseGrant,
+    LeaseRequest,
+    LoadReport,
+    StateQuery,
+    StateReport,
+    Vote,
+    VoteRequest,
+)
+
+if TYPE_CHECKING:
+    from .context import NodeContext
+    from .control.control_plane import ControlPlane
+    from .discovery.endpoint_poller import EndpointPoller
+    from .heartbeats import HeartbeatExchange
+    from .proxy.proxy import Proxy
+    from .proxy.slow_start_leases import SlowStartLeases
+    from .quota.client import QuotaClient
+    from .transport.fencing import Fence
+
+
+@dataclass(frozen=True, slots=True)
+class DatagramReceivers:
+    """The parts of a node that take datagrams."""
+
+    heartbeats: HeartbeatExchange
+    control_plane: ControlPlane
+    poller: EndpointPoller
+    proxy: Proxy
+    slow_start_leases: SlowStartLeases
+    quota_client: QuotaClient
+
+
+class DatagramDispatcher:
+    """Hands each datagram to its handler, by the message's type."""
+
+    def __init__(self, context: NodeContext, fence: Fence, receivers: DatagramReceivers) -> None:
+        """`fence` tells which load reports were overtaken by newer ones."""
+        self._context = context
+        self._fence = fence
+        self._replica = receivers.control_plane.replica
+        self._proxy = receivers.proxy
+        self._slow_start_leases = receivers.slow_start_leases
+        self._handlers: dict[type[Datagram], Callable[[int, Any], None]] = {
+            Heartbeat: receivers.heartbeats.receive,
+            StateQuery: receivers.control_plane.handle_state_query,
+            StateReport: receivers.control_plane.handle_state_report,
+            Chosen: self._receive_chosen_state,
+            LoadReport: self._receive_load_report,
+            VoteRequest: receivers.poller.handle_vote_request,
+            Vote: receivers.poller.receive_vote,
+            LeaseRequest: self._handle_lease_request,
+            LeaseGrant: receivers.slow_start_leases.told,
+            CounterIncrement: receivers.quota_client.told,
+            CounterValue: receivers.quota_client.told,
+            CounterSync: receivers.quota_client.told,
+        }
+
+    def receive(self, ip: int, message: Datagram) -> None:
+        """Handle a datagram that the fence has let in; `ip` is its sender."""
+        self._handlers[type(message)](ip, message)
+
+    def _receive_chosen_state(self, _ip: int, message: Chosen) -> None:
+        self._replica.handle_chosen(message)
+
+    def _receive_load_report(self, ip: int, report: LoadReport) -> None:
+        if self._fence.newest(ip, report.turn):  # reports may overtake one another
+            self._proxy.heard(ip, report, self._context.now())
+
+    def _handle_lease_request(self, ip: int, request: LeaseRequest) -> None:
+        grant = self._slow_start_leases.answer(ip, request)
+        if grant is not None:
+            self._context.send(ip, grant)
--- /dev/null
+++ b/mapleline/balancer/load_reporter.py
@@ -0,0 +1,38 @@
+"""Load reports: the nodes of a region know of each other's requests in flight at each server."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from .transport.messages import LoadReport
+
+if TYPE_CHECKING:
+    from .context import NodeContext
+    from .proxy.proxy import Proxy
+    from .topology import Topology
+    from .transport.fencing import Fence
+
+LOAD_REPORT_INTERVAL_S = 0.05
+
+
+class LoadReporter:
+    """Sends what has changed in this node's load to the other nodes of its region."""
+
+    def __init__(self, context: NodeContext, topology: Topology, proxy: Proxy, fence: Fence) -> None:
+        """`fence` numbers the reports, so that receivers drop one that was overtaken."""
+        self._context = context
+        self._topology = topology
+        self._proxy = proxy
+        self._fence = fence
+
+    def run(self) -> None:
+        """Send a report if the load has changed, and set the timer of the next."""
+        self._context.reactor.callLater(LOAD_REPORT_INTERVAL_S, self.run)
+        load = self._proxy.busy()
+        if load is None:
+            return
+        report = LoadReport(load.out, load.sick, self._fence.turn())
+        membership = self._context.membership
+        for member in membership.alive(self._context.now()):
+            if member.ip != membership.me.ip and self._topology.is_local(member):
+                self._context.send(member.ip, report)
--- /dev/null
+++ b/mapleline/balancer/process.py
@@ -0,0 +1,96 @@
+"""Entry point of a balancer process: settings file, reactor, log and signals."""
+
+from __future__ import annotations
+
+import logging
+import os
+import signal
+import sys
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+from .environment import Environment
+from .logs import configure
+from .node import Node
+from .settings import Settings, SettingsError
+from .settings import read as read_settings
+
+if TYPE_CHECKING:
+    from .reactor import SteadyReactor
+
+logger = logging.getLogger(__name__)
+
+SETTINGS_VARIABLE = "MAPLELINE_CONFIG"
+EXIT_UNUSABLE_SETTINGS = 2
+
+
+class SettingsFile:
+    """The settings file that the environment names; it is parsed again only if its text has changed."""
+
+    def __init__(self) -> None:
+        """Read nothing yet."""
+        self._text: str | None = None
+        self._settings: Settings | None = None
+
+    def load(self) -> Settings:
+        """Return the settings as the file has them now.
+
+        Raises:
+            SettingsError: the variable is not set, or the file's content is not valid.
+            OSError: the file cannot be read.
+        """
+        path = os.environ.get(SETTINGS_VARIABLE)
+        if not path:
+            raise SettingsError(f"{SETTINGS_VARIABLE}: not set; it names the settings file")
+        text = Path(path).read_text()
+        if self._settings is None or self._text != text:
+            self._settings = read_settings(text)
+            self._text = text
+        return self._settings
+
+
+def main() -> int:
+    """Run one node until it is told to stop; return the exit code."""
+    settings_file = SettingsFile()
+    try:
+        settings = settings_file.load()
+    except (SettingsError, OSError) as error:
+        sys.stderr.write(f"mapleline: {error}\n")
+        return EXIT_UNUSABLE_SETTINGS
+    from .reactor import install  # only now: unusable settings are reported without a reactor
+
+    reactor = install()
+    configure(settings.node_name)
+    _log_unhandled_errors()
+    node = Node(reactor, settings, Environment(reactor, settings), settings_file.load)
+    reactor.callWhenRunning(node.start)
+    _handle_signals(reactor, node)
+    reactor.run(installSignalHandlers=False)
+    return 0
+
+
+def _log_unhandled_errors() -> None:
+    """Write Twisted's unhandled errors to the log, with their tracebacks."""
+    from twisted.python import log as twisted_log
+
+    def on_event(event: dict[str, Any]) -> None:
+        if event.get("isError"):
+            failure = event.get("failure")
+            trace = failure.getTraceback() if failure else str(event.get("message"))
+            logger.error("unhandled error", extra={"trace": trace})
+
+    twisted_log.addObserver(on_event)
+
+
+def _handle_signals(reactor: SteadyReactor, node: Node) -> None:
+    """SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reads the settings file again."""
+
+    def on_terminate(*_: object) -> None:
+        reactor.callFromThread(node.shut_down)
+
+    def on_hangup(*_: object) -> None:
+        reactor.callFromThread(node.reload_seed_nodes)
+
+    reactor.callWhenRunning(signal.signal, signal.SIGTERM, on_terminate)
+    reactor.callWhenRunning(signal.signal, signal.SIGINT, on_terminate)
+    reactor.callWhenRunning(signal.signal, signal.SIGHUP, on_hangup)
--- /dev/null
+++ b/mapleline/balancer/topology.py
@@ -0,0 +1,46 @@
+"""Zones and regions as one node sees them, and how far apart two members are (pure)."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from .membership.table import Member
+    from .settings import Settings
+
+
+@dataclass(frozen=True, slots=True)
+class Topology:
+    """The zones of the system; `Member.zone` is an index into their sorted names."""
+
+    zone_names: list[str]
+    region_by_zone: dict[str, str]
+    region: str
+    """The region of this node."""
+
+    @classmethod
+    def from_settings(cls, settings: Settings) -> Topology:
+        """Build the topology from a node's settings."""
+        return cls(sorted(settings.zones), settings.zones, settings.region)
+
+    def zone_index(self, zone: str) -> int:
+        """Return the number by which members name this zone."""
+        return self.zone_names.index(zone)
+
+    def local_zones(self) -> set[int]:
+        """Return the numbers of the zones in this node's region."""
+        return {index for index, zone in enumerate(self.zone_names) if self.region_by_zone[zone] == self.region}
+
+    def is_local(self, member: Member) -> bool:
+        """Return whether the member is in this node's region."""
+        return self.region_by_zone[self.zone_names[member.zone]] == self.region
+
+    def distance(self, member: Member, other: Member) -> tuple[bool, bool, int]:
+        """Return a sort key for how far the two are apart: region, then zone, then by the hash ring.
+
+        The last part spreads members at the same distance evenly.
+        """
+        zone, other_zone = self.zone_names[member.zone], self.zone_names[other.zone]
+        is_other_region = self.region_by_zone[zone] != self.region_by_zone[other_zone]
+        return is_other_region, zone != other_zone, member.place ^ other.place
--- a/mapleline/simulation/scenarios.py
+++ b/mapleline/simulation/scenarios.py
@@ -442,7 +442,7 @@
     def leave() -> None:
         found = [m for m in world.machines.values() if m.is_running and m.disk is None]
         if found:
-            rng.choice(found).node.leave()
+            rng.choice(found).node.shut_down()
 
     plans = [
         operator.config,
--- a/mapleline/simulation/world.py
+++ b/mapleline/simulation/world.py
@@ -210,7 +210,7 @@
 
     def active_configuration(self) -> tuple[int, str] | None:
         """Version and digest of the configuration that it serves by; None while it serves by none."""
-        if not self.is_running or self.is_frozen or not self.node.may_serve():
+        if not self.is_running or self.is_frozen or not self.node.can_serve():
             return None
         table = self.node.proxy.table
         if self._digest[0] is not table:
@@ -277,7 +277,7 @@
         """SIGTERM."""
         if self.is_running:
             self.world.event(self, "term")
-            self.reactor.run(self.node.leave)
+            self.reactor.run(self.node.shut_down)
 
     def freeze(self, for_s: float) -> None:
         self.frozen_until = max(self.frozen_until, self.world.now + for_s)
--- a/tests/balancer/control/test_recovery.py
+++ b/tests/balancer/control/test_recovery.py
@@ -82,7 +82,7 @@
 
     def is_whole(self, machine) -> bool:
         """A voter, and on its disk is what all others hold."""
-        if not machine.up or machine.node.control_plane.state is None or not machine.node.flags() & FORMED:
+        if not machine.up or machine.node.control_plane.state is None or not machine.node.member_flags() & FORMED:
             return False
         if any(m.node.control_plane.state.former for m in self.up()):
             return False  # who votes is changing still
--- a/tests/balancer/transport/test_fencing.py
+++ b/tests/balancer/transport/test_fencing.py
@@ -328,13 +328,13 @@
     def test_a_late_beat_makes_no_list_seem_fresh(self):
         world = self.world()
         one, other = [m for m in world.machines.values() if m.disk is None][:2]
-        late = one.node._beat()
+        late = one.node.heartbeats.make_heartbeat()
         world.listless |= set(world.machines)  # from here on nobody has a fresh one
         world.run(3.0)
 
         def fetched():
             before = other.node.endpoints.fetched
-            other.node.told(one.ip, late)
+            other.node.dispatcher.receive(one.ip, late)
             return other.node.endpoints.fetched - before
 
         self.assertEqual(fetched(), 0.0)
@@ -353,7 +353,7 @@
         def out():
             one, other = [m for m in self.world().machines.values() if m.zone == "a1"]
             for told in (LoadReport({7: 3}, {}, 1), LoadReport({7: 5}, {}, 2), LoadReport({7: 3}, {}, 1)):
-                other.node.told(one.ip, told)
+                other.node.dispatcher.receive(one.ip, told)
             return other.node.proxy.near[one.ip][1].out
 
         self.assertEqual(out(), {7: 5})
--- a/tests/simulation/test_directed_scenarios.py
+++ b/tests/simulation/test_directed_scenarios.py
@@ -23,7 +23,7 @@
 
 def always_in_touch():
     """Contact with a majority is never wanted."""
-    return mock.patch(BALANCER + "node.Node.in_touch", lambda self: True)
+    return mock.patch(BALANCER + "node.Node.has_read_lease", lambda self: True)
 
 
 def reads_what_is_held():
--- a/tests/simulation/test_slow_start_scenarios.py
+++ b/tests/simulation/test_slow_start_scenarios.py
@@ -70,7 +70,7 @@
         )
 
     def test_who_hears_nothing_stops_before_an_unheard_evacuation_can_end(self):
-        certain = mock.patch.object(Node, "may_serve", lambda self: self.proxy.table is not None)
+        certain = mock.patch.object(Node, "can_serve", lambda self: self.proxy.table is not None)
         self.breaks(slow_start_scenarios.evacuated_behind_a_cut, certain, length=8.0, load=4.0)
         with mock.patch.object(Node, "apply", where_begun):  # and once it hears, it hears of the end alone
             self.assertTrue(
