--- a/mapleline/balancer/configuration_applier.py
+++ b/mapleline/balancer/configuration_applier.py
@@ -35,11 +35,11 @@
         self._fence.system = state.system
         if not self._apply_configuration(before, state):
             return
-        self._proxy.evacuated = set(state.evacuated)
+        self._proxy.evacuated_zones = set(state.evacuated)
         changed_before = before.changed if before is not None else ()
         for zone, _ in {*state.changed} - {*changed_before}:
             if zone not in state.evacuated:
-                self._proxy.taken_back(zone)  # also where the evacuation's beginning was never heard of
+                self._proxy.on_evacuation_ended(zone)  # also where the evacuation's beginning was never heard of
 
     def _apply_configuration(self, before: State | None, state: State) -> bool:
         """Serve by the state's configuration if it is new; return False if it cannot be read."""
@@ -59,7 +59,7 @@
 
     def _set_listener_limits(self, table: Table) -> None:
         limits = table.limits
-        self._front.idle_s = limits.idle_timeout
-        self._front.header_s = limits.header_timeout
-        self._front.max_header = limits.max_header_bytes
-        self._front.max_body = limits.max_body_bytes
+        self._front.idle_timeout_s = limits.idle_timeout
+        self._front.header_timeout_s = limits.header_timeout
+        self._front.max_header_bytes = limits.max_header_bytes
+        self._front.max_body_bytes = limits.max_body_bytes
--- a/mapleline/balancer/dispatcher.py
+++ b/mapleline/balancer/dispatcher.py
@@ -79,7 +79,7 @@
 
     def _receive_load_report(self, ip: int, report: LoadReport) -> None:
         if self._fence.newest(ip, report.turn):  # reports may overtake one another
-            self._proxy.heard(ip, report, self._context.now())
+            self._proxy.receive_load_report(ip, report, self._context.now())
 
     def _handle_lease_request(self, ip: int, request: LeaseRequest) -> None:
         grant = self._slow_start_leases.answer(ip, request)
--- a/mapleline/balancer/graceful_shutdown.py
+++ b/mapleline/balancer/graceful_shutdown.py
@@ -53,9 +53,9 @@
             return
         self.is_draining = True
         self._began_at = self._context.now()
-        logger.info("draining", extra={"in_flight": len(self._proxy.calls)})
+        logger.info("draining", extra={"in_flight": len(self._proxy.requests_in_flight)})
         for listener in self._listeners:
-            listener.leaving = True
+            listener.is_draining = True
         self._heartbeats.refresh_own_row(self._began_at)
         self._poller.stop()
         self._heartbeats.broadcast()
@@ -63,7 +63,7 @@
 
     def _stop_when_drained(self) -> None:
         if self._is_over():
-            logger.info("stopped", extra={"in_flight": len(self._proxy.calls)})
+            logger.info("stopped", extra={"in_flight": len(self._proxy.requests_in_flight)})
             self._context.reactor.stop()
             return
         self._context.reactor.callLater(CHECK_INTERVAL_S, self._stop_when_drained)
@@ -72,5 +72,5 @@
         elapsed_s = self._context.now() - self._began_at
         if elapsed_s > self._grace_period_s - END_MARGIN_S:
             return True
-        is_drained = not self._proxy.calls and self._control_plane.monitor.is_released()
+        is_drained = not self._proxy.requests_in_flight and self._control_plane.monitor.is_released()
         return is_drained and elapsed_s > EARLIEST_END_SHARE * self._grace_period_s
--- a/mapleline/balancer/housekeeping.py
+++ b/mapleline/balancer/housekeeping.py
@@ -48,8 +48,10 @@
         self._context.reactor.callLater(SWEEP_INTERVAL_S, self.run)
         now = self._context.now()
         for listener in self._listeners:
-            listener.sweep(now)
-        self._upstream_pool.sweep(list(self._proxy.targets.values()), now, self._max_idle_connections())
+            listener.close_idle_connections(now)
+        self._upstream_pool.close_idle_connections(
+            list(self._proxy.targets.values()), now, self._max_idle_connections()
+        )
         self._reload_settings()
         refused = self._fence.news()
         if refused:
--- a/mapleline/balancer/load_reporter.py
+++ b/mapleline/balancer/load_reporter.py
@@ -28,7 +28,7 @@
     def run(self) -> None:
         """Send a report if the load has changed, and set the timer of the next."""
         self._context.reactor.callLater(LOAD_REPORT_INTERVAL_S, self.run)
-        load = self._proxy.busy()
+        load = self._proxy.next_load_report()
         if load is None:
             return
         report = LoadReport(load.out, load.sick, self._fence.turn())
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -26,7 +26,7 @@
 from .proxy.listener import ClientConnection, Listener
 from .proxy.proxy import Proxy
 from .proxy.slow_start_leases import SlowStartLeases
-from .proxy.upstream import STREAM_FROM
+from .proxy.upstream import STREAM_THRESHOLD_BYTES
 from .quota.client import QuotaClient
 from .settings import Settings, SettingsError
 from .topology import Topology
@@ -91,8 +91,8 @@
         self.quota_client = QuotaClient(reactor, settings, environment, self.membership, self._tenant_count)
         self.proxy = self._make_proxy()
         self.slow_start_leases = self._make_slow_start_leases()
-        self.proxy.leases = self.slow_start_leases
-        self.front = Listener(reactor, body_pool, self.proxy.take, STREAM_FROM)
+        self.proxy.slow_start_leases = self.slow_start_leases
+        self.front = Listener(reactor, body_pool, self.proxy.handle_request, STREAM_THRESHOLD_BYTES)
         self.listeners = [self.front]
         self.control = ControlApi(self.control_plane, self.status)
         self.directory = Directory(reactor, settings, self.membership, self.context.rng, self.has_read_lease)
@@ -148,7 +148,7 @@
             context.rng,
             context.environment.send,
             self.electorate.addresses,
-            self.proxy.cold_numbers,
+            self.proxy.wanted_leases,
             context.membership.me.disk,
         )
 
@@ -275,7 +275,7 @@
             "ingresses": len(self.membership.alive(self.context.now())),
             "servers": len(self.endpoints.instances),
             "list": {"holder": connections.host(self.leadership.holder), "term": self.leadership.term},
-            "counts": self.proxy.counts,
+            "counts": self.proxy.counters,
         }
 
     def _tenant_count(self) -> int:
@@ -298,9 +298,9 @@
     def _import_endpoints(self, fetched_at: float, body: bytes) -> None:
         """Take the endpoint list from another node."""
         if self.endpoints.take_body(fetched_at, body):
-            self.proxy.refresh()
+            self.proxy.update_endpoints()
 
     def _on_endpoints_fetched(self, is_changed: bool) -> None:
         if is_changed:
-            self.proxy.refresh()
+            self.proxy.update_endpoints()
             self.heartbeats.broadcast()
--- a/mapleline/balancer/proxy/listener.py
+++ b/mapleline/balancer/proxy/listener.py
@@ -28,7 +28,9 @@
 
     def __init__(self, listener: Listener) -> None:
         self.listener = listener
-        self.machine = ServerConnection(listener.pool, listener.stream_from, listener.max_header, listener.max_body)
+        self.machine = ServerConnection(
+            listener.pool, listener.stream_from, listener.max_header_bytes, listener.max_body_bytes
+        )
         self.since = listener.reactor.seconds()  #: of the last answer, or of the first byte of a request
         self.in_hand: Any = None  #: what `take` made of the request
         self.upload: Upload | None = None  #: takes the rest of the request in hand
@@ -55,7 +57,7 @@
         except Malformed as err:
             call = self.in_hand
             self.reply(err.status, err.why.encode())
-            return call.left() if hasattr(call, "left") else None
+            return call.on_client_disconnected() if hasattr(call, "on_client_disconnected") else None
         if not self.machine.passing:
             self.upload = None
         upload.put(part, self.upload is None)
@@ -83,7 +85,7 @@
                 self.upload = Upload(request.length, self.go_on, partial(self._spent, request))
                 self.hold()  # until a server takes what there is
             self._reserve(2 * len(request.body))  # held to be sent again, and once more on its way out
-            self.in_hand = self.listener.take(self, request)
+            self.in_hand = self.listener.handle_request(self, request)
 
     def _reserve(self, size: int) -> None:
         self.listener.pool.held += size - self.reserved
@@ -94,13 +96,13 @@
         request.body = b""
         self._reserve(0)
         if self.in_hand is not None:
-            self.in_hand.spent = True
+            self.in_hand.is_body_discarded = True
 
     def _lines(self) -> bytes:
-        if self.listener.leaving:
+        if self.listener.is_draining:
             self.machine.closing = True
-        elif not self.machine.closing and self.listener.idle_s:
-            return b"Keep-Alive: timeout=%d\r\n" % max(1, int(self.listener.idle_s))
+        elif not self.machine.closing and self.listener.idle_timeout_s:
+            return b"Keep-Alive: timeout=%d\r\n" % max(1, int(self.listener.idle_timeout_s))
         return b""
 
     def reply(self, status: int, body: bytes = b"", lines: bytes = b"") -> None:
@@ -158,8 +160,8 @@
         self.machine.clear()
         self._reserve(0)
         call, self.in_hand, self.upload, self.source = self.in_hand, None, None, None
-        if call is not None and hasattr(call, "left"):
-            call.left()
+        if call is not None and hasattr(call, "on_client_disconnected"):
+            call.on_client_disconnected()
 
 
 class Listener(ServerFactory):
@@ -168,18 +170,22 @@
     noisy = False
 
     def __init__(
-        self, reactor: Any, pool: BufferPool, take: Callable[[ClientConnection, Request], Any], stream_from: int = WHOLE
+        self,
+        reactor: Any,
+        pool: BufferPool,
+        handle_request: Callable[[ClientConnection, Request], Any],
+        stream_from: int = WHOLE,
     ) -> None:
-        self.reactor, self.pool, self.take, self.stream_from = reactor, pool, take, stream_from
+        self.reactor, self.pool, self.handle_request, self.stream_from = reactor, pool, handle_request, stream_from
         self.open: set[ClientConnection] = set()
-        self.leaving = False
-        self.idle_s, self.header_s = 0.0, 10.0
-        self.max_header, self.max_body = 16384, 64 << 20
+        self.is_draining = False
+        self.idle_timeout_s, self.header_timeout_s = 0.0, 10.0
+        self.max_header_bytes, self.max_body_bytes = 16384, 64 << 20
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
         return ClientConnection(self)
 
-    def sweep(self, now: float) -> None:
+    def close_idle_connections(self, now: float) -> None:
         """Close what has been silent for too long."""
         for client_conn in list(self.open):
             if client_conn.machine.busy:
@@ -189,9 +195,9 @@
                     client_conn.transport.abortConnection()
                 continue
             if client_conn.machine.partial:
-                if now - client_conn.since > 3 * self.header_s:
+                if now - client_conn.since > 3 * self.header_timeout_s:
                     client_conn.transport.abortConnection()
-            elif now - client_conn.since > (self.idle_s or 15.0) + 2.0 or (
-                self.leaving and now - client_conn.since > 1.0
+            elif now - client_conn.since > (self.idle_timeout_s or 15.0) + 2.0 or (
+                self.is_draining and now - client_conn.since > 1.0
             ):
                 client_conn.transport.loseConnection()
--- a/mapleline/balancer/proxy/proxy.py
+++ b/mapleline/balancer/proxy/proxy.py
@@ -18,9 +18,9 @@
 from ..transport.messages import LoadReport
 from . import outcome
 from .listener import ClientConnection
-from .outcome import Outcome, of_response
+from .outcome import EndReason, Outcome, of_response
 from .slow_start_leases import SlowStartLeases
-from .upstream import Attempt, Link, UpstreamPool
+from .upstream import Attempt, UpstreamConnection, UpstreamPool
 
 HOP = frozenset(
     {
@@ -47,7 +47,7 @@
 HEDGE = 4.0  # usual answer times without an answer: then another server is asked as well
 USUAL_FIRST_S = 0.25
 USUAL_GAIN = 0.05
-AFTER_S = 1.05  # beyond a cold time: the span of the rule, and what clocks and ways differ by
+WARM_UP_MARGIN_S = 1.05  # beyond a cold time: the span of the rule, and what clocks and ways differ by
 UNREACHABLE_MOST = 4  # servers that could not be reached are no servers that it was sent to
 
 
@@ -70,7 +70,7 @@
         "route",
         "sent",
         "service",
-        "spent",
+        "is_body_discarded",
         "tenant",
         "timer",
         "tried",
@@ -84,21 +84,21 @@
         self.attempts: list[Attempt] = []  #: out now
         self.sent = self.unreachable = 0
         self.tried: list[str] = []
-        self.worst, self.over, self.timer, self.hedge = Outcome.NEVER, False, None, None
+        self.worst, self.over, self.timer, self.hedge = Outcome.NOT_EXECUTED, False, None, None
         self.upload: Upload | None = client_conn.upload  #: the rest of its body, still coming
-        self.spent = False  #: more of the body has gone out than is held
+        self.is_body_discarded = False  #: more of the body has gone out than is held
         self.passing: Attempt | None = None  #: its answer is on its way out in parts
         self.id = request.headers.get(b"request-id", b"")
         self.tenant: str | None = None
 
-    def left(self) -> None:
+    def on_client_disconnected(self) -> None:
         """The client is gone."""
         self.end()
-        self.call_off()
+        self.cancel_attempts()
 
-    def call_off(self) -> None:
+    def cancel_attempts(self) -> None:
         for attempt in list(self.attempts):
-            attempt.call_off()
+            attempt.cancel()
 
     def answer(self, status: int, body: bytes = b"", lines: bytes = b"") -> None:
         if not self.over:
@@ -113,7 +113,7 @@
         for timer in (self.timer, self.hedge):
             if timer is not None and timer.active():
                 timer.cancel()
-        self.proxy.calls.discard(self)
+        self.proxy.requests_in_flight.discard(self)
 
     def refuse(self, status: int, back_s: float, why: bytes) -> None:
         """Refused before it ran: says when to come back."""
@@ -137,11 +137,13 @@
         self.reactor, self.settings, self.membership, self.endpoints = reactor, settings, membership, endpoints
         self.servers, self.may_serve, self.ask, self.rng = servers, may_serve, ask, rng
         self.table: Table | None = None
-        self.evacuated: set[str] = set()
+        self.evacuated_zones: set[str] = set()
         self.cooling: dict[str, float] = {}  #: zones taken back, whose servers count as cold until a list is as new
-        self.leases: SlowStartLeases | None = None  #: who alone sends to which cold server; without them nobody does
+        self.slow_start_leases: SlowStartLeases | None = (
+            None  #: who alone sends to which cold server; without them nobody does
+        )
         self.targets: dict[str, Target] = {}
-        self.calls: set[RequestContext] = set()
+        self.requests_in_flight: set[RequestContext] = set()
         self.usual: dict[tuple[str, str], float] = {}  #: answer time by service and prefix
         self.longest: dict[str, float] = {}  #: deadlines of first tries, by prefix
         self.sizes: dict[tuple[str, str], float] = {}  #: bytes of an answer, likewise
@@ -149,14 +151,14 @@
         self.told = LoadReport({}, {})
         self.credit: dict[str, float] = {}  #: further tries saved up, by service
         self.tenancies: dict[str, Tenancy] = {}
-        self.counts: dict[str, int] = {}
+        self.counters: dict[str, int] = {}
 
     def count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+        self.counters[what] = self.counters.get(what, 0) + 1
 
     # -- the servers ---------------------------------------------------------------------------------------
 
-    def refresh(self) -> None:
+    def update_endpoints(self) -> None:
         """The list has changed."""
         listed = self.endpoints.instances
         for id, one in listed.items():
@@ -166,11 +168,11 @@
                 target = self.targets[id] = Target(id, one.service, one.zone, region, one.slots)
             target.cold_until = max(target.cold_until, one.cold_until)
         for id in [id for id in self.targets if id not in listed]:
-            self.servers.drop(self.targets.pop(id))
-        if self.leases is not None:
-            self.leases.tend()
+            self.servers.close_connections(self.targets.pop(id))
+        if self.slow_start_leases is not None:
+            self.slow_start_leases.tend()
 
-    def busy(self) -> LoadReport | None:
+    def next_load_report(self) -> LoadReport | None:
         """What is out at servers of this region, and which are sick, if that differs from what was last told."""
         now = self.reactor.seconds()
         near = [(crc32(t.id.encode()), t) for t in self.targets.values() if t.region == self.settings.region]
@@ -181,7 +183,7 @@
         self.told = told
         return told
 
-    def heard(self, ip: int, told: LoadReport, now: float) -> None:
+    def receive_load_report(self, ip: int, told: LoadReport, now: float) -> None:
         """Another ingress of the region has told that."""
         self.near[ip] = (now, told)
         sums: dict[int, int] = {}
@@ -196,17 +198,17 @@
             id = crc32(target.id.encode())
             target.near, target.bad_near = sums.get(id, 0), worst.get(id, 0) / 10
 
-    def taken_back(self, zone: str) -> None:
+    def on_evacuation_ended(self, zone: str) -> None:
         """The zone's evacuation is over, and its servers may have turned cold shortly before: only a list that is
         fetched so much later than this shows it.
         """
         self.cooling[zone] = self.reactor.seconds() + self.settings.cloud_api.max_lag
-        if self.leases is not None:
-            self.leases.tend()
+        if self.slow_start_leases is not None:
+            self.slow_start_leases.tend()
 
-    def is_cold(self, one: Instance, now: float) -> bool:
+    def is_warming_up(self, one: Instance, now: float) -> bool:
         """Also in the second after: any span of one that begins while it is cold counts whole."""
-        ends = max(one.cold_until, one.ended + AFTER_S)
+        ends = max(one.cold_until, one.ended + WARM_UP_MARGIN_S)
         return now < ends or self.endpoints.fetched < self.cooling.get(one.zone, -1e9)
 
     def cold_rate(self, one: Instance, now: float, rate: float) -> float:
@@ -218,14 +220,14 @@
             return rate
         return max(rate, (rate * bounds.cold_overshoot + bounds.cold_slack - 2.5) / 1.35)
 
-    def cold_numbers(self, now: float) -> list[int]:
+    def wanted_leases(self, now: float) -> list[int]:
         """The cold servers that this one should be the only one to send to: the first by lot of those in a zone asks
         for them.  Views of who is there may differ: it is the lease that counts.
         """
         cold = [
             one
             for one in self.endpoints.instances.values()
-            if one.ready and one.zone not in self.evacuated and self.is_cold(one, now)
+            if one.ready and one.zone not in self.evacuated_zones and self.is_warming_up(one, now)
         ]
         if not cold:
             return []
@@ -240,8 +242,8 @@
 
         return [crc32(one.id.encode()) for one in cold if lot(one) == self.membership.me.ip]
 
-    def owns_cold(self, one: Instance, now: float) -> bool:
-        return self.leases is not None and self.leases.holds(crc32(one.id.encode()), now)
+    def has_lease(self, one: Instance, now: float) -> bool:
+        return self.slow_start_leases is not None and self.slow_start_leases.holds(crc32(one.id.encode()), now)
 
     def usable(self, service: str, homes: set[str] | None, now: float) -> list[Target]:
         """Servers of a service that a request may go to now."""
@@ -249,12 +251,12 @@
         rate = self.table.services[service].cold_rate_s if service in self.table.services else 0.0
         for one in self.endpoints.instances.values():
             target = self.targets.get(one.id)
-            if target is None or one.service != service or not one.ready or one.zone in self.evacuated:
+            if target is None or one.service != service or not one.ready or one.zone in self.evacuated_zones:
                 continue
             if homes is not None and target.region not in homes:
                 continue
-            if self.is_cold(one, now) and not (
-                self.owns_cold(one, now) and target.cold_turn(now, self.cold_rate(one, now, rate))
+            if self.is_warming_up(one, now) and not (
+                self.has_lease(one, now) and target.cold_turn(now, self.cold_rate(one, now, rate))
             ):
                 continue
             found.append(target)
@@ -262,11 +264,11 @@
 
     # -- a request's path ----------------------------------------------------------------------------------
 
-    def take(self, client_conn: ClientConnection, request: Request) -> RequestContext:
+    def handle_request(self, client_conn: ClientConnection, request: Request) -> RequestContext:
         """A client's request has come in whole."""
         now = self.reactor.seconds()
         call = RequestContext(self, client_conn, request, now)
-        self.calls.add(call)
+        self.requests_in_flight.add(call)
         self._admit(call, now)
         return call
 
@@ -336,7 +338,7 @@
         """This ingress's part of the fleet's slack: half of it divided by all that are known."""
         return max(1.0, 0.5 * self.settings.protocol_bounds.retry_budget_slack / max(1, len(self.membership.members)))
 
-    def _homes(self, call: RequestContext) -> set[str] | None:
+    def _allowed_regions(self, call: RequestContext) -> set[str] | None:
         homes = set(call.route.home_regions) or None
         tenant = self.table.tenants.get(call.tenant) if call.tenant else None
         if tenant is not None and tenant.home_regions:
@@ -350,7 +352,7 @@
         if not self.may_serve() or not self._still_allowed(call):
             return None if call.attempts else self._give_up(call, False)
         left = call.end_at - now
-        homes = self._homes(call)
+        homes = self._allowed_regions(call)
         targets = self.usable(call.service, homes, now) if left > LEAST_S else []
         kilobytes = ((call.request.length or len(call.request.body)) + self.sizes.get(self._key(call), 0.0)) / 1000
         kept = self.table.homes.get(call.service, ()) if homes is None else ()
@@ -363,7 +365,7 @@
             self.count("full")
             return call.refuse(503, min(BACK_MOST_S, wait * usual), b"full")
         one = self.endpoints.instances[best.id]
-        if self.is_cold(one, now):
+        if self.is_warming_up(one, now):
             best.cold_store -= 1.0
         call.tried.append(best.id)
         data = self._head(call, one, left)
@@ -420,12 +422,14 @@
             lines.append(b"Content-Length: %d\r\n" % (call.upload.length if call.upload is not None else len(body)))
         return b"%b\r\n%b" % (b"".join(lines), body)
 
-    def _begun(self, call: RequestContext, attempt: Attempt, response: Response, link: Link) -> ClientConnection | None:
+    def _begun(
+        self, call: RequestContext, attempt: Attempt, response: Response, link: UpstreamConnection
+    ) -> ClientConnection | None:
         """A long answer has begun: it goes out as it comes, if it is the request's answer and the first of two."""
         if (
             call.over
             or call.passing is not None
-            or of_response(response) is Outcome.NEVER
+            or of_response(response) is Outcome.NOT_EXECUTED
             or not outcome.may_pass(call.kind, response)
         ):
             return None
@@ -438,21 +442,21 @@
         now, target, response = self.reactor.seconds(), attempt.target, attempt.response
         if attempt in call.attempts:
             call.attempts.remove(attempt)
-        if attempt.verdict is not Outcome.NEVER:
-            call.worst = max(call.worst, attempt.verdict)
+        if attempt.outcome is not Outcome.NOT_EXECUTED:
+            call.worst = max(call.worst, attempt.outcome)
         self._learn(call, attempt, now)
         if attempt is call.passing and not call.over:
             self.count("served" if response.status < 300 else "passed")
             call.end()
-            return call.client_conn.ended(attempt.why == "answer")
+            return call.client_conn.ended(attempt.end_reason is EndReason.RESPONSE)
         if call.over or call.passing is not None:
             return
-        good = response is not None and attempt.verdict is Outcome.RAN and outcome.may_pass(call.kind, response)
+        good = response is not None and attempt.outcome is Outcome.EXECUTED and outcome.may_pass(call.kind, response)
         if good and response.status < 500:
             return self._pass(call, response)
         if response is not None and response.status == 421:
             self.targets.pop(target.id, None)
-        if attempt.why == "unreachable":
+        if attempt.end_reason is EndReason.UNREACHABLE:
             call.sent -= 1
             call.unreachable += 1
             if call.unreachable < UNREACHABLE_MOST and not call.attempts:
@@ -467,7 +471,11 @@
 
     def _again(self, call: RequestContext) -> bool:
         """A further try is allowed, and the budget bears it."""
-        if call.spent or not outcome.may_repeat(call.kind, call.worst) or call.sent >= call.route.max_attempts:
+        if (
+            call.is_body_discarded
+            or not outcome.may_repeat(call.kind, call.worst)
+            or call.sent >= call.route.max_attempts
+        ):
             return False
         if call.end_at - self.reactor.seconds() < 2 * LEAST_S:
             return False
@@ -481,15 +489,20 @@
     def _learn(self, call: RequestContext, attempt: Attempt, now: float) -> None:
         target, response = attempt.target, attempt.response
         if response is None:
-            if attempt.why == "unreachable":
+            if attempt.end_reason is EndReason.UNREACHABLE:
                 target.unreachable(now)
-            if attempt.why in ("unreachable", "lost", "closed", "spoilt"):
+            if attempt.end_reason in (
+                EndReason.UNREACHABLE,
+                EndReason.CONNECTION_LOST,
+                EndReason.CONNECTION_CLOSED,
+                EndReason.PROTOCOL_ERROR,
+            ):
                 target.judged(now, True)
             return
         load = response.headers.get(b"server-load", b"").split(b",")
         if len(load) == 3 and all(part.strip().isdigit() for part in load):
             target.told, target.told_at = float(load[0]) + float(load[1]), now
-        if attempt.verdict is Outcome.NEVER:
+        if attempt.outcome is Outcome.NOT_EXECUTED:
             if response.status != 421:
                 target.told, target.told_at = max(target.told, target.slots + 6.0), now
             return
@@ -526,8 +539,8 @@
         if call.passing is not None:  # the client has waited as long as it would: it sees a part, and no end
             call.end()
             call.client_conn.ended(False)
-            return call.call_off()
+            return call.cancel_attempts()
         if any(attempt.written for attempt in call.attempts):
-            call.worst = max(call.worst, Outcome.MAYBE)
+            call.worst = max(call.worst, Outcome.UNKNOWN)
         self._give_up(call, True)
-        call.call_off()
+        call.cancel_attempts()
--- a/mapleline/balancer/proxy/upstream.py
+++ b/mapleline/balancer/proxy/upstream.py
@@ -16,14 +16,14 @@
 from ...net.dial import dial
 from ...net.streams import Stream
 from ...policy.placing import Target
-from .outcome import Outcome, of_loss, of_response
+from .outcome import EndReason, Outcome, of_loss, of_response
 
-DIAL_S = 0.35  # a first packet that was dropped comes again after a second, and later than that is too late
+CONNECT_TIMEOUT_S = 0.35  # a first packet that was dropped comes again after a second, and later than that is too late
 IDLE_S = 8.0  # kept at most, where the server says nothing
-SURE_S = 2.0  # idle for longer, a connection gets no request that may run once only
+MAX_IDLE_NON_IDEMPOTENT_S = 2.0  # idle for longer, a connection gets no request that may run once only
 KEEP_SHARE = 0.75  # of what the server says: a request must not cross its close
 USER_TIMEOUT_MS = 4000
-STREAM_FROM = 1 << 20  # bytes of a body that are held for another server; a larger one goes on as it comes
+STREAM_THRESHOLD_BYTES = 1 << 20  # bytes of a body that are held for another server; a larger one goes on as it comes
 RELAY_READ = 64 * 1024  # bytes of one read of an answer that is passed on
 
 
@@ -32,18 +32,18 @@
 
     __slots__ = (
         "begun",
-        "carrier",
+        "connection",
         "data",
         "done",
         "free",
-        "id",
+        "request_id",
         "repeatable",
         "response",
         "sent_at",
         "target",
         "upload",
-        "verdict",
-        "why",
+        "outcome",
+        "end_reason",
         "written",
     )
 
@@ -54,50 +54,50 @@
         data: bytes,
         done: Callable[[Attempt], None],
         repeatable: bool = True,
-        begun: Callable[[Attempt, Response, Link], Any] = lambda *_: None,
+        begun: Callable[[Attempt, Response, UpstreamConnection], Any] = lambda *_: None,
         upload: Upload | None = None,
     ) -> None:
-        self.id, self.target, self.data, self.done, self.repeatable = id, target, data, done, repeatable
+        self.request_id, self.target, self.data, self.done, self.repeatable = id, target, data, done, repeatable
         self.begun = begun  #: of an answer that goes on as it comes: gives who takes its parts, or None
         self.upload = upload  #: the rest of the request's body, still coming
-        self.carrier: Link | None = None
+        self.connection: UpstreamConnection | None = None
         self.response: Response | None = None
-        self.verdict = Outcome.NEVER
+        self.outcome = Outcome.NOT_EXECUTED
         self.written = False  #: a byte of it may have gone out
         self.sent_at = 0.0
         self.free = True  #: a slot was likely free when it was sent
-        self.why = ""  #: "answer", "unreachable", "lost", "spoilt" or "called off"
+        self.end_reason: EndReason | None = None
 
-    def end(self, why: str, response: Response | None = None) -> None:
-        if self.why:
+    def end(self, why: EndReason, response: Response | None = None) -> None:
+        if self.end_reason:
             return
-        self.why, self.response = why, response
+        self.end_reason, self.response = why, response
         if response is not None:
-            self.verdict = of_response(response)
+            self.outcome = of_response(response)
         else:
-            self.verdict = of_loss(self.written)
+            self.outcome = of_loss(self.written)
         self.target.out -= 1
         if self.upload is not None:
-            self.upload.detach(self.carrier)
+            self.upload.detach(self.connection)
         self.done(self)
 
-    def call_off(self) -> None:
+    def cancel(self) -> None:
         """Nobody wants the answer any more."""
-        if self.why:
+        if self.end_reason:
             return
-        link = self.carrier
-        self.end("called off")
+        link = self.connection
+        self.end(EndReason.CANCELLED)
         if link is not None:
             link.attempt = link.sink = None
             link.transport.abortConnection()
 
 
-class Link(Stream):
+class UpstreamConnection(Stream):
     """One connection to one server."""
 
     def __init__(self, servers: UpstreamPool, target: Target) -> None:
         self.servers, self.target = servers, target
-        self.machine = ClientConnection(servers.pool, STREAM_FROM, belongs)
+        self.machine = ClientConnection(servers.pool, STREAM_THRESHOLD_BYTES, is_response_to)
         self.attempt: Attempt | None = None
         self.sink: Any = None  #: takes the answer that is being passed on
         self.begun: Response | None = None  #: the head of that answer
@@ -105,7 +105,7 @@
         self.carried: list[bytes] = []  #: ids of what was sent here, the newest last
 
     @property
-    def kept(self) -> bool:
+    def is_reused(self) -> bool:
         """What is sent here is not the first: an answer may be to an earlier one."""
         return len(self.carried) > 1
 
@@ -115,8 +115,8 @@
         super().connectionMade()
 
     def start(self, attempt: Attempt) -> None:
-        self.attempt, attempt.carrier = attempt, self
-        self.carried = [*self.carried[-1:], attempt.id]
+        self.attempt, attempt.connection = attempt, self
+        self.carried = [*self.carried[-1:], attempt.request_id]
         attempt.written = True
         attempt.sent_at = self.servers.reactor.seconds()
         self.machine.called(attempt)
@@ -141,19 +141,19 @@
             response = answers[0][1]
             if response.more and self._begin(attempt, response):
                 return
-            self._end(attempt, response, "answer")
+            self._end(attempt, response, EndReason.RESPONSE)
         elif not self.machine.reusable:
             self.attempt = None
             if self in self.target.links:  # its end is told a turn later
                 self.target.links.remove(self)
             self.transport.abortConnection()
             if attempt is not None:
-                attempt.end("spoilt")
+                attempt.end(EndReason.PROTOCOL_ERROR)
 
-    def _end(self, attempt: Attempt, response: Response, why: str) -> None:
+    def _end(self, attempt: Attempt, response: Response, why: EndReason) -> None:
         self.attempt = None
         whole = attempt.upload is None or attempt.upload.complete
-        if why == "answer" and self.machine.reusable and not self.machine.passing and self.flushed and whole:
+        if why is EndReason.RESPONSE and self.machine.reusable and not self.machine.passing and self.flushed and whole:
             self._rest(response)
         else:
             self.transport.abortConnection()
@@ -176,9 +176,9 @@
             sink.part(part)
         if self.machine.passing or self.sink is None:
             return  # more is to come, or nobody takes it any more
-        self._passed("spoilt" if self.machine.cut else "answer")
+        self._passed(EndReason.PROTOCOL_ERROR if self.machine.cut else EndReason.RESPONSE)
 
-    def _passed(self, why: str) -> None:
+    def _passed(self, why: EndReason) -> None:
         """The answer that was passed on has ended, as it should or not."""
         self.sink, self.transport.bufferSize = None, BUFFER_SIZE
         if self.attempt is not None:
@@ -206,20 +206,22 @@
             self.target.links.remove(self)
         if self.sink is not None:
             whole = self.machine.ended_passing(reason.check(ConnectionDone) is not None)
-            return self._passed("answer" if whole else "lost")
+            return self._passed(EndReason.RESPONSE if whole else EndReason.CONNECTION_LOST)
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            attempt.end("lost" if reason.check(ConnectionDone) is None else "closed")
+            attempt.end(
+                EndReason.CONNECTION_LOST if reason.check(ConnectionDone) is None else EndReason.CONNECTION_CLOSED
+            )
 
 
-def belongs(attempt: Attempt, response: Response) -> bool:
+def is_response_to(attempt: Attempt, response: Response) -> bool:
     """The id tells an answer from a surplus one that came late.  One without an id says that nothing has run: of what,
     is sure only where nothing else was sent over its connection, or matters only where a request may run once.
     """
     said = response.headers.get(b"request-id")
     if said is None and b"not-executed" in response.headers:
-        return attempt.repeatable or not attempt.carrier.kept
-    return said == attempt.id
+        return attempt.repeatable or not attempt.connection.is_reused
+    return said == attempt.request_id
 
 
 class UpstreamPool:
@@ -234,28 +236,28 @@
         target.out += 1
         while target.links:
             link = target.links[-1]
-            if link.carried[-1:] == [attempt.id]:
+            if link.carried[-1:] == [attempt.request_id]:
                 break  # a second copy of its first answer would pass for that to this sending
-            if not attempt.repeatable and now - link.idle_since > SURE_S:
+            if not attempt.repeatable and now - link.idle_since > MAX_IDLE_NON_IDEMPOTENT_S:
                 break  # the server may have forgotten it without a word, and a reset then tells nothing
             target.links.pop()
             if link.connected and link.machine.reusable and now < link.keep_until and not link.unread:
                 return link.start(attempt)
             link.transport.abortConnection()
-        dialed = dial(self.reactor, address, lambda: Link(self, target), DIAL_S)
+        dialed = dial(self.reactor, address, lambda: UpstreamConnection(self, target), CONNECT_TIMEOUT_S)
 
-        def up(link: Link) -> None:
-            if attempt.why:
+        def up(link: UpstreamConnection) -> None:
+            if attempt.end_reason:
                 link.transport.abortConnection()
             else:
                 link.start(attempt)
 
         def failed(_: Failure) -> None:
-            attempt.end("unreachable")
+            attempt.end(EndReason.UNREACHABLE)
 
         dialed.addCallbacks(up, failed)
 
-    def sweep(self, targets: list[Target], now: float, most: int) -> None:
+    def close_idle_connections(self, targets: list[Target], now: float, most: int) -> None:
         """Close what was kept too long, or is beyond this ingress's part of a server's connections."""
         for target in targets:
             for link in list(target.links):
@@ -265,7 +267,7 @@
             while len(target.links) > most:
                 target.links.pop(0).transport.abortConnection()
 
-    def drop(self, target: Target) -> None:
+    def close_connections(self, target: Target) -> None:
         """It is gone: nothing is kept there."""
         while target.links:
             target.links.pop().transport.abortConnection()
--- a/mapleline/simulation/world.py
+++ b/mapleline/simulation/world.py
@@ -25,7 +25,8 @@
 from ..balancer.discovery.endpoints import ListedInstance
 from ..balancer.environment import Environment
 from ..balancer.node import Node
-from ..balancer.proxy.upstream import DIAL_S, Attempt, UpstreamPool
+from ..balancer.proxy.outcome import EndReason
+from ..balancer.proxy.upstream import CONNECT_TIMEOUT_S, Attempt, UpstreamPool
 from ..balancer.transport import messages
 from ..balancer.transport.connections import number
 from ..balancer.transport.fencing import Fence, UnexpectedReplyError
@@ -227,7 +228,7 @@
 
     def evacuated_zones(self) -> set[str]:
         """Zones whose servers get nothing from it."""
-        return set(self.node.proxy.evacuated) if self.is_running else set()
+        return set(self.node.proxy.evacuated_zones) if self.is_running else set()
 
     # -- lives ---------------------------------------------------------------------------------------------
 
@@ -435,7 +436,7 @@
         dark = server is None or server.is_down
         way = world.way(self.machine.zone, server.zone) if server is not None else ZONES_S
         if dark or server.is_removed:
-            world.after(DIAL_S if dark else 2 * way, life.run, attempt.end, "unreachable")
+            world.after(CONNECT_TIMEOUT_S if dark else 2 * way, life.run, attempt.end, EndReason.UNREACHABLE)
             return
         attempt.written, attempt.sent_at = True, world.clock.seconds()
         world.observe("attempt", self.machine.name, server.id, bytes(attempt.data))
@@ -487,7 +488,7 @@
         if one.fields.get("expect-instance") != self.id:
             return self._answer(one, 421)
         world.arrivals.append((one.sent_at, now, self, one))
-        if one.attempt.why:
+        if one.attempt.end_reason:
             return  # called off on the way
         if self.running < self.slots:
             self._run(one)
@@ -508,7 +509,7 @@
         self.running -= 1
         while self.queue and self.running < self.slots:
             following = self.queue.popleft()
-            if not following.attempt.why and not following.life.over:
+            if not following.attempt.end_reason and not following.life.over:
                 self._run(following)
         lot = self.world.rng.random()
         if self.is_down or self.is_removed or lot < self.response_loss_rate:
@@ -518,7 +519,7 @@
 
     def _lose(self, one: Arrived) -> None:
         if not self.is_down:
-            self.world.after(one.way, one.life.run, one.attempt.end, "lost")
+            self.world.after(one.way, one.life.run, one.attempt.end, EndReason.CONNECTION_LOST)
 
     def _answer(self, one: Arrived, status: int, not_executed: bool = False) -> None:
         headers = {
@@ -528,7 +529,9 @@
         }
         if not_executed:
             headers[b"not-executed"] = b"1"
-        self.world.after(one.way, one.life.run, one.attempt.end, "answer", Response(status, headers, b"whole", True))
+        self.world.after(
+            one.way, one.life.run, one.attempt.end, EndReason.RESPONSE, Response(status, headers, b"whole", True)
+        )
 
 
 class ClientConnection:
@@ -818,7 +821,11 @@
         request = Request(method.encode(), path.encode(), fields, body, True, False, b"1", len(body))
         self.observe("request", PORTS[of], machine.name, b"%b\r\n%b" % (repr((method, path, headers)).encode(), body))
         node = machine.node
-        take = {"proxy": node.proxy.take, "control": node.control.handle_request, "directory": node.directory.take}[of]
+        take = {
+            "proxy": node.proxy.handle_request,
+            "control": node.control.handle_request,
+            "directory": node.directory.take,
+        }[of]
         machine.reactor.run(take, client_conn, request)
         return client_conn
 
--- a/tests/balancer/proxy/proxy_harness.py
+++ b/tests/balancer/proxy/proxy_harness.py
@@ -8,6 +8,7 @@
 from mapleline.balancer import configuration, settings
 from mapleline.balancer.discovery.endpoints import EndpointList, ListedInstance
 from mapleline.balancer.membership.table import READY, Member, MembershipTable
+from mapleline.balancer.proxy.outcome import EndReason
 from mapleline.balancer.proxy.proxy import Proxy
 from mapleline.balancer.proxy.slow_start_leases import SlowStartLeases
 from mapleline.balancer.proxy.upstream import UpstreamPool
@@ -15,6 +16,11 @@
 from mapleline.http1.upload import Upload
 
 APPROVED = Path(__file__).parent / "approved"
+REASON_TEXTS = {  # as the approved transcripts have them
+    EndReason.CONNECTION_LOST: "lost",
+    EndReason.PROTOCOL_ERROR: "spoilt",
+    EndReason.UNREACHABLE: "unreachable",
+}
 
 
 def approve(case, name, lines):
@@ -56,7 +62,7 @@
         head = attempt.data.decode().replace("\r\n", " | ").rstrip(" |")
         self.world.say(f"-> {attempt.target.id}  {head}")
 
-    def drop(self, target):
+    def close_connections(self, target):
         self.world.say(f"nothing is kept at {target.id}")
 
 
@@ -84,11 +90,11 @@
             random.Random(7),
         )
         self.proxy.table = configuration.Table(configuration.read(whole))
-        self.proxy.leases = leases
+        self.proxy.slow_start_leases = leases
         self.list(servers)
 
     def cold_numbers(self, now):
-        return self.proxy.cold_numbers(now)
+        return self.proxy.wanted_leases(now)
 
     def say(self, text):
         self.lines.append(f"{self.clock.seconds() - 100.0:6.2f}  {text}")
@@ -101,7 +107,7 @@
         ]
         self.lists += 1
         self.endpoints.take_list(self.clock.seconds() + 1e-6 * self.lists, found)
-        self.proxy.refresh()
+        self.proxy.update_endpoints()
 
     def ask(self, name, method=b"GET", path=b"/one/x", key=b"k1", long=0, **fields):
         """A client's request."""
@@ -113,7 +119,7 @@
         body, client_conn = b"scan" if method == b"POST" else b"", ClientConnection(self, name)
         if long:
             client_conn.upload = Upload(long, lambda: None, lambda: None)
-        return self.proxy.take(
+        return self.proxy.handle_request(
             client_conn, Request(method, path, headers, body, True, bool(long), b"1", long or len(body))
         )
 
@@ -130,10 +136,14 @@
         """The server answers the oldest request it has."""
         id = id or self.out()
         attempt = self.servers.out[id].pop(0)
-        headers = {b"request-id": attempt.id, b"server-stamp": b"st-" + id.encode(), b"keep-alive": b"timeout=9"}
+        headers = {
+            b"request-id": attempt.request_id,
+            b"server-stamp": b"st-" + id.encode(),
+            b"keep-alive": b"timeout=9",
+        }
         headers.update({k.encode().replace(b"_", b"-"): v for k, v in fields.items()})
         self.say(f"{id}: {status}{' not executed' if 'not_executed' in fields else ''}")
-        attempt.end("answer", Response(status, headers, b"bytes", True))
+        attempt.end(EndReason.RESPONSE, Response(status, headers, b"bytes", True))
 
     def begin(self, status=200, **fields):
         """The server begins a long answer, which goes on as it comes; gives what is to be ended."""
@@ -143,15 +153,15 @@
         self.say(f"{attempt.target.id}: {status}, more to come")
         if attempt.begun(attempt, response, None) is None:
             self.servers.out[attempt.target.id].pop(0)
-            return attempt.end("answer", response)
+            return attempt.end(EndReason.RESPONSE, response)
         return lambda why: (self.servers.out[attempt.target.id].pop(0), attempt.end(why, response))
 
-    def lose(self, why="lost", written=True):
+    def lose(self, why=EndReason.CONNECTION_LOST, written=True):
         """The connection ends without an answer, or never came up."""
         id = self.out()
         attempt = self.servers.out[id].pop(0)
         attempt.written = written
-        self.say(f"{id}: {why}")
+        self.say(f"{id}: {REASON_TEXTS[why]}")
         attempt.end(why)
 
     def wait(self, seconds):
--- a/tests/balancer/proxy/test_listener.py
+++ b/tests/balancer/proxy/test_listener.py
@@ -45,7 +45,7 @@
         self.listener = Listener(
             self.clock, BufferPool(), lambda client_conn, request: self.taken.append((client_conn, request))
         )
-        self.listener.idle_s = 15.0
+        self.listener.idle_timeout_s = 15.0
 
     def client_conn(self):
         client_conn = self.listener.buildProtocol(None)
@@ -65,7 +65,7 @@
         client_conn.reply(200, b"first")
         self.clock.advance(0)
         self.assertEqual([r.target for _, r in self.taken], [b"/a", b"/b"])
-        self.listener.leaving = True
+        self.listener.is_draining = True
         client_conn.reply(503, b"second", b"Retry-After: 0.30\r\n")
         self.assertEqual(
             client_conn.transport.sent,
@@ -108,7 +108,7 @@
         self.assertIn(b"Connection: close", client_conn.transport.sent)
         client_conn.dataReceived(bytes(30000) + b"GET /smuggled HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertEqual(len(self.taken), 1)
-        self.listener.sweep(self.clock.seconds() + 7.0)
+        self.listener.close_idle_connections(self.clock.seconds() + 7.0)
         self.assertEqual(client_conn.transport.ended, "aborted")
 
     def test_a_long_answer_goes_out_in_parts_and_one_cut_off_never_looks_whole(self):
@@ -131,7 +131,7 @@
         self.assertLessEqual(self.listener.pool.out, 20)
 
     def test_a_head_or_a_body_beyond_the_limits_is_refused(self):
-        self.listener.max_header, self.listener.max_body = 200, 10
+        self.listener.max_header_bytes, self.listener.max_body_bytes = 200, 10
         for data, status in (
             (b"GET /a HTTP/1.1\r\nHost: x\r\nA: " + b"b" * 300 + b"\r\n\r\n", b"431"),
             (b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 11\r\n\r\n", b"413"),
--- a/tests/balancer/proxy/test_proxy.py
+++ b/tests/balancer/proxy/test_proxy.py
@@ -3,6 +3,8 @@
 import json
 import unittest
 
+from mapleline.balancer.proxy.outcome import EndReason
+
 from .proxy_harness import World, approve
 
 BOOT = """\
@@ -107,7 +109,7 @@
         w.ask("book", b"POST", b"/book/7")
         w.lose()
         w.ask("read")
-        w.lose("spoilt")
+        w.lose(EndReason.PROTOCOL_ERROR)
         w.answer()
         w.ask("again")
         w.lose()
@@ -117,10 +119,10 @@
     def test_nothing_was_written(self):
         w = self.world
         w.ask("book", b"POST", b"/book/7")
-        w.lose("unreachable", written=False)
-        w.lose("unreachable", written=False)
-        w.lose("unreachable", written=False)
-        w.lose("unreachable", written=False)
+        w.lose(EndReason.UNREACHABLE, written=False)
+        w.lose(EndReason.UNREACHABLE, written=False)
+        w.lose(EndReason.UNREACHABLE, written=False)
+        w.lose(EndReason.UNREACHABLE, written=False)
         self.approve("nothing_written")
 
     def test_the_deadline(self):
@@ -159,7 +161,7 @@
         w.count(before=60.0)
         w.ask("unknown", key=b"k2")
         w.count(silent=True)
-        w.ask("gone", key=b"k2").left()
+        w.ask("gone", key=b"k2").on_client_disconnected()
         w.count(before=0.0)
         self.approve("quota")
 
@@ -176,7 +178,7 @@
     def test_who_gets_nothing(self):
         w = self.world
         w.list([("i-a", "s1", "z1", {"state": "draining"}), *SERVERS[1:]])
-        w.proxy.evacuated = {"z2"}
+        w.proxy.evacuated_zones = {"z2"}
         w.ask("q1")
         w.answer()
         w.list([("i-d", "s1", "z1", {"cold_left": "3s"}), ("i-e", "s1", "z2", {})])
@@ -192,15 +194,15 @@
         w.answer(503, not_executed=b"1")
         w.answer()
         w.wait(3.0)
-        w.ask("spent", b"POST", b"/book/8", long=2 << 20).spent = True  # more has gone out than is held
+        w.ask("spent", b"POST", b"/book/8", long=2 << 20).is_body_discarded = True  # more has gone out than is held
         w.answer(503, not_executed=b"1")
         w.wait(3.0)
         w.ask("down")
         end = w.begin()
         w.wait(1.5)  # no second server is asked
-        end("answer")
+        end(EndReason.RESPONSE)
         w.ask("cut")
-        w.begin()("lost")
+        w.begin()(EndReason.CONNECTION_LOST)
         w.ask("full")
         w.begin(503, not_executed=b"1")
         w.answer()
--- a/tests/balancer/proxy/test_upstream.py
+++ b/tests/balancer/proxy/test_upstream.py
@@ -9,8 +9,8 @@
 from twisted.python.failure import Failure
 
 from mapleline.balancer.proxy import outcome, upstream
-from mapleline.balancer.proxy.outcome import Outcome
-from mapleline.balancer.proxy.upstream import Attempt, Link, UpstreamPool
+from mapleline.balancer.proxy.outcome import EndReason, Outcome
+from mapleline.balancer.proxy.upstream import Attempt, UpstreamConnection, UpstreamPool
 from mapleline.http1.buffers import BufferPool
 from mapleline.http1.upload import Upload
 from mapleline.policy.placing import Target
@@ -92,11 +92,11 @@
         first = self.attempt(b"q0")
         link = self.up()
         link.dataReceived(answer(b"q0"))
-        self.assertEqual((first.why, self.target.links), ("answer", [link]))
+        self.assertEqual((first.end_reason, self.target.links), (EndReason.RESPONSE, [link]))
         return link
 
     def ends(self, attempt, why, said):
-        self.assertEqual((attempt.why, attempt.verdict), (why, said))
+        self.assertEqual((attempt.end_reason, attempt.outcome), (why, said))
 
     def test_silence_a_reset_and_a_close(self):
         for clean in (False, True):
@@ -107,12 +107,14 @@
                     if part:
                         link.dataReceived(part)
                     self.lost(link, clean)
-                    self.ends(attempt, "closed" if clean else "lost", Outcome.MAYBE)
+                    self.ends(
+                        attempt, EndReason.CONNECTION_CLOSED if clean else EndReason.CONNECTION_LOST, Outcome.UNKNOWN
+                    )
 
     def test_a_connection_that_never_came_up_has_carried_nothing(self):
         attempt = self.attempt()
         self.dialed.pop().clientConnectionFailed(None, Failure(ConnectionLost()))
-        self.ends(attempt, "unreachable", Outcome.NEVER)
+        self.ends(attempt, EndReason.UNREACHABLE, Outcome.NOT_EXECUTED)
 
     def test_answers_of_others_are_passed_over(self):
         others = [answer(b"q9"), answer(b"q9", 503, lines=b"Not-Executed: 1\r\n"), answer(b"q9", 421), answer(b"")]
@@ -122,9 +124,9 @@
                 attempt = self.attempt()
                 link = link or self.up()
                 link.dataReceived(other)
-                self.assertEqual(attempt.why, "")
+                self.assertIsNone(attempt.end_reason)
                 link.dataReceived(answer())
-                self.ends(attempt, "answer", Outcome.RAN)
+                self.ends(attempt, EndReason.RESPONSE, Outcome.EXECUTED)
                 self.assertEqual((attempt.response.headers[b"request-id"], attempt.response.body), (b"q1", b"whole"))
                 self.assertTrue(link.transport.ended)
                 self.assertNotIn(link, self.target.links)
@@ -139,34 +141,34 @@
             attempt = self.attempt()
             link = self.up()
             link.dataReceived(surplus)
-            if not attempt.why:
+            if not attempt.end_reason:
                 self.lost(link, True)
-            self.assertEqual((attempt.verdict, attempt.response), (Outcome.MAYBE, None))
+            self.assertEqual((attempt.outcome, attempt.response), (Outcome.UNKNOWN, None))
             link.dataReceived(answer())  # behind what cannot be told apart
-            self.assertEqual((attempt.verdict, attempt.response, link.attempt), (Outcome.MAYBE, None, None))
+            self.assertEqual((attempt.outcome, attempt.response, link.attempt), (Outcome.UNKNOWN, None, None))
 
     def test_an_answer_without_an_id_frees_only_what_came_first(self):
         nobody = answer(b"", 503, lines=b"Not-Executed: 1\r\n")
         attempt = self.attempt()
         self.up().dataReceived(nobody)
-        self.ends(attempt, "answer", Outcome.NEVER)
+        self.ends(attempt, EndReason.RESPONSE, Outcome.NOT_EXECUTED)
         self.target.links.clear()
         link, attempt = self.kept(), self.attempt()
         link.dataReceived(nobody)  # perhaps a late one of the request before
-        self.assertEqual(attempt.why, "")
+        self.assertIsNone(attempt.end_reason)
         self.lost(link)
-        self.ends(attempt, "lost", Outcome.MAYBE)
+        self.ends(attempt, EndReason.CONNECTION_LOST, Outcome.UNKNOWN)
 
     def test_the_same_request_never_goes_twice_over_one_connection(self):
         first = self.attempt()
         link = self.up()
         link.dataReceived(answer(b"q1", 503, lines=b"Not-Executed: 1\r\n"))
-        self.ends(first, "answer", Outcome.NEVER)
+        self.ends(first, EndReason.RESPONSE, Outcome.NOT_EXECUTED)
         self.assertEqual(self.target.links, [link])
         again = self.attempt()
         self.assertIsNone(link.attempt)  # a second copy of that answer would free what runs
         self.up().dataReceived(answer())
-        self.ends(again, "answer", Outcome.RAN)
+        self.ends(again, EndReason.RESPONSE, Outcome.EXECUTED)
 
     def test_nothing_goes_over_a_connection_with_surplus_bytes(self):
         link = self.kept()
@@ -174,24 +176,24 @@
         attempt = self.attempt()
         self.assertTrue(link.transport.ended and link.attempt is None)
         self.up().dataReceived(answer())
-        self.ends(attempt, "answer", Outcome.RAN)
+        self.ends(attempt, EndReason.RESPONSE, Outcome.EXECUTED)
         self.target.links.clear()
         link = self.kept()
         link.dataReceived(answer(b"q0"))  # read, in the turn in which the next request is sent
         attempt = self.attempt()
         self.assertTrue(link.transport.ended and link.attempt is None)
         self.up().dataReceived(answer())
-        self.ends(attempt, "answer", Outcome.RAN)
+        self.ends(attempt, EndReason.RESPONSE, Outcome.EXECUTED)
         self.target.links.clear()
         attempt = self.attempt()
         link = self.up()
         link.dataReceived(answer() + b"more")
-        self.ends(attempt, "answer", Outcome.RAN)
+        self.ends(attempt, EndReason.RESPONSE, Outcome.EXECUTED)
         self.assertTrue(link.transport.ended)
 
     def test_a_connection_that_rested_long_is_not_for_all(self):
         link = self.kept()
-        self.clock.advance(upstream.SURE_S + 0.1)
+        self.clock.advance(upstream.MAX_IDLE_NON_IDEMPOTENT_S + 0.1)
         self.attempt()
         self.assertEqual((len(self.dialed), link.attempt), (1, None))
         repeatable = self.attempt(b"q2", repeatable=True)
@@ -199,15 +201,15 @@
 
     def test_an_answer_before_the_request_is_out_is_taken_and_the_connection_is_not(self):
         for status, lines, said in (
-            (200, b"", Outcome.RAN),
-            (503, b"Not-Executed: 1\r\n", Outcome.NEVER),
-            (421, b"", Outcome.NEVER),
-            (503, b"", Outcome.RAN),
+            (200, b"", Outcome.EXECUTED),
+            (503, b"Not-Executed: 1\r\n", Outcome.NOT_EXECUTED),
+            (421, b"", Outcome.NOT_EXECUTED),
+            (503, b"", Outcome.EXECUTED),
         ):
             attempt = self.attempt()
             link = self.up(room=9)  # the kernel has taken a part
             link.dataReceived(answer(b"q1", status, lines=lines))
-            self.ends(attempt, "answer", said)
+            self.ends(attempt, EndReason.RESPONSE, said)
             self.assertTrue(link.transport.ended)
             spent = []
             upload = Upload(1 << 21, lambda: None, partial(spent.append, True))
@@ -215,7 +217,7 @@
             link = self.up()
             upload.put(b"x" * 100, False)
             link.dataReceived(answer(b"q1", status, lines=lines))
-            self.ends(attempt, "answer", said)
+            self.ends(attempt, EndReason.RESPONSE, said)
             self.assertTrue(link.transport.ended and spent)  # what is gone is not there for another server
             upload.put(b"y" * 100, False)
             self.assertNotIn(b"y", link.transport.sent)
@@ -224,18 +226,33 @@
         attempt = self.attempt()
         link = self.up()
         link.dataReceived(b"HTTP/1.1 100 Continue\r\n\r\n")
-        self.assertEqual(attempt.why, "")
+        self.assertIsNone(attempt.end_reason)
         link.dataReceived(b"HTTP/1.1 103 Early Hints\r\nNot-Executed: 1\r\n\r\n" + answer())
-        self.ends(attempt, "answer", Outcome.RAN)
+        self.ends(attempt, EndReason.RESPONSE, Outcome.EXECUTED)
 
     def test_what_holds_these(self):
         """Each defence taken out lets one of the tests above find the fault."""
         cases = [
-            (mock.patch.object(upstream, "belongs", lambda a, r: True), self.test_answers_of_others_are_passed_over),
-            (mock.patch.object(Link, "kept", False), self.test_an_answer_without_an_id_frees_only_what_came_first),
-            (mock.patch.object(Link, "unread", False), self.test_nothing_goes_over_a_connection_with_surplus_bytes),
-            (mock.patch.object(upstream, "SURE_S", 99.0), self.test_a_connection_that_rested_long_is_not_for_all),
-            (mock.patch.object(upstream, "of_loss", lambda _: Outcome.NEVER), self.test_silence_a_reset_and_a_close),
+            (
+                mock.patch.object(upstream, "is_response_to", lambda a, r: True),
+                self.test_answers_of_others_are_passed_over,
+            ),
+            (
+                mock.patch.object(UpstreamConnection, "is_reused", False),
+                self.test_an_answer_without_an_id_frees_only_what_came_first,
+            ),
+            (
+                mock.patch.object(UpstreamConnection, "unread", False),
+                self.test_nothing_goes_over_a_connection_with_surplus_bytes,
+            ),
+            (
+                mock.patch.object(upstream, "MAX_IDLE_NON_IDEMPOTENT_S", 99.0),
+                self.test_a_connection_that_rested_long_is_not_for_all,
+            ),
+            (
+                mock.patch.object(upstream, "of_loss", lambda _: Outcome.NOT_EXECUTED),
+                self.test_silence_a_reset_and_a_close,
+            ),
         ]
         for mutant, test in cases:
             self.setUp()
--- a/tests/balancer/test_parts.py
+++ b/tests/balancer/test_parts.py
@@ -401,15 +401,15 @@
 
 class TestVerdict(unittest.TestCase):
     def test_only_the_servers_word_or_an_unwritten_request_promises(self):
-        self.assertEqual(outcome.of_answer(503, True), Outcome.NEVER)
-        self.assertEqual(outcome.of_answer(421, False), Outcome.NEVER)
-        self.assertEqual(outcome.of_answer(503, False), Outcome.RAN)
-        self.assertEqual((outcome.of_loss(False), outcome.of_loss(True)), (Outcome.NEVER, Outcome.MAYBE))
-        self.assertFalse(outcome.may_repeat("upload", Outcome.MAYBE))
+        self.assertEqual(outcome.of_answer(503, True), Outcome.NOT_EXECUTED)
+        self.assertEqual(outcome.of_answer(421, False), Outcome.NOT_EXECUTED)
+        self.assertEqual(outcome.of_answer(503, False), Outcome.EXECUTED)
+        self.assertEqual((outcome.of_loss(False), outcome.of_loss(True)), (Outcome.NOT_EXECUTED, Outcome.UNKNOWN))
+        self.assertFalse(outcome.may_repeat("upload", Outcome.UNKNOWN))
         self.assertEqual(
             [
                 outcome.final_status(v, t)
-                for v, t in ((Outcome.NEVER, True), (Outcome.MAYBE, True), (Outcome.RAN, False))
+                for v, t in ((Outcome.NOT_EXECUTED, True), (Outcome.UNKNOWN, True), (Outcome.EXECUTED, False))
             ],
             [503, 504, 502],
         )
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -215,9 +215,9 @@
         self.assertLess(max(ages), 2.6)  # and a way to all: under `drain_timeout`
 
     def test_cold_and_emptied_servers(self):
-        self.breaks("FAILBACK", cold_zone, mock.patch.object(Proxy, "is_cold", lambda *_: False), 4.0, load=2.0)
+        self.breaks("FAILBACK", cold_zone, mock.patch.object(Proxy, "is_warming_up", lambda *_: False), 4.0, load=2.0)
         self.breaks("EVAC", emptied, mock.patch.object(commands, "emptied", lambda held, zone, begin: held), 9.0)
-        self.breaks("HOME", calm, mock.patch.object(Proxy, "_homes", lambda *_: None), 1.0)
+        self.breaks("HOME", calm, mock.patch.object(Proxy, "_allowed_regions", lambda *_: None), 1.0)
 
     def test_an_ingress_that_is_cut_off_lets_in_no_more_than_its_part(self):
         def cut_off(day):
--- a/tests/simulation/test_slow_start_scenarios.py
+++ b/tests/simulation/test_slow_start_scenarios.py
@@ -12,14 +12,14 @@
 from mapleline.balancer.proxy import proxy, slow_start_leases
 from mapleline.balancer.proxy.proxy import Proxy
 from mapleline.balancer.proxy.slow_start_leases import LEASE_S, SlowStartLeases, Voter
-from mapleline.balancer.proxy.upstream import DIAL_S
+from mapleline.balancer.proxy.upstream import CONNECT_TIMEOUT_S
 from mapleline.simulation import slow_start_scenarios
 from mapleline.simulation.world import EventLoop
 
 
 def by_view(self, one, now):
     """Who is the first by lot in its own view sends."""
-    return crc32(one.id.encode()) in self.cold_numbers(now)
+    return crc32(one.id.encode()) in self.wanted_leases(now)
 
 
 def for_a_time(self, one, now):
@@ -29,7 +29,7 @@
 
 def where_begun(self, before, apply=Node.apply):
     """A zone is taken back where its evacuation was known."""
-    emptied = set(self.proxy.evacuated)
+    emptied = set(self.proxy.evacuated_zones)
     apply(self, before)
     for zone, _ in self.control_plane.state.changed:
         if zone not in emptied:
@@ -52,14 +52,16 @@
     def test_ingresses_that_are_each_alone_are_not_each_the_one(self):
         self.breaks(
             slow_start_scenarios.each_alone,
-            mock.patch.object(Proxy, "owns_cold", by_view),
+            mock.patch.object(Proxy, "has_lease", by_view),
             length=5.0,
             load=8.0,
             others=9,
         )
 
     def test_a_zone_taken_back_is_cold_until_a_list_could_show_it(self):
-        self.breaks(slow_start_scenarios.list_is_late, mock.patch.object(Proxy, "is_cold", for_a_time), length=10.0)
+        self.breaks(
+            slow_start_scenarios.list_is_late, mock.patch.object(Proxy, "is_warming_up", for_a_time), length=10.0
+        )
 
     def test_the_end_of_an_evacuation_counts_where_its_beginning_was_not_heard_of(self):
         self.breaks(
@@ -90,7 +92,7 @@
             slow_start_scenarios.press(day, times=30.0)
             day.world.after(1.0, lambda: day.restart(slow_start_scenarios.servers_of(day, "a1")))
 
-        self.breaks(back, mock.patch.object(proxy, "AFTER_S", 0.0), length=7.0, load=3.0)
+        self.breaks(back, mock.patch.object(proxy, "WARM_UP_MARGIN_S", 0.0), length=7.0, load=3.0)
 
     def test_stacked_troubles_by_lot(self):
         for seed in (103, 201, 323):  # broken before: by unheard evacuations, and by beats that had waited (the others)
@@ -191,7 +193,9 @@
         self.assertEqual(most, 1)
         self.assertGreater(gap, LEASE_S - 0.11)  # looked at each 0.02 s; the holder before may have begun unseen
         self.assertGreater(begun, 60)
-        self.assertGreater(LEASE_S, 1.0 + DIAL_S)  # the span of the rule and the way to a connection meet two
+        self.assertGreater(
+            LEASE_S, 1.0 + CONNECT_TIMEOUT_S
+        )  # the span of the rule and the way to a connection meet two
 
     def test_what_makes_it_so(self):
         def at_once(self, now, ip, life, numbers):
