--- a/mapleline/budgets/__init__.py
+++ b/mapleline/budgets/__init__.py
@@ -1,6 +1,6 @@
-"""Wholes of the fleet divided into parts: claimed on the counter per epoch, used under a lease (pure)."""
+"""Fleet-wide budgets divided into shares: claimed on the counter per epoch, used under a lease (pure)."""
 
 from .claims import Budget, epoch_of, granted
-from .parts import Parts
+from .shares import BudgetShares, EndedEpoch, LeasedInterval
 
-__all__ = ["Budget", "Parts", "epoch_of", "granted"]
+__all__ = ["Budget", "BudgetShares", "EndedEpoch", "LeasedInterval", "epoch_of", "granted"]
--- a/mapleline/ingress.py
+++ b/mapleline/ingress.py
@@ -28,7 +28,7 @@
 from .policy.brain import Brain
 from .settings import platform as configuration
 from .settings.platform import ACCEPT_FD, Address, Config, ConfigError
-from .takeover.claims import claim
+from .takeover.descriptors import DescriptorUse, descriptor_claim
 from .takeover.slots import Slots
 from .telemetry import COUNTS, log, print_counters
 
@@ -229,7 +229,8 @@
             held = self.own + len(self.front.streams) + self.upstreams.held
             others = [total - start if one is None else one for one in self.slots.others()]
             leaving = self.life.phase is Phase.LEAVING
-            claimed = claim(total, start, held, self.slots.elder, leaving, others)
+            use = DescriptorUse(total, start, held, self.slots.is_elder, leaving)
+            claimed = descriptor_claim(use, others)
             try:
                 self.slots.publish(claimed)
             except OSError:
--- a/mapleline/net/claims.py
+++ b/mapleline/net/claims.py
@@ -58,10 +58,10 @@
 
     def _claim_share(self, epoch: int, demands: float | None) -> None:
         budget = self.budget
-        want = round(budget.want(self.demand, demands, self.peers.view.members), 3)
+        want = round(budget.claim_size(self.demand, demands, self.peers.view.members), 3)
 
         def answered(total: float) -> None:
-            part = budget.answered(epoch, want, total)
+            part = budget.record_claim(epoch, want, total)
             self.spans[epoch] = ((total - want) / budget.whole, part / budget.whole)
             COUNTS["budget.claimed"] += 1
             log(
@@ -89,12 +89,12 @@
         part = budget.usable(now)
         if part > 0 and epoch not in self.shown:
             self.shown.add(epoch)
-            start, end = budget.window(epoch)
+            start, end = budget.lease_window(epoch)
             at, share = self.spans.pop(epoch)
             self.spans = {e: span for e, span in self.spans.items() if e > epoch}
             behind = time.time() - now  # of the module's clock, which no setting moves
             since, until = int((start + behind) * 1e9), int((end + behind) * 1e9)
-            self.peers.parts.hold(at, at + share, since, until, budget.name)
+            self.peers.shares.hold(at, at + share, since, until, budget.name)
             log(
                 "budget held",
                 budget=budget.name,
--- a/mapleline/net/fleet.py
+++ b/mapleline/net/fleet.py
@@ -41,19 +41,19 @@
     start, reactor, engine = ingress.config.start, ingress.reactor, ingress.engine
     spill = own.zones.spill_share if own.zones.enabled else 0.0
     peers = Peers(reactor, own.budgets, ingress.buffers, ingress.config.counter, start.gateway, start.gateways, spill)
-    peers.parts.ids = ingress.directory.ids
+    peers.shares.server_ids = ingress.directory.ids
     zones: Any = None
     tiers: list[frozenset[int]] = []
     if own.zones.enabled and start.zones > 1:
-        from ..zones import Zones, read_tiers
+        from ..zones import TierError, ZoneEjection, read_tiers
         from .zones import ZoneWatch
 
         names, directory = ingress.config.zone_names, ingress.directory
         try:
             tiers = read_tiers(own.zones.tiers, names, start.zone)
-        except ValueError as err:
+        except TierError as err:
             raise ConfigError(f"zones.tiers: {err}") from None
-        zones = Zones(start.zones, own.zones, peers.told.beat_s)
+        zones = ZoneEjection(start.zones, own.zones, peers.told.beat_s)
         peers.watchers.append(
             ZoneWatch(
                 reactor,
@@ -65,6 +65,6 @@
                 engine.now,
             )
         )
-    engine.share(peers.parts, zones, tiers)
+    engine.share(peers.shares, zones, tiers)
     reactor.callWhenRunning(peers.start)
     return peers
--- a/mapleline/net/peers.py
+++ b/mapleline/net/peers.py
@@ -14,7 +14,7 @@
 
 from twisted.internet import defer
 
-from ..budgets import Parts
+from ..budgets import BudgetShares
 from ..http1.buffers import BufferPool
 from ..http1.messages import Response
 from ..membership import MembershipView, period_of
@@ -49,7 +49,7 @@
         self.reactor, self.buffers, self.counter = reactor, buffers, counter
         self.told = told = replace(told, beat_s=told.beat(members))
         self.view = MembershipView(members, me, told.beat_s)
-        self.parts = Parts(
+        self.shares = BudgetShares(
             me,
             members,
             int(told.lease_s * 1e9),
@@ -69,7 +69,7 @@
         self.watchers: list[Any] = []  #: each is asked with the period, several times in it
         self.claims = [Claims(self, "fleet", lambda: COUNTS["request.accepted"])]
         if spill_share > 0:  # who spills is seldom who has the most requests: divided by what spills
-            self.claims.append(Claims(self, "spill", lambda: self.parts.asked.get("spill", 0)))
+            self.claims.append(Claims(self, "spill", lambda: self.shares.requested.get("spill", 0)))
         self.life_ms = min(60_000, int(3 * max(told.lease_s, told.beat_s) * 1000))
 
     def now(self) -> float:
@@ -106,15 +106,15 @@
             watcher.tick(period)
         for claims in self.claims:
             claims.tick(now)
-        self.parts.roll(time.time_ns())
-        for ended, spent in self.parts.over:
+        self.shares.start_epoch(time.time_ns())
+        for ended in self.shares.ended:
             log(
                 "budget spent",
-                epoch=ended,
-                spent={name: units for name, (units, _) in spent.items()},
-                wholes={name: whole for name, (_, whole) in spent.items()},
+                epoch=ended.epoch,
+                spent={name: spending.units for name, spending in ended.spent.items()},
+                wholes={name: spending.whole for name, spending in ended.spent.items()},
             )
-        self.parts.over.clear()
+        self.shares.ended.clear()
 
     def _beat(self, period: int) -> None:
         self.beaten.add(period)
--- a/mapleline/net/zones.py
+++ b/mapleline/net/zones.py
@@ -13,7 +13,7 @@
 from ..engine import Engine
 from ..policy.interface import Result
 from ..telemetry import COUNTS, log
-from ..zones import Zones
+from ..zones import ZoneEjection
 from .claims import lost
 from .peers import Peers
 
@@ -42,7 +42,7 @@
         self,
         reactor: Any,
         peers: Peers,
-        zones: Zones,
+        zones: ZoneEjection,
         engine: Engine,
         names: list[str],
         places: Callable[[], dict[int, tuple[int, Any]]],
@@ -75,7 +75,7 @@
 
     def _heard(self, count: float, zone: int) -> None:
         alive = self.peers.view.alive_count(self.peers.now())
-        left = self.zones.heard(zone, int(count), alive, self.clock())
+        left = self.zones.count_reports(zone, int(count), alive, self.clock())
         if left is not None:
             COUNTS["zones.left" if left else "zones.back"] += 1
             log(
--- a/mapleline/policy/health.py
+++ b/mapleline/policy/health.py
@@ -95,7 +95,7 @@
         return sv.answered < at and self.now - at > SILENT * usual
 
     def usable(self, sv: Server, cls: int) -> bool:
-        if self.fleet is not None and self.fleet.room and len(sv.out) >= self.fleet.slots(sv.id, self.now):
+        if self.fleet is not None and self.fleet.limit and len(sv.out) >= self.fleet.slots(sv.id, self.now):
             return False
         if sv.life != READY or self.now < sv.hold or sv.out and (sv.bad > EJECT or self.silent(sv)):
             return False
--- a/mapleline/takeover/__init__.py
+++ b/mapleline/takeover/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes as one ingress while one replaces the other (docs/design/daily-operation.md)."""
+"""Hot restart: two processes as one ingress while one replaces the other (docs/design/daily-operation.md)."""
--- a/mapleline/takeover/slots.py
+++ b/mapleline/takeover/slots.py
@@ -1,4 +1,4 @@
-"""The processes of one ingress find each other by locked files under `$TMPDIR`."""
+"""The processes of one ingress find each other by locked files, one slot each, below a folder such as `$TMPDIR`."""
 
 from __future__ import annotations
 
@@ -7,30 +7,50 @@
 import struct
 import zlib
 
-SLOTS = 4  # processes at once: one that leaves, one that serves, one that starts, one in reserve
-RECORD = struct.Struct("<8sII")  # magic, claim, CRC-32 of both
+SLOTS = 4  #: processes at once: one that leaves, one that serves, one that starts, one in reserve
+RECORD = struct.Struct("<8sII")  #: magic, claim, CRC-32 of both
+CHECKSUM = struct.Struct("<I")
 MAGIC = b"mpl-slot"
 
 
-def pack(claim: int) -> bytes:
-    body = RECORD.pack(MAGIC, claim, 0)[:-4]
-    return body + struct.pack("<I", zlib.crc32(body))
+class NoFreeSlotError(OSError):
+    """As many processes as there are slots run already."""
 
 
-def unpack(data: bytes) -> int | None:
-    """The claim, or None where the record is torn, empty or somebody else's."""
-    if len(data) != RECORD.size or data[:8] != MAGIC:
+def encode_claim(claim: int) -> bytes:
+    """Return the record of a claim, as it stands in a slot's file."""
+    body = RECORD.pack(MAGIC, claim, 0)[: -CHECKSUM.size]
+    return body + CHECKSUM.pack(zlib.crc32(body))
+
+
+def decode_claim(data: bytes) -> int | None:
+    """Return the claim of a record, or None where it is torn, empty or of another program."""
+    if len(data) != RECORD.size or not data.startswith(MAGIC):
         return None
-    _, claim, crc = RECORD.unpack(data)
-    return claim if crc == zlib.crc32(data[:-4]) else None
+    _, claim, checksum = RECORD.unpack(data)
+    return int(claim) if checksum == zlib.crc32(data[: -CHECKSUM.size]) else None
 
 
 class Slots:
-    """This process's slot and those of the others.  Raises OSError where there is none to be had."""
+    """This process's slot, and a look at those of the others.
+
+    Attributes:
+        is_elder: this process was here before any other that holds a slot now.
+    """
 
     def __init__(self, folder: str, name: str) -> None:
-        self._paths = [os.path.join(folder, f"mapleline-{name}.{n}") for n in range(SLOTS)]
-        self._fd = -1
+        """Lock the first free slot of the ingress `name`.
+
+        Raises:
+            NoFreeSlotError: all slots are locked.
+            OSError: the folder cannot be used.
+        """
+        self._paths = [os.path.join(folder, f"mapleline-{name}.{number}") for number in range(SLOTS)]
+        self._path, self._fd = self._lock_free_slot()
+        os.ftruncate(self._fd, 0)  # what a process that is gone left here
+        self.is_elder = not self.others()
+
+    def _lock_free_slot(self) -> tuple[str, int]:
         for path in self._paths:
             fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
             try:
@@ -38,40 +58,40 @@
             except OSError:
                 os.close(fd)
                 continue
-            self._fd, self._path = fd, path
-            os.ftruncate(fd, 0)  # what a process that is gone left here
-            break
-        else:
-            raise OSError(f"{SLOTS} processes at once: no slot is free")
-        #: It was here before any other that holds a slot now.
-        self.elder = not self.others()
+            return path, fd
+        raise NoFreeSlotError(f"{SLOTS} processes at once: no slot is free")
 
     def others(self) -> list[int | None]:
-        """The claims of the other living processes; None for one that cannot be read."""
+        """Return the claims of the other living processes; None for one that cannot be read."""
         found: list[int | None] = []
         for path in self._paths:
             if path != self._path:
-                self._look(path, found)
+                found += self._claims_at(path)
         if not found:
-            self.elder = True
+            self.is_elder = True
         return found
 
     @staticmethod
-    def _look(path: str, found: list[int | None]) -> None:
+    def _claims_at(path: str) -> list[int | None]:
+        """Return the claim in a slot's file, or nothing where no living process holds the slot."""
         try:
             fd = os.open(path, os.O_RDWR | os.O_CLOEXEC | os.O_NOFOLLOW)
         except FileNotFoundError:
-            return
+            return []
         except OSError:
-            found.append(None)
-            return
+            return [None]
         try:
-            fcntl.flock(fd, fcntl.LOCK_SH | fcntl.LOCK_NB)  # free: its process is gone
+            fcntl.flock(fd, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except OSError:
-            found.append(unpack(os.pread(fd, RECORD.size, 0)))
+            return [decode_claim(os.pread(fd, RECORD.size, 0))]
         finally:
             os.close(fd)
+        return []  # nobody holds the lock: its process is gone
 
     def publish(self, claim: int) -> None:
-        """Raises OSError, as where the folder is full; the old claim then stands."""
-        os.pwrite(self._fd, pack(claim), 0)
+        """Write this process's claim to its slot.
+
+        Raises:
+            OSError: the folder is full, for one; the old claim then stands.
+        """
+        os.pwrite(self._fd, encode_claim(claim), 0)
--- a/mapleline/zones/__init__.py
+++ b/mapleline/zones/__init__.py
@@ -1,6 +1,6 @@
-"""Zones left and regained by the fleet as one: evidence, the quorum's verdict, hold-down, tiers (pure)."""
+"""Zones ejected and readmitted by the fleet as one: evidence, quorum, hold-down, tiers (pure)."""
 
-from .tiers import read_tiers
-from .verdict import Zones
+from .ejection import ZoneEjection, ZoneEjectionSettings, ZoneHealth
+from .tiers import TierError, read_tiers
 
-__all__ = ["Zones", "read_tiers"]
+__all__ = ["TierError", "ZoneEjection", "ZoneEjectionSettings", "ZoneHealth", "read_tiers"]
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -7,7 +7,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from mapleline.budgets import Budget, Parts, granted
+from mapleline.budgets import Budget, BudgetShares, granted
+from mapleline.budgets.shares import EndedEpoch, Spending
 from mapleline.settings.own import Budgets
 
 WHOLE, LEASE_S, MARGIN_S = 100.0, 10.0, 0.75
@@ -25,7 +26,7 @@
 @pytest.mark.parametrize("now, epoch_part", [(10.0, 0), (10.74, 0), (10.75, 40), (19.24, 40), (19.25, 0)])
 def test_a_part_is_used_only_inside_its_lease(now, epoch_part):
     budget = Budget("q", WHOLE, LEASE_S, MARGIN_S)
-    budget.answered(1, 40, 40)
+    budget.record_claim(1, 40, 40)
     assert budget.usable(now) == epoch_part
 
 
@@ -41,7 +42,7 @@
     ],
 )
 def test_a_member_wants_its_share_of_the_demands(demand, demands, members, want):
-    assert Budget("q", WHOLE, LEASE_S, MARGIN_S).want(demand, demands, members) == want
+    assert Budget("q", WHOLE, LEASE_S, MARGIN_S).claim_size(demand, demands, members) == want
 
 
 class Claims(RuleBasedStateMachine):
@@ -89,7 +90,7 @@
             return  # it waits in the socket until the member wakes
         self.back.remove((member, epoch, want, total))
         if not lose:
-            self.budgets[member].answered(epoch, want, total)
+            self.budgets[member].record_claim(epoch, want, total)
 
     @rule(seconds=st.sampled_from([0.01, 0.3, 0.74, 1.0, 4.0, 8.0]))
     def time_passes(self, seconds):
@@ -115,8 +116,8 @@
 def test_clocks_apart_by_more_than_twice_the_margin_can_sum_above_the_whole():
     """The bound is real: a clock 2 m ahead uses the next epoch while another still uses this one."""
     early, late = Budget("q", WHOLE, LEASE_S, MARGIN_S), Budget("q", WHOLE, LEASE_S, MARGIN_S)
-    late.answered(10, 60, 60)
-    early.answered(11, 60, 60)
+    late.record_claim(10, 60, 60)
+    early.record_claim(11, 60, 60)
     now = 110.0 - MARGIN_S - 0.01
     assert late.usable(now) + early.usable(now + 2 * MARGIN_S + 0.02) == 120
 
@@ -128,7 +129,7 @@
 def fleet_of(cuts, floor, room=0):
     """Members that hold [cuts[k], cuts[k+1]) of epoch 1: ten seconds, less half a second on each side."""
     members = len(cuts) - 1
-    out = [Parts(me, members, 10 * S, floor, dict(RATES), room) for me in range(members)]
+    out = [BudgetShares(me, members, 10 * S, floor, dict(RATES), room) for me in range(members)]
     for parts, low, high in zip(out, cuts, cuts[1:], strict=False):
         parts.hold(low, high, 10 * S + S // 2, 20 * S - S // 2)
     return out
@@ -168,12 +169,12 @@
     got = [burst(at) for at in (10.4, 11.5, 11.5, 19.4, 19.5, 25)]
     assert got == [0, 25, 0, 197, 0, 0]
     assert alone.take("retries", 25 * S) and alone.take("unheard of", 25 * S)  # not divided
-    alone.roll(20 * S)
-    assert alone.over == [(1, {"calls": [222.0, 500.0]})]
+    alone.start_epoch(20 * S)
+    assert alone.ended == [EndedEpoch(1, {"calls": Spending(222.0, 500.0)})]
 
 
 def test_the_floor_goes_on_without_a_lease_and_by_server():
-    idle = Parts(1, 4, 10 * S, 0.4, {"cold": 20.0})
+    idle = BudgetShares(1, 4, 10 * S, 0.4, {"cold": 20.0})
     got = [
         sum(idle.take("cold", 15 * S, server, size) for _ in range(99))
         for server, size in ((1, 1.0), (2, 0.5), (2, 0.5))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -14,8 +14,8 @@
 from test_management import held_back, serving
 
 from mapleline.takeover import slots as slots_module
-from mapleline.takeover.claims import claim
-from mapleline.takeover.slots import Slots, pack, unpack
+from mapleline.takeover.descriptors import DescriptorUse, descriptor_claim
+from mapleline.takeover.slots import Slots, decode_claim, encode_claim
 
 TOTAL, START = 512, 74
 
@@ -41,7 +41,7 @@
         elif what == "look":
             others = [claims[k] for k in claims if k != who]
             elder = born[who] == min(born.values())
-            claims[who] = claim(TOTAL, START, held[who], elder, who in leaving, others)
+            claims[who] = descriptor_claim(DescriptorUse(TOTAL, START, held[who], elder, who in leaving), others)
             held[who] = min(held[who], claims[who])
         elif what == "take":
             held[who] = max(START, min(amount, claims[who]))
@@ -55,12 +55,12 @@
 
 
 def test_who_is_alone_has_all_but_a_start_and_the_younger_gets_half():
-    assert claim(TOTAL, START, START, True, False, []) == TOTAL - START
-    assert claim(TOTAL, START, START, False, False, [TOTAL - START]) == START
-    assert claim(TOTAL, START, START, True, False, [START]) == TOTAL // 2
-    assert claim(TOTAL, START, 300, True, False, [START]) == 300  # never below what it holds
-    assert claim(TOTAL, START, START, False, False, [TOTAL // 2]) == TOTAL // 2
-    assert claim(TOTAL, START, START + 5, True, True, [TOTAL // 2]) == START + 5
+    assert descriptor_claim(DescriptorUse(TOTAL, START, START, True, False), []) == TOTAL - START
+    assert descriptor_claim(DescriptorUse(TOTAL, START, START, False, False), [TOTAL - START]) == START
+    assert descriptor_claim(DescriptorUse(TOTAL, START, START, True, False), [START]) == TOTAL // 2
+    assert descriptor_claim(DescriptorUse(TOTAL, START, 300, True, False), [START]) == 300  # never below what it holds
+    assert descriptor_claim(DescriptorUse(TOTAL, START, START, False, False), [TOTAL // 2]) == TOTAL // 2
+    assert descriptor_claim(DescriptorUse(TOTAL, START, START + 5, True, True), [TOTAL // 2]) == START + 5
 
 
 # --- slots
@@ -68,25 +68,25 @@
 
 def test_slots_tell_the_living_from_the_dead(tmp_path):
     first = Slots(str(tmp_path), "a")
-    assert first.elder and first.others() == []
+    assert first.is_elder and first.others() == []
     first.publish(100)
     second = Slots(str(tmp_path), "a")
     second.publish(74)
-    assert not second.elder and second.others() == [100] and first.others() == [74]
+    assert not second.is_elder and second.others() == [100] and first.others() == [74]
     assert Slots(str(tmp_path), "b").others() == []  # another ingress
     os.close(second._fd)  # as any death does
     assert first.others() == []
     third = Slots(str(tmp_path), "a")
     os.close(first._fd)
-    assert third.others() == [] and third.elder
+    assert third.others() == [] and third.is_elder
 
 
-@pytest.mark.parametrize("left", [b"", b"x" * 5, pack(99)[:-1], pack(99)[:-1] + b"?", b"\xff" * 4096])
+@pytest.mark.parametrize("left", [b"", b"x" * 5, encode_claim(99)[:-1], encode_claim(99)[:-1] + b"?", b"\xff" * 4096])
 def test_what_lies_in_a_slot_harms_nobody(tmp_path, left):
     path = tmp_path / "mapleline-a.0"
     path.write_bytes(left)
     mine = Slots(str(tmp_path), "a")  # free, whatever stands in it
-    assert mine.elder and path.read_bytes() == b""
+    assert mine.is_elder and path.read_bytes() == b""
     with open(tmp_path / "mapleline-a.1", "wb") as other:  # held, and unreadable
         fcntl.flock(other, fcntl.LOCK_EX)
         other.write(left)
@@ -101,7 +101,7 @@
     with pytest.raises(OSError, match="no slot"):
         Slots(str(tmp_path), "a")
     assert len(held[0].others()) == slots_module.SLOTS - 1
-    assert unpack(pack(7)) == 7 and [unpack(pack(7)[:n]) for n in range(16)] == [None] * 16
+    assert decode_claim(encode_claim(7)) == 7 and [decode_claim(encode_claim(7)[:n]) for n in range(16)] == [None] * 16
 
 
 # --- the program, twice
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,7 +12,7 @@
 from mapleline.faults import checker
 from mapleline.policy import interface as i
 from mapleline.settings import own
-from mapleline.zones import Zones, read_tiers
+from mapleline.zones import ZoneEjection, read_tiers
 
 R = i.Result
 TOLD = own.Zones(enabled=True, evidence_s=1.0, least_tries=3, hold_s=2.0, hold_most_s=8.0, flap_s=30.0)
@@ -85,13 +85,13 @@
     ],
 )
 def test_a_zone_is_failed_when_nothing_came_back_from_it(results, failing):
-    zones = seen(Zones(2, TOLD, BEAT_S), results)
+    zones = seen(ZoneEjection(2, TOLD, BEAT_S), results)
     assert zones.failing(11 * S - MS) == []  # not before the evidence is old enough
     assert zones.failing(11 * S) == failing
 
 
 def test_who_was_cut_off_holds_nothing_against_the_zones_that_come_back_later():
-    zones = seen(Zones(2, TOLD, BEAT_S), {0: [None] * 9, 1: [None] * 9})
+    zones = seen(ZoneEjection(2, TOLD, BEAT_S), {0: [None] * 9, 1: [None] * 9})
     zones.ended(0, R.OK, 15 * S)
     assert zones.failing(15 * S) == []
     seen(zones, {0: [R.OK] * 4, 1: [None] * 4}, at=15 * S)
@@ -102,7 +102,7 @@
     """Counts of one period after another; the verdicts that turned something, by the period's number."""
     turned = []
     for n, count in enumerate(counts):
-        verdict = zones.heard(zone, count, alive, int((at + n * BEAT_S) * S))
+        verdict = zones.count_reports(zone, count, alive, int((at + n * BEAT_S) * S))
         if verdict is not None:
             turned.append((n, verdict))
     return turned
@@ -120,17 +120,17 @@
     ],
 )
 def test_the_fleet_turns_by_a_quorum_and_a_hold(counts, alive, turned):
-    assert hear(Zones(2, TOLD, BEAT_S), counts, alive=alive) == turned
+    assert hear(ZoneEjection(2, TOLD, BEAT_S), counts, alive=alive) == turned
 
 
 def test_the_last_zone_is_never_left():
-    zones = Zones(2, TOLD, BEAT_S)
+    zones = ZoneEjection(2, TOLD, BEAT_S)
     assert hear(zones, [5], zone=0) and not hear(zones, [5, 5], zone=1)
-    assert not hear(Zones(1, TOLD, BEAT_S), [5, 5])
+    assert not hear(ZoneEjection(1, TOLD, BEAT_S), [5, 5])
 
 
 def test_a_zone_that_flaps_is_held_longer_each_time_and_not_for_good():
-    zones, at, away = Zones(2, TOLD, BEAT_S), 100.0, []
+    zones, at, away = ZoneEjection(2, TOLD, BEAT_S), 100.0, []
     for calm_s in (5, 5, 5, 5, 65, 5):
         turned = hear(zones, [3] + [0] * 40, at=at)
         away.append(turned[1][0] * BEAT_S)
@@ -141,15 +141,15 @@
 @trials(max_examples=100, derandomize=True, deadline=None)
 @given(st.lists(st.integers(0, 5), min_size=5, max_size=200))
 def test_a_zone_is_away_for_its_hold_at_least_and_for_the_most_at_last(counts):
-    zones = Zones(3, TOLD, BEAT_S)
+    zones = ZoneEjection(3, TOLD, BEAT_S)
     turned = hear(zones, [*counts, *[0] * 20])
     for (begun, left), (ended, _) in zip(turned, turned[1:], strict=False):
         assert not left or (ended - begun) * BEAT_S >= TOLD.hold_s
-    assert not zones.zones[0].left
+    assert not zones.zones[0].is_ejected
 
 
 def test_a_zone_that_is_left_or_suspected_is_probed():
-    zones = Zones(3, TOLD, BEAT_S)
+    zones = ZoneEjection(3, TOLD, BEAT_S)
     hear(zones, [3], zone=1)
     hear(zones, [1], zone=2)
     assert zones.probes(200 * S) == [0, 1, 2]  # the one nobody doubts to see that this member is not cut off
@@ -157,7 +157,7 @@
     assert zones.probes(200 * S + S // 8) == [2]  # the one that is left once a period
     seen(zones, {2: [R.OK]}, at=200 * S)
     assert zones.probes(200 * S + S // 2) == [1]  # its own eyes tell
-    zones = Zones(2, TOLD, BEAT_S)
+    zones = ZoneEjection(2, TOLD, BEAT_S)
     zones.sent(0, 201 * S)
     assert [zones.probes(201 * S + S // n) for n in (16, 8)] == [[], [0, 1]]
 
@@ -213,7 +213,7 @@
 class Part:
     """A member's parts: so many units of spill."""
 
-    room = 0
+    limit = 0
 
     def __init__(self, spill):
         self.left, self.asked = spill, []
