--- a/mapleline/budgets/claims.py
+++ b/mapleline/budgets/claims.py
@@ -5,9 +5,9 @@
 prefixes of one sum, and never add up to more than the budget, whatever each member believes.
 
 A grant of epoch e is used while the member's own clock reads within [e*T + m, (e+1)*T - m], for a lease of T and a
-clock margin of m seconds: two members whose clocks differ by less than m never use grants of two epochs at one instant.  The
-epoch number is the fencing token: a member that wakes from a stall reads its clock first, and a grant whose epoch has
-ended allows nothing.  Bounds: docs/design/fleet.md.
+clock margin of m seconds: two members whose clocks differ by less than m never use grants of two epochs at one instant.
+The epoch number is the fencing token: a member that wakes from a stall reads its clock first, and a grant whose epoch
+has ended allows nothing.  Bounds: docs/design/fleet.md.
 """
 
 from __future__ import annotations
