--- a/mapleline/zones/ejection.py
+++ b/mapleline/zones/ejection.py
@@ -143,7 +143,7 @@
 
     def hold_s(self, health: ZoneHealth) -> float:
         """Return for how many seconds a zone has to be up before the fleet readmits it."""
-        return min(self.settings.hold_most_s, self.settings.hold_s * 2**health.hold_doublings)
+        return min(self.settings.hold_most_s, self.settings.hold_s * 2.0**health.hold_doublings)
 
     def count_reports(self, zone: int, reports: int, alive: int, now: int) -> bool | None:
         """Take the number of a whole period: `reports` of `alive` members reported the zone failed.
