--- a/mapleline/balancer/configuration_applier.py
+++ b/mapleline/balancer/configuration_applier.py
@@ -32,7 +32,7 @@
         """Put the committed state in force; `before` is the one that it replaces."""
         state = self._control_plane.state
         assert state is not None  # the control plane calls this once there is one
-        self._fence.system = state.system
+        self._fence.system_id = state.system
         if not self._apply_configuration(before, state):
             return
         self._proxy.evacuated_zones = set(state.evacuated)
--- a/mapleline/balancer/control/api.py
+++ b/mapleline/balancer/control/api.py
@@ -15,9 +15,9 @@
 from ..configuration import ConfigurationError
 from ..configuration import read as read_config
 from ..logs import say
-from ..membership.table import FORMED
+from ..membership.member import MemberFlags
 from ..proxy.listener import ClientConnection
-from ..transport.connections import host, number
+from ..transport.addresses import ip_from_int, ip_to_int
 from .audit_log import AuditLog
 from .commands import CONFLICT, DONE, UNSURE, Command, CommandResult, ReplaceConfiguration, SetEvacuation
 from .control_plane import ControlPlane
@@ -108,7 +108,7 @@
                 kept = outcome.status == DONE
                 number = version if isinstance(version, int) else 0
                 control_plane.recall(
-                    control_plane.audit_log.order, control_plane.environment.unix(), key, number, kept, took
+                    control_plane.audit_log.order, control_plane.environment.unix_time(), key, number, kept, took
                 )
             if outcome.status == DONE:
                 client_conn.reply(DONE, b"{}", JSON)
@@ -141,7 +141,7 @@
     def forget(self, client_conn: ClientConnection, address: str) -> None:
         """A machine of the core that is gone for good votes no longer."""
         try:
-            ip = number(address)
+            ip = ip_to_int(address)
         except OSError:
             return client_conn.reply(400, b"no address: " + address.encode())
 
@@ -158,12 +158,12 @@
         if control_plane.audit_log is None:
             others = [
                 m.ip
-                for m in control_plane.membership.alive(control_plane.reactor.seconds(), FORMED)
+                for m in control_plane.membership.alive(control_plane.reactor.seconds(), MemberFlags.CAN_PROPOSE)
                 if m.ip != control_plane.me
             ]
             if not others:
                 return self.unsure(client_conn)
-            to = f"http://{host(control_plane.rng.choice(others))}:{self.settings.listen_addresses.control_addr[1]}{path}"
+            to = f"http://{ip_from_int(control_plane.rng.choice(others))}:{self.settings.listen_addresses.control_addr[1]}{path}"
             return client_conn.reply(307, b"", b"Location: %b\r\n" % to.encode())
 
         def found(answer: Any) -> None:
--- a/mapleline/balancer/control/control_plane.py
+++ b/mapleline/balancer/control/control_plane.py
@@ -10,7 +10,8 @@
 
 from ..environment import Environment
 from ..logs import say
-from ..membership.table import DISK, MembershipTable
+from ..membership.member import MemberFlags
+from ..membership.table import MembershipTable
 from ..settings import Settings
 from ..transport.messages import Accept, Call, FetchedState, FetchState, Prepare, Propose, StateQuery
 from ..transport.messages import StateReport as StateReport
@@ -52,7 +53,7 @@
             rng,
         )
         self.in_force, self.teach, self.give_list, self.take_list = in_force, teach, give_list, take_list
-        self.me, self.audit_log = membership.me.ip, environment.history()
+        self.me, self.audit_log = membership.local_member.ip, environment.audit_log()
         self.committed, self.read_lease = CommittedState(), ReadLease()
         self.replica = LocalReplica(
             reactor, environment, self.me, settings.initial_start, rng, self.committed, self._hold
@@ -103,9 +104,9 @@
         now = self.reactor.seconds()
         asked = set(self.committed.voters())
         if self.replica.store is not None or not asked:
-            asked |= {m.ip for m in self.membership.alive(now, DISK)}
+            asked |= {m.ip for m in self.membership.alive(now, MemberFlags.HAS_DISK)}
         if now - self.current_as_of() > 2 * PROBE_S:
-            others = [m.ip for m in self.membership.alive(now) if not m.disk and m.ip != self.me]
+            others = [m.ip for m in self.membership.alive(now) if not m.has_disk and m.ip != self.me]
             asked |= set(self.rng.sample(others, min(RELAYS, len(others))))
         self.probes = {n: out for n, out in self.probes.items() if now - out[1] < 5}
         for ip in sorted(asked):
@@ -209,8 +210,8 @@
         if self.wanting is None:
             self.wanting = now
         member = self.membership.members.get(ip)
-        known = [m for m in self.membership.alive(now, DISK) if m.ip != self.me]
-        if member is not None and member.disk or not known or now - self.wanting > WANTING_S:
+        known = [m for m in self.membership.alive(now, MemberFlags.HAS_DISK) if m.ip != self.me]
+        if member is not None and member.has_disk or not known or now - self.wanting > WANTING_S:
             self.fetch(ip)
 
     def fetch(self, ip: int, servers: bool = False, state: bool = True, then: Callable[[], None] | None = None) -> None:
@@ -260,9 +261,9 @@
         self.committed.state, self.wanting = state, None
         if before is None or before.epoch != state.epoch:
             self.read_lease.keep(state)
-            self.membership.pinned = set(self.committed.voters())
+            self.membership.retained_ips = set(self.committed.voters())
             for one in state.members():
-                self.membership.know(one.ip, one.zone, DISK)
+                self.membership.add_member(one.ip, one.zone, MemberFlags.HAS_DISK)
             say("archive", "members", epoch=state.epoch, voters=len(state.voters), former=len(state.former))
         self.committed.prune(self.replica.names() | self.proposer.names())
         self.in_force(before)
@@ -270,7 +271,7 @@
             self.teach()
         if self.audit_log is not None:
             for change in self._changes(before, state):
-                self.recall(self.audit_log.keep, self.environment.unix(), *change)
+                self.recall(self.audit_log.keep, self.environment.unix_time(), *change)
 
     def _changes(self, before: State | None, state: State) -> list[tuple[str, int, str, bytes]]:
         found = []
@@ -289,7 +290,7 @@
             reason.trap(OSError)
             say("archive", "history refused", error=reason.getErrorMessage())
 
-        return self.environment.in_thread(work, *with_).addErrback(refused)
+        return self.environment.run_in_thread(work, *with_).addErrback(refused)
 
     def handle_call(self, call: Call) -> Any:
         """A call of another ingress: a reply or a Deferred of one."""
--- a/mapleline/balancer/control/proposer.py
+++ b/mapleline/balancer/control/proposer.py
@@ -11,7 +11,7 @@
 from ..environment import Environment
 from ..logs import say
 from ..settings import Settings
-from ..transport.connections import number
+from ..transport.addresses import ip_to_int
 from ..transport.messages import Accept, Accepted, Call, Chosen, Prepare, Promised, Propose, Proposed
 from .commands import UNSURE, Command, CommandResult, ReplaceConfiguration, batch
 from .committed_state import CommittedState
@@ -155,7 +155,7 @@
             return
         if state is None:
             if self.monitor.may_found(now):
-                self._begin(genesis(number(at) for at, _ in self.settings.seed_nodes), self._found)
+                self._begin(genesis(ip_to_int(at) for at, _ in self.settings.seed_nodes), self._found)
         elif self.replica.is_voter and (
             self.orders
             or self._in_limbo(now)
--- a/mapleline/balancer/control/replica.py
+++ b/mapleline/balancer/control/replica.py
@@ -38,7 +38,7 @@
     ) -> None:
         self.reactor, self.environment, self.me, self.seed, self.rng = reactor, environment, me, seed, rng
         self.committed, self.decided = held, decided
-        self.store = environment.store()
+        self.store = environment.snapshot_store()
         self.acceptor: Acceptor | None = None  #: none until the identity of the disk is lasting
         self.fault: str | None = None  #: why the disk last refused, until it takes something
         self.is_verified = True  #: it has all that it once had, as far as the others know
@@ -147,7 +147,7 @@
         if self.store is None or record.turn <= acceptor.turn and not self.fault:
             return succeed(None).addCallback(synced)
         contents = {name: self.committed.contents[name] for name in named(record) if name in self.committed.contents}
-        return self.environment.in_thread(self.store.save, record, contents).addCallback(synced)
+        return self.environment.run_in_thread(self.store.save, record, contents).addCallback(synced)
 
     def keep(self) -> None:
         """What is held goes to the disk; nothing waits for it."""
@@ -174,7 +174,9 @@
             if name is not None:
                 say("archive", "bad file mended", file=name)
 
-        self.environment.in_thread(self.store.scrub, dict(self.committed.contents)).addCallbacks(scrubbed, self.refused)
+        self.environment.run_in_thread(self.store.scrub, dict(self.committed.contents)).addCallbacks(
+            scrubbed, self.refused
+        )
 
     # -- its part in the agreement -------------------------------------------------------------------------
 
--- a/mapleline/balancer/control/replica_monitor.py
+++ b/mapleline/balancer/control/replica_monitor.py
@@ -5,9 +5,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..membership.table import DISK, FORMED, LEAVING, Member, MembershipTable
+from ..membership.member import Member, MemberFlags
+from ..membership.table import MembershipTable
 from ..settings import Settings
-from ..transport.connections import host
+from ..transport.addresses import ip_from_int
 from .committed_state import CommittedState
 from .reconfiguration import ReplicaStatus, bears, due
 from .replica import LocalReplica
@@ -38,7 +39,7 @@
             held,
             replica,
         )
-        self.current_as_of, self.me, self.started = since, membership.me.ip, reactor.seconds()
+        self.current_as_of, self.me, self.started = since, membership.local_member.ip, reactor.seconds()
         self.losses, self.zones = settings.fault_tolerance.machine_losses, settings.fault_tolerance.zones
         self.lost_s = settings.protocol_bounds.contact_window + settings.protocol_bounds.catch_up
         self.high: dict[tuple[int, int], int] = {}  #: by address and disk: the highest turn that it told
@@ -78,11 +79,11 @@
         voters = set(self.committed.voters())
         able = [
             m
-            for m in self.membership.alive(now, DISK)
-            if m.ip in voters and (self.can_propose if m.ip == self.me else m.flags & FORMED)
+            for m in self.membership.alive(now, MemberFlags.HAS_DISK)
+            if m.ip in voters and (self.can_propose if m.ip == self.me else m.can_propose)
         ]
-        staying = [m for m in able if not m.flags & LEAVING]
-        return sorted(staying or able, key=lambda m: m.place)
+        staying = [m for m in able if not m.is_leaving]
+        return sorted(staying or able, key=lambda m: m.ring_position)
 
     def coordinator(self, now: float) -> int:
         """Who can_propose, so that ballots do not meet: the first of those.  Only a habit: others do no harm."""
@@ -99,8 +100,8 @@
         voters = {(r.ip, r.disk) for r in self.committed.state.voters}
         learners = {
             m.ip
-            for m in self.membership.alive(now, DISK)
-            if m.ip != self.me and not m.flags & LEAVING and (m.ip, self.seen.get(m.ip, (0,))[0]) not in voters
+            for m in self.membership.alive(now, MemberFlags.HAS_DISK)
+            if m.ip != self.me and not m.is_leaving and (m.ip, self.seen.get(m.ip, (0,))[0]) not in voters
         }
         self._learners = {ip: self._learners.get(ip, now) for ip in learners}
         return any(now - since < LEARNER_S for since in self._learners.values())
@@ -114,7 +115,7 @@
         if not self.is_coordinator(now) or now - self.current_as_of() > FRESH_S:
             return None
         known = {r.ip: r for r in state.voters}
-        ips = known.keys() | {m.ip for m in self.membership.alive(now, DISK)}
+        ips = known.keys() | {m.ip for m in self.membership.alive(now, MemberFlags.HAS_DISK)}
         return due(
             state,
             [self._seen(ip, known.get(ip), state, now) for ip in sorted(ips)],
@@ -132,23 +133,23 @@
         fresh = bool(disk) and now - at < FRESH_S and (at >= self._epoch[1] or ip == self.me)
         zone = member.zone if member is not None else voter.zone
         silent = 0.0
-        if member is None or now - member.beat > self.membership.silent_s:
-            silent = now - max(self.started, member.beat if member is not None else 0.0)
+        if member is None or now - member.last_heartbeat > self.membership.failure_timeout_s:
+            silent = now - max(self.started, member.last_heartbeat if member is not None else 0.0)
         whole = fresh and kept > 0 and kept + NEAR >= state.number
-        leaving = member is not None and bool(member.flags & LEAVING)
+        leaving = member is not None and member.is_leaving
         return ReplicaStatus(Replica(ip, disk, zone) if fresh or voter is None else voter, whole, leaving, silent)
 
     def may_found(self, now: float) -> bool:
         """The first core: every zone has shown a machine with a disk, and no other has come for a while.  The first of
         them founds it; the others too if that takes too long.
         """
-        disks = self.membership.alive(now, DISK)
+        disks = self.membership.alive(now, MemberFlags.HAS_DISK)
         if len(disks) != self._disks[0]:
             self._disks = len(disks), now
         if not self.settings.initial_start or not self.settings.seed_nodes or not self.replica.disk or not disks:
             return False
         lived = now - self.started
-        if min(disks, key=lambda m: m.place).ip != self.me and lived < FOUND_MOST_S:
+        if min(disks, key=lambda m: m.ring_position).ip != self.me and lived < FOUND_MOST_S:
             return False
         every_zone = len({m.zone for m in disks}) == len(self.settings.zones)
         known = all(m.ip in self.seen for m in disks if m.ip != self.me)
@@ -159,7 +160,7 @@
         """Who the first core is to be."""
         return [
             Replica(m.ip, self.replica.disk if m.ip == self.me else self.seen[m.ip][0], m.zone)
-            for m in self.membership.alive(now, DISK)
+            for m in self.membership.alive(now, MemberFlags.HAS_DISK)
             if m.ip == self.me or m.ip in self.seen
         ]
 
@@ -181,7 +182,7 @@
     def rows(self) -> list[dict[str, Any]]:
         """Who votes and who does not, as this one knows it."""
         now, state = self.reactor.seconds(), self.committed.state
-        alive = {m.ip: m for m in self.membership.alive(now, DISK)}
+        alive = {m.ip: m for m in self.membership.alive(now, MemberFlags.HAS_DISK)}
         voters = {r.ip: r for r in (state.members() if state is not None else ())}
         rows = []
         for ip in sorted(voters.keys() | alive.keys()):
@@ -189,9 +190,9 @@
             if ip == self.me and self.replica.disk:
                 disk, kept = self.replica.disk, self.replica.acceptor.kept
             part = "voter" if ip in voters and disk in (0, voters[ip].disk) else "learner"
-            if ip in alive and alive[ip].flags & LEAVING:
+            if ip in alive and alive[ip].is_leaving:
                 part = "leaving"
             if ip not in alive and ip != self.me:
                 part = "lost"
-            rows.append({"address": host(ip), "part": part, "kept": kept})
+            rows.append({"address": ip_from_int(ip), "part": part, "kept": kept})
         return rows
--- a/mapleline/balancer/discovery/directory.py
+++ b/mapleline/balancer/discovery/directory.py
@@ -9,10 +9,11 @@
 import msgspec
 
 from ...http1.messages import Request
-from ..membership.table import LEAVING, READY, Member, MembershipTable
+from ..membership.member import Member, MemberFlags
+from ..membership.table import MembershipTable
 from ..proxy.listener import ClientConnection
 from ..settings import Settings
-from ..transport.connections import host
+from ..transport.addresses import ip_from_int
 
 MOST, ENOUGH = 64, 2
 TTL_S = 2.0
@@ -58,7 +59,7 @@
         if path != "/lookup" or request.method != b"GET":
             return client_conn.reply(404, b"no such call")
         asked = parse_qs(query)
-        members = [m for m in self.membership.alive(self.reactor.seconds(), READY) if not m.flags & LEAVING]
+        members = [m for m in self.membership.alive(self.reactor.seconds(), MemberFlags.READY) if not m.is_leaving]
         where = (asked.get(name, [""])[0] for name in ("zone", "region"))
         found = near(members, self.zones, self.settings.zones, *where, self.rng)
         if not found or not self.in_touch() or self.settings.listen_addresses.front_addr is None:
@@ -67,5 +68,5 @@
         if len(found) > MOST:
             found = self.rng.sample(found, MOST)
         ttl = min(TTL_S, self.settings.protocol_bounds.ttl_max)
-        body = {"address_list": [f"{host(m.ip)}:{port}" for m in found], "ttl": f"{ttl:g}s"}
+        body = {"address_list": [f"{ip_from_int(m.ip)}:{port}" for m in found], "ttl": f"{ttl:g}s"}
         client_conn.reply(200, msgspec.json.encode(body), b"Content-Type: application/json\r\n")
--- a/mapleline/balancer/discovery/endpoint_poller.py
+++ b/mapleline/balancer/discovery/endpoint_poller.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from ..membership.leadership import Leadership, first
-from ..membership.table import LEAVING, Member
+from ..membership.leadership import Leadership, choose_successor
+from ..membership.member import Member
 from ..transport.messages import Vote, VoteRequest
 from .platform_client import EVERY_S, FIRST_S, STALE_S
 
@@ -44,7 +44,7 @@
     ) -> None:
         """`fetch` starts one retrieval of the list from the platform, unless one is under way."""
         self._context = context
-        self._my_ip = context.membership.me.ip
+        self._my_ip = context.membership.local_member.ip
         self._endpoints = endpoints
         self._leadership = leadership
         self._electorate = electorate
@@ -68,11 +68,11 @@
     def stop(self) -> None:
         """End polling, and hand the leadership on if it lies here."""
         self._is_stopped = True
-        self._leadership.hand_on(first(self._candidates(self._context.now())))
+        self._leadership.transfer_leadership(choose_successor(self._candidates(self._context.now())))
 
     def handle_vote_request(self, ip: int, request: VoteRequest) -> None:
         """Vote for the candidate if the leader is missing here as well."""
-        if self._leadership.vote(request.term, self._is_leader_missing(self._context.now())):
+        if self._leadership.grant_vote(request.term, self._is_leader_missing(self._context.now())):
             self._context.send(ip, Vote(request.term))
 
     def receive_vote(self, ip: int, vote: Vote) -> None:
@@ -81,7 +81,7 @@
 
     def _count_vote(self, ip: int, term: int) -> None:
         """With a majority this node is the leader, and polls at once."""
-        if self._leadership.granted(term, ip, self._electorate.addresses()):
+        if self._leadership.receive_vote(term, ip, self._electorate.addresses()):
             logger.info("elected leader of endpoint polling", extra={"term": term})
             self._fetch()
 
@@ -89,26 +89,27 @@
         return now - self._context.started_at
 
     def _candidates(self, now: float) -> list[Member]:
-        return [member for member in self._context.membership.alive(now) if not member.flags & LEAVING]
+        return [member for member in self._context.membership.alive(now) if not member.is_leaving]
 
     def _is_leader_missing(self, now: float) -> bool:
-        return self._leadership.holder not in {member.ip for member in self._candidates(now)}
+        return self._leadership.leader_ip not in {member.ip for member in self._candidates(now)}
 
     def _update_leadership(self, now: float, candidates: list[Member]) -> None:
         """Stand for election if the leader is missing and this node is next, or hand on to a better candidate."""
-        is_next = first(candidates) == self._my_ip
+        is_next = choose_successor(candidates) == self._my_ip
         is_electorate_known = self._electorate.is_committed() or self._uptime(now) > NO_VOTERS_AFTER_S
         if is_next and is_electorate_known and self._is_leader_missing(now):
             self._request_votes()
-        elif self._leadership.mine and not is_next:
-            self._leadership.hand_on(first(candidates))  # replicas first: all nodes fetch the list from the leader
+        elif self._leadership.is_leader and not is_next:
+            # replicas first: all nodes fetch the list from the leader
+            self._leadership.transfer_leadership(choose_successor(candidates))
 
     def _request_votes(self) -> None:
-        term = self._leadership.claim()
+        term = self._leadership.start_election()
         for ip in self._electorate.addresses():
             if ip != self._my_ip:
                 self._context.send(ip, VoteRequest(term))
-            elif self._leadership.vote(term, True):
+            elif self._leadership.grant_vote(term, True):
                 self._count_vote(ip, term)
 
     def _is_polling_due(self, now: float, candidates: list[Member]) -> bool:
@@ -120,10 +121,10 @@
             and self._context.rng.random() < FALLBACK_POLLERS / (1 + len(candidates))
         )
         is_second = list_age_s > SECOND_CANDIDATE_AFTER_S and self._is_second(candidates)
-        is_next = first(candidates) == self._my_ip
-        return self._leadership.mine or is_next or is_second or is_fallback
+        is_next = choose_successor(candidates) == self._my_ip
+        return self._leadership.is_leader or is_next or is_second or is_fallback
 
     def _is_second(self, candidates: list[Member]) -> bool:
         """Return whether this node is the best candidate beside the leader."""
-        others = (member for member in candidates if member.ip != self._leadership.holder)
-        return first(others) == self._my_ip
+        others = (member for member in candidates if member.ip != self._leadership.leader_ip)
+        return choose_successor(others) == self._my_ip
--- a/mapleline/balancer/environment.py
+++ b/mapleline/balancer/environment.py
@@ -1,74 +1,56 @@
 """What one process has of the outside: sockets, threads, a disk and the time of day.
 
-The laboratory puts its own in their place (`lab/world.py`), so that whole nodes play on a clock of their own.
+`process_environment` implements it for a real process; the simulation implements it with virtual ones, so that whole
+nodes run on a clock of their own.
 """
 
 from __future__ import annotations
 
-import time
 from collections.abc import Callable
-from typing import Any
-
-from twisted.internet.defer import Deferred
-from twisted.internet.threads import deferToThread
-
-from ..http1.buffers import BufferPool
-from .control.audit_log import AuditLog
-from .control.snapshot import Snapshot, Store
-from .discovery.endpoints import EndpointList
-from .discovery.platform_client import PlatformClient
-from .proxy.upstream import UpstreamPool
-from .settings import Settings
-from .transport import connections, messages
-from .transport.fencing import Fence
-
-HISTORY_PART = (1 << 20) // 8  # of the disk
-
-
-class Environment:
-    """Those of a real process."""
-
-    def __init__(self, reactor: Any, settings: Settings) -> None:
-        self.reactor, self.settings = reactor, settings
-        self.port = settings.internal_port_range[0]
-        self._datagrams: connections.Datagrams | None = None
-        self._fence: Fence | None = None
-
-    def open(
-        self, fence: Fence, told: Callable[[int, messages.Datagram], None], called: Callable[[messages.Call], Any]
-    ) -> None:
-        """Listen to the other ingresses; `fence` says what of theirs is believed."""
-        self._fence = fence
-        self._datagrams = connections.Datagrams(self.port, fence, told)
-        self.reactor.listenUDP(self.port, self._datagrams, interface=self.settings.ip_address, maxPacketSize=65536)
-        self.reactor.listenTCP(self.port, connections.AnswerFactory(fence, called), interface=self.settings.ip_address)
+from typing import TYPE_CHECKING, Protocol, TypeVar
+
+if TYPE_CHECKING:
+    from twisted.internet.defer import Deferred
+
+    from ..http1.buffers import BufferPool
+    from .control.audit_log import AuditLog
+    from .control.snapshot import Store
+    from .discovery.endpoints import EndpointList
+    from .discovery.platform_client import PlatformClient
+    from .proxy.upstream import UpstreamPool
+    from .transport import messages
+    from .transport.connections import CallHandler, DatagramHandler
+    from .transport.fencing import Fence
+
+Result = TypeVar("Result")
+
+
+class Environment(Protocol):
+    """The outside of one process."""
+
+    def listen(self, fence: Fence, on_datagram: DatagramHandler, on_call: CallHandler) -> None:
+        """Receive what other ingresses send; the fence decides what of it reaches the handlers."""
 
     def send(self, ip: int, message: messages.Datagram) -> None:
-        """May be lost on its way."""
-        if self._datagrams is not None:
-            self._datagrams.send(ip, message)
+        """Send a datagram to an ingress; it may be lost on its way."""
 
-    def call(self, ip: int, message: messages.Call, timeout_s: float) -> Deferred:
-        """Fires with the reply, or fails."""
-        return connections.call(self.reactor, ip, self.port, self._fence, message, timeout_s)
+    def call(self, ip: int, message: messages.Call, timeout_s: float) -> Deferred[messages.Reply]:
+        """Call an ingress; the result fires with the reply, or with why there is none within the time-out."""
 
-    def in_thread(self, work: Callable[..., Any], *with_: Any) -> Deferred:
-        """For what waits on the disk."""
-        return deferToThread(work, *with_)
+    def run_in_thread(self, work: Callable[..., Result], *args: object) -> Deferred[Result]:
+        """Run what waits for the disk in a thread; the result fires in the reactor's."""
 
-    def unix(self) -> float:
-        """The time of day, in seconds; it may step, and differ from others'."""
-        return time.time()
+    def unix_time(self) -> float:
+        """Return the time of day in seconds since 1970; it may step, and differ from other machines'."""
 
-    def store(self) -> Store | None:
-        return Snapshot(self.settings.data_directory) if self.settings.data_directory else None
+    def snapshot_store(self) -> Store | None:
+        """Return the store of the control state; None without a disk."""
 
-    def history(self) -> AuditLog | None:
-        most = self.settings.limits.disk_mb * HISTORY_PART
-        return AuditLog(self.settings.data_directory, most) if self.settings.data_directory else None
+    def audit_log(self) -> AuditLog | None:
+        """Return the audit log of commands; None where none is kept."""
 
-    def servers(self, pool: BufferPool) -> UpstreamPool:
-        return UpstreamPool(self.reactor, pool)
+    def upstream_pool(self, pool: BufferPool) -> UpstreamPool:
+        """Return the connections to the servers; their buffers are taken from the pool."""
 
-    def platform(self, endpoints: EndpointList, listed: Callable[[bool], None]) -> PlatformClient:
-        return PlatformClient(self.reactor, self.settings, endpoints, listed)
+    def platform_client(self, endpoints: EndpointList, on_listed: Callable[[bool], None]) -> PlatformClient:
+        """Return the client that fetches the endpoint list; the callback gets whether a new list differs."""
--- a/mapleline/balancer/heartbeats.py
+++ b/mapleline/balancer/heartbeats.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from .membership.table import DISK
-from .transport import connections
+from .membership.member import MemberFlags
+from .transport.addresses import ip_to_int
 from .transport.messages import Heartbeat
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
     from .control.control_plane import ControlPlane
     from .discovery.endpoints import EndpointList
     from .membership.leadership import Leadership
-    from .membership.table import Member
+    from .membership.member import Member
     from .topology import Topology
 
 HEARTBEAT_INTERVAL_S = 0.5
@@ -60,13 +60,13 @@
         """Return a heartbeat that reports what is known here now."""
         now = self._context.now()
         return Heartbeat(
-            self._membership.rows(now),
+            self._membership.encode(now),
             self._control_plane.committed.number,
             self._endpoints.digest,
             self._endpoints.age_ms(now),
             is_reply_wanted,
             self._leadership.term,
-            self._leadership.holder,
+            self._leadership.leader_ip,
         )
 
     def run(self) -> None:
@@ -78,21 +78,21 @@
         live_count = len(self._membership.alive(now))
         heartbeat = self.make_heartbeat()
         is_remote_due = self._sequence % REMOTE_EVERY == 0
-        for ip in self._membership.watchers(now, self._local_zones, self._sequence, is_remote_due):
+        for ip in self._membership.heartbeat_targets(now, self._local_zones, self._sequence, is_remote_due):
             self._context.send(ip, heartbeat)
         if live_count < FEW_MEMBERS or self._sequence % REJOIN_EVERY == 0:
             self._contact_missing(now, live_count)
 
     def refresh_own_row(self, now: float) -> None:
         """Count one more heartbeat of this node, with its present flags."""
-        self._membership.tick(now, self._member_flags())
+        self._membership.record_heartbeat(now, self._member_flags())
 
     def _contact_missing(self, now: float, live_count: int) -> None:
         """Ask seeds and members that were not heard of lately for a reply."""
-        candidates = {connections.number(host) for host, _ in self.seed_nodes} | set(self._membership.missing(now))
+        candidates = {ip_to_int(host) for host, _ in self.seed_nodes} | set(self._membership.unreachable_ips(now))
         if live_count >= FEW_MEMBERS and candidates:
             candidates = {self._context.rng.choice(sorted(candidates))}
-        for ip in sorted(candidates - {self._membership.me.ip}):
+        for ip in sorted(candidates - {self._membership.local_member.ip}):
             self._context.send(ip, self.make_heartbeat(is_reply_wanted=True))
 
     def broadcast(self) -> None:
@@ -101,7 +101,7 @@
         self.refresh_own_row(now)
         heartbeat = self.make_heartbeat()
         for member in self._membership.alive(now):
-            if member.ip != self._membership.me.ip:
+            if member.ip != self._membership.local_member.ip:
                 self._context.send(member.ip, heartbeat)
 
     def notify_assigned_nodes(self) -> None:
@@ -110,17 +110,17 @@
         The replicas share out the other nodes among them, so that each node fetches the state over a short link.
         """
         now = self._context.now()
-        replicas = self._membership.alive(now, DISK)
+        replicas = self._membership.alive(now, MemberFlags.HAS_DISK)
         heartbeat = self.make_heartbeat()
         for member in self._membership.alive(now):
-            if not member.disk and self._nearest_replica(member, replicas) == self._membership.me.ip:
+            if not member.has_disk and self._nearest_replica(member, replicas) == self._membership.local_member.ip:
                 self._context.send(member.ip, heartbeat)
 
     def _nearest_replica(self, member: Member, replicas: list[Member]) -> int:
         nearest = min(
             replicas,
             key=lambda replica: self._topology.distance(replica, member),
-            default=self._membership.me,
+            default=self._membership.local_member,
         )
         return nearest.ip
 
@@ -130,10 +130,10 @@
         has_new_member = self._membership.merge(now, heartbeat.rows)
         if heartbeat.reply or has_new_member and self._sequence > 0:
             self._context.send(ip, self.make_heartbeat())
-        if self._membership.overtaken(ip, heartbeat.rows):
+        if self._membership.is_superseded(ip, heartbeat.rows):
             return  # a newer one of this sender is known: this one's endpoint list would seem fresher than it is
         self._control_plane.handle_advertised_number(ip, heartbeat.number, now)
-        self._leadership.told(heartbeat.term, heartbeat.holder)
+        self._leadership.observe_leader(heartbeat.term, heartbeat.holder)
         self._compare_endpoint_list(ip, heartbeat, now)
 
     def _compare_endpoint_list(self, ip: int, heartbeat: Heartbeat, now: float) -> None:
@@ -142,6 +142,6 @@
         if not heartbeat.list_digest or now - list_age_s <= self._endpoints.fetched + LIST_AGE_TOLERANCE_S:
             return
         if heartbeat.list_digest == self._endpoints.digest:
-            self._endpoints.same_at(self._membership.told_at - list_age_s, heartbeat.list_digest)
+            self._endpoints.same_at(self._membership.last_merge_sent_at - list_age_s, heartbeat.list_digest)
         else:
             self._control_plane.fetch(ip, servers=True, state=False)
--- a/mapleline/balancer/housekeeping.py
+++ b/mapleline/balancer/housekeeping.py
@@ -53,7 +53,7 @@
             list(self._proxy.targets.values()), now, self._max_idle_connections()
         )
         self._reload_settings()
-        refused = self._fence.news()
+        refused = self._fence.new_drops()
         if refused:
             logger.info("messages refused", extra=refused)
 
--- a/mapleline/balancer/load_reporter.py
+++ b/mapleline/balancer/load_reporter.py
@@ -31,8 +31,8 @@
         load = self._proxy.next_load_report()
         if load is None:
             return
-        report = LoadReport(load.out, load.sick, self._fence.turn())
+        report = LoadReport(load.out, load.sick, self._fence.next_sequence())
         membership = self._context.membership
         for member in membership.alive(self._context.now()):
-            if member.ip != membership.me.ip and self._topology.is_local(member):
+            if member.ip != membership.local_member.ip and self._topology.is_local(member):
                 self._context.send(member.ip, report)
--- /dev/null
+++ b/mapleline/balancer/membership/heartbeat_codec.py
@@ -0,0 +1,56 @@
+"""The membership table as bytes, as heartbeats carry it: one row of 16 bytes a member, the sender's own first."""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Iterable, Iterator
+from typing import NamedTuple
+
+from .member import Member
+
+_ROW_FORMAT = struct.Struct("<IIIBBH")
+_AGE_UNITS_PER_S = 100  # ages travel in units of 10 ms
+MAX_AGE = 0xFFFF  #: the age of a row whose newest heartbeat is 655 s old or more, or was never seen; units of 10 ms
+
+
+class MemberRow(NamedTuple):
+    """One member on the wire; the fields are in the order of the bytes."""
+
+    ip: int
+    incarnation: int
+    heartbeat_count: int
+    zone: int
+    flags: int  #: bits of `MemberFlags`
+    age: int  #: of the newest heartbeat, in units of 10 ms, at most `MAX_AGE`
+
+    @property
+    def age_s(self) -> float:
+        """The age of the newest heartbeat in seconds."""
+        return self.age / _AGE_UNITS_PER_S
+
+
+def encode_rows(members: Iterable[Member], now: float) -> bytes:
+    """Return the rows of these members, in their order, with ages as of `now`."""
+    rows = []
+    for member in members:
+        age = min(MAX_AGE, max(0, int((now - member.last_heartbeat) * _AGE_UNITS_PER_S)))
+        rows.append(
+            _ROW_FORMAT.pack(member.ip, member.incarnation, member.heartbeat_count, member.zone, member.flags, age)
+        )
+    return b"".join(rows)
+
+
+def decode_rows(data: bytes) -> Iterator[MemberRow]:
+    """Return the rows in their order.
+
+    Raises:
+        struct.error: The length is no multiple of a row's.
+    """
+    return map(MemberRow._make, _ROW_FORMAT.iter_unpack(data))
+
+
+def decode_first_row(data: bytes) -> MemberRow | None:
+    """Return the sender's own row; None where there is none."""
+    if len(data) < _ROW_FORMAT.size:
+        return None
+    return MemberRow._make(_ROW_FORMAT.unpack_from(data))
--- a/mapleline/balancer/membership/leadership.py
+++ b/mapleline/balancer/membership/leadership.py
@@ -1,64 +1,83 @@
-"""Duties that one ingress does: its holder names the next, or a majority of the core does once it is lost (pure).
+"""Leader election for one singleton role, here: who fetches the endpoint list from the platform (pure).
 
-Terms only climb; of two holders of one term (a voter that lost its memory) the higher address is the one, so that
-beats alone make all agree.  What a double does until then is bounded by the duty: two ask the platform.
+A leader that shuts down names its successor; one that is lost is replaced by whoever gets the votes of more than half
+of the voters, one vote a voter and term, as in Raft (Ongaro and Ousterhout, 2014).  Term and leader travel with each
+heartbeat.  Terms only rise; of two leaders of one term (a voter lost its memory) the higher address wins, so that
+heartbeats alone make all agree.  Until then two may lead; the role bears that: both ask the platform
+(docs/design/system.md).
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Collection, Iterable
 
-from .table import Member
+from .member import Member
 
+NO_LEADER = 0  #: in the place of an address
 
-def first(able: Iterable[Member]) -> int:
-    """Who is to have a duty next, of those that can: the core first, then by the ring; 0 if there is none."""
-    return min(able, key=lambda m: (not m.disk, m.place), default=Member(0, 0, 0)).ip
+
+def choose_successor(candidates: Iterable[Member]) -> int:
+    """Return the address of the next leader: members with a disk first, then by ring position; 0 if there is none."""
+    successor = min(candidates, key=lambda member: (not member.has_disk, member.ring_position), default=None)
+    return successor.ip if successor is not None else NO_LEADER
 
 
 class Leadership:
-    """One ingress's knowledge of who has a duty, and its vote."""
+    """One ingress's knowledge of the leader, its vote, and its own candidacy.
+
+    Attributes:
+        term: The highest term with a known leader.
+        leader_ip: The leader of that term; `NO_LEADER` until one is known.
+    """
 
-    def __init__(self, me: int) -> None:
-        self.me = me
-        self.term, self.holder = 0, 0
-        self.promised = 0  #: the highest term that was voted for here
-        self._asked, self._votes = 0, set()  #: our own claim, and who granted it
+    def __init__(self, local_ip: int) -> None:
+        """Start without a leader."""
+        self.term = 0
+        self.leader_ip = NO_LEADER
+        self._local_ip = local_ip
+        self._voted_term = 0  #: the highest term for which this ingress has voted
+        self._candidate_term = 0  #: the term of the last election that this ingress started
+        self._votes: set[int] = set()  #: who voted for it then
 
     @property
-    def mine(self) -> bool:
-        return self.holder == self.me
+    def is_leader(self) -> bool:
+        """Whether this ingress is the leader, as far as it knows."""
+        return self.leader_ip == self._local_ip
 
-    def told(self, term: int, holder: int) -> bool:
-        """As another knows it; says whether that was news."""
-        if (term, holder) <= (self.term, self.holder):
+    def observe_leader(self, term: int, leader_ip: int) -> bool:
+        """Take the leader that another ingress knows, if it is newer; return whether it is."""
+        if (term, leader_ip) <= (self.term, self.leader_ip):
             return False
-        self.term, self.holder = term, holder
+        self.term = term
+        self.leader_ip = leader_ip
         return True
 
-    def hand_on(self, to: int) -> None:
-        """The holder leaves, and names the next; nothing if there is none."""
-        if self.mine and to:
-            self.term, self.holder = self.term + 1, to
+    def transfer_leadership(self, successor_ip: int) -> None:
+        """Name the successor in a new term; does nothing on who is not the leader, or where there is no successor."""
+        if self.is_leader and successor_ip != NO_LEADER:
+            self.term += 1
+            self.leader_ip = successor_ip
 
-    def claim(self) -> int:
-        """The holder is lost: the term to ask the core's votes for."""
-        self._asked, self._votes = max(self.term, self.promised, self._asked) + 1, set()
-        return self._asked
+    def start_election(self) -> int:
+        """The leader is lost: return the new term for which the voters are to be asked."""
+        self._candidate_term = max(self.term, self._voted_term, self._candidate_term) + 1
+        self._votes = set()
+        return self._candidate_term
 
-    def vote(self, term: int, lost: bool) -> bool:
-        """Whether this one grants that claim: one for each term, and only where it misses the holder as well."""
-        if not lost or term <= max(self.term, self.promised):
+    def grant_vote(self, term: int, is_leader_lost: bool) -> bool:
+        """Return whether this ingress votes for a candidate: once a term, and only where it misses the leader too."""
+        if not is_leader_lost or term <= max(self.term, self._voted_term):
             return False
-        self.promised = term
+        self._voted_term = term
         return True
 
-    def granted(self, term: int, by: int, voters: list[int]) -> bool:
-        """A vote has come; says whether the duty is now ours."""
-        if term != self._asked or by not in voters or term <= self.term:
+    def receive_vote(self, term: int, voter_ip: int, voters: Collection[int]) -> bool:
+        """Count a vote for this ingress; return whether it has just become the leader."""
+        if term != self._candidate_term or voter_ip not in voters or term <= self.term:
             return False
-        self._votes.add(by)
+        self._votes.add(voter_ip)
         if len(self._votes & set(voters)) <= len(voters) // 2:
             return False
-        self.term, self.holder = term, self.me
+        self.term = term
+        self.leader_ip = self._local_ip
         return True
--- a/mapleline/balancer/membership/table.py
+++ b/mapleline/balancer/membership/table.py
@@ -1,180 +1,210 @@
-"""Which ingresses exist: counts of heartbeats that travel round a ring (pure; time is an argument).
+"""The membership table: which ingresses exist, in which incarnation, and when each was last heard of.
 
-Each ingress counts its own beats and sends its whole table to a few watchers, named by its place on the ring.
-A row is known by the address, carries an incarnation (a restart is another) and the age of the newest beat, so
-that news that came by detours is as old as it is.  Rows of the voters stay.
+A heartbeat-style gossip (van Renesse et al., "A gossip-style failure detection service", 1998) with incarnations as in
+SWIM (Das et al., 2002).  Each ingress counts its own heartbeats and sends its whole table along a ring
+(`heartbeat_ring`).  A row counts only with a higher (incarnation, heartbeat count), and carries the age of the newest
+heartbeat, so that what came by detours is as old as it is.  Pure: times are arguments, in seconds of a steady clock.
 """
 
 from __future__ import annotations
 
-import struct
-from dataclasses import dataclass
 from math import log2
-from zlib import crc32
 
-ROW = struct.Struct("<IIIBBH")  # address, incarnation, count, zone, flags, age in 10 ms
-READY, LEAVING, DISK, FORMED = 1, 2, 4, 8
-OLD = 0xFFFF
-FORGET_S = 60.0
-BEATS_KNOWN = 200
-MISSED = 2.75  # beats
-TOP = 0xFFFFFFFF
-STRANGERS = 256  # no members yet, whose incarnation is known nevertheless
+from .heartbeat_codec import MAX_AGE, MemberRow, decode_first_row, decode_rows, encode_rows
+from .heartbeat_ring import heartbeat_targets
+from .incarnations import UnlistedIncarnations
+from .member import NEVER, Member, MemberFlags
 
-
-@dataclass(slots=True)
-class Member:
-    """One ingress as it is known here."""
-
-    ip: int
-    zone: int
-    flags: int
-    incarnation: int = 0
-    count: int = 0
-    beat: float = -1e9  #: when its newest known beat was sent, on this ingress's clock
-
-    @property
-    def disk(self) -> bool:
-        return bool(self.flags & DISK)
-
-    @property
-    def place(self) -> int:
-        """On the ring; the same everywhere."""
-        return crc32(self.ip.to_bytes(4, "big"))
+FORGET_AFTER_S = 60.0  #: without a heartbeat, unless the member is retained
+MISSED_HEARTBEATS = 2.75  #: that may be lost before a member counts as failed, beside those its news takes on the ring
+OWN_HEARTBEATS_KEPT = 200  #: whose times are remembered: 100 s, more than any datagram that is believed can be late
+MAX_INCARNATION = 0xFFFFFFFF  #: 32 bits on the wire
+_KEPT_BY_A_RESTART = int(MemberFlags.HAS_DISK | MemberFlags.CAN_PROPOSE)
+_HAS_DISK = int(MemberFlags.HAS_DISK)
 
 
 class MembershipTable:
-    """The table of one ingress."""
-
-    def __init__(self, me: Member, beat_s: float) -> None:
-        self.me, self.beat_s = me, beat_s
-        self.members: dict[int, Member] = {me.ip: me}
-        self.pinned: set[int] = set()  #: who is not forgotten: the voters
-        self.strangers: dict[int, int] = {}  #: incarnations of who has sent something and is in no table yet
-        self.beats: dict[int, float] = {}  #: when each of our own newest was made, by count
-        self.told_at = -1e9  #: the table that was merged last is no older than this
+    """The table of one ingress.
+
+    Attributes:
+        local_member: This ingress's own row.
+        members: All known ingresses by address, this one included.
+        retained_ips: Members that are never forgotten: the voters.
+        last_merge_sent_at: The table that was merged last was sent at this time or later.
+    """
+
+    def __init__(self, local_member: Member, heartbeat_interval_s: float) -> None:
+        """Start with the own row alone."""
+        self.local_member = local_member
+        self.heartbeat_interval_s = heartbeat_interval_s
+        self.members: dict[int, Member] = {local_member.ip: local_member}
+        self.retained_ips: set[int] = set()
+        self.last_merge_sent_at = NEVER
+        self._unlisted = UnlistedIncarnations()
+        self._own_heartbeat_times: dict[int, float] = {}
 
     @property
-    def silent_s(self) -> float:
-        """After which it is taken for lost: the beats that its newest is on its way, and some that got lost."""
-        return self.beat_s * (MISSED + log2(max(2, len(self.members))) / 2)
+    def failure_timeout_s(self) -> float:
+        """Without a heartbeat for so long, a member counts as failed.
+
+        News takes about log2(n) heartbeats, half of that on average, and some of them may be lost.
+        """
+        return self.heartbeat_interval_s * (MISSED_HEARTBEATS + log2(max(2, len(self.members))) / 2)
 
-    def know(self, ip: int, zone: int, flags: int) -> None:
-        """A member from an earlier life's record: not alive until it is heard of."""
+    def add_member(self, ip: int, zone: int, flags: int) -> None:
+        """Add a member that a record on the disk names; it is not alive until a heartbeat of it is known."""
         self.members.setdefault(ip, Member(ip, zone, flags))
 
     # -- incarnations --------------------------------------------------------------------------------------
 
     def incarnation(self, ip: int) -> int:
-        """The newest one known of an ingress, 0 if none is."""
-        m = self.members.get(ip)
-        return m.incarnation if m is not None else self.strangers.get(ip, 0)
+        """Return the newest known incarnation of an ingress, 0 if none is known."""
+        member = self.members.get(ip)
+        return member.incarnation if member is not None else self._unlisted.get(ip)
 
-    def life(self, ip: int) -> int:
-        """One number for an ingress in its newest known life: address and incarnation."""
+    def session_key(self, ip: int) -> int:
+        """Return one number, 64 bits, for an ingress in its newest known incarnation."""
         return ip << 32 | self.incarnation(ip)
 
-    def learn(self, ip: int, incarnation: int) -> None:
-        """It has sent something in that life.  Of a new one no beat has come yet: it is neither ready nor leaving by
-        what the earlier one said.
+    def observe_incarnation(self, ip: int, incarnation: int) -> None:
+        """Note that an ingress has sent something in this incarnation.
+
+        No heartbeat of a new one is known yet: it is neither ready nor leaving by what the earlier one said.
         """
-        m = self.members.get(ip)
-        if m is None:
-            if ip not in self.strangers and len(self.strangers) >= STRANGERS:
-                del self.strangers[next(iter(self.strangers))]
-            self.strangers[ip] = max(incarnation, self.strangers.get(ip, 0))
-        elif incarnation > m.incarnation and m is not self.me:
-            m.incarnation, m.count, m.flags = incarnation, 0, m.flags & (DISK | FORMED)
-
-    def outdo(self, incarnation: int, count: int = 0) -> None:
-        """Another has seen that life of ours.  A clock set back must not make this one the older; and of this one
-        nobody can know a later beat than we have sent.
+        member = self.members.get(ip)
+        if member is None:
+            self._unlisted.observe(ip, incarnation)
+        elif incarnation > member.incarnation and member is not self.local_member:
+            member.incarnation = incarnation
+            member.heartbeat_count = 0
+            member.flags &= _KEPT_BY_A_RESTART
+
+    def refute(self, incarnation: int, heartbeat_count: int = 0) -> None:
+        """Raise the own incarnation above one that another ingress has seen of this address, if that is the newer.
+
+        A clock set back must not make this process the older one; and nobody can know a later heartbeat of this
+        incarnation than was sent.
         """
-        if (incarnation, count) > (self.me.incarnation, self.me.count):
-            self.me.incarnation = min(TOP, incarnation + 1)
+        local = self.local_member
+        if (incarnation, heartbeat_count) > (local.incarnation, local.heartbeat_count):
+            local.incarnation = min(MAX_INCARNATION, incarnation + 1)
+
+    # -- heartbeats ----------------------------------------------------------------------------------------
+
+    def record_heartbeat(self, now: float, flags: int) -> None:
+        """Count a heartbeat of this ingress, with what it says of itself; forget members that are gone for long."""
+        local = self.local_member
+        local.heartbeat_count += 1
+        local.last_heartbeat = now
+        local.flags = int(flags)
+        self._own_heartbeat_times[local.heartbeat_count] = now
+        self._own_heartbeat_times.pop(local.heartbeat_count - OWN_HEARTBEATS_KEPT, None)
+        self._forget_failed_members(now)
+
+    def _forget_failed_members(self, now: float) -> None:
+        for ip, member in list(self.members.items()):
+            is_kept = ip in self.retained_ips or member is self.local_member
+            if not is_kept and now - member.last_heartbeat > FORGET_AFTER_S:
+                del self.members[ip]
 
-    # -- beats ---------------------------------------------------------------------------------------------
+    def encode(self, now: float) -> bytes:
+        """Return the whole table as a heartbeat carries it, the own row first."""
+        return encode_rows(self.members.values(), now)
 
-    def overtaken(self, ip: int, rows: bytes) -> bool:
-        """Whether a newer beat of its sender is known than the one that this table came with."""
-        m = self.members.get(ip)
-        if m is None or len(rows) < ROW.size:
+    def is_superseded(self, sender_ip: int, rows: bytes) -> bool:
+        """Return whether a newer heartbeat of the sender is known than the one that carried this table."""
+        member = self.members.get(sender_ip)
+        row = decode_first_row(rows)
+        if member is None or row is None or row.ip != sender_ip:
             return False
-        sender, incarnation, count, *_ = ROW.unpack_from(rows)  # the sender's own row is the first
-        return sender == ip and (incarnation, count) < (m.incarnation, m.count)
-
-    def tick(self, now: float, flags: int) -> None:
-        """A beat of our own."""
-        self.me.count += 1
-        self.me.beat, self.me.flags = now, flags
-        self.beats[self.me.count] = now
-        self.beats.pop(self.me.count - BEATS_KNOWN, None)
-        for ip in [m.ip for m in self.members.values() if m.ip not in self.pinned and now - m.beat > FORGET_S]:
-            if ip != self.me.ip:
-                del self.members[ip]
-
-    def rows(self, now: float) -> bytes:
-        """The whole table as bytes."""
-        out = []
-        for m in self.members.values():
-            age = min(OLD, max(0, int((now - m.beat) * 100)))
-            out.append(ROW.pack(m.ip, m.incarnation, m.count, m.zone, m.flags, age))
-        return b"".join(out)
+        return (row.incarnation, row.heartbeat_count) < (member.incarnation, member.heartbeat_count)
 
     def merge(self, now: float, rows: bytes) -> bool:
-        """Take in another's table; says whether a member appeared or came back.
+        """Merge the table of another ingress; return whether a member appeared or came back.
 
-        `told_at`: it may have waited on its way, or here, for long.  It holds one of our own beats and that one's age
-        there, which is the true one less what it waited on its way: so much later than that beat it was sent, or more.
+        Raises:
+            struct.error: The bytes are no whole number of rows; nothing is merged.
+        """
+        has_joined = False
+        self.last_merge_sent_at = NEVER
+        for row in decode_rows(rows):
+            if row.ip == self.local_member.ip:
+                self._merge_local(now, row)
+            else:
+                has_joined |= self._merge_other(now, row)
+        return has_joined
+
+    def _merge_local(self, now: float, row: MemberRow) -> None:
+        """Date the table by the own row in it, and refute an incarnation that is higher than this one.
+
+        The table may have waited on its way, or here, for long.  It names one of this ingress's own heartbeats and the
+        age of that one where the table was sent, which is the true one less what the heartbeat took to get there: so
+        much later than the heartbeat, or more, the table was sent.
         """
-        fresh, self.told_at = False, -1e9
-        for ip, incarnation, count, zone, flags, age in ROW.iter_unpack(rows):
-            m = self.members.get(ip)
-            if ip == self.me.ip:
-                if incarnation == self.me.incarnation and age < OLD:
-                    self.told_at = min(now, self.beats.get(count, -1e9) + age / 100)
-                self.outdo(incarnation, count)
-                continue
-            if m is None:
-                m = self.members[ip] = Member(ip, zone, flags & DISK, self.strangers.pop(ip, 0))
-                fresh = True
-            if (incarnation, count) > (m.incarnation, m.count):
-                fresh |= now - m.beat > self.silent_s
-                if incarnation > m.incarnation or not m.beat > now - age / 100:
-                    m.beat = now - age / 100
-                m.incarnation, m.count, m.zone, m.flags = incarnation, count, zone, flags
-        return fresh
+        if row.incarnation == self.local_member.incarnation and row.age < MAX_AGE:
+            heartbeat_sent_at = self._own_heartbeat_times.get(row.heartbeat_count, NEVER)
+            self.last_merge_sent_at = min(now, heartbeat_sent_at + row.age_s)
+        self.refute(row.incarnation, row.heartbeat_count)
+
+    def _merge_other(self, now: float, row: MemberRow) -> bool:
+        """Take a row that is newer than the known one; return whether its member appeared or came back."""
+        has_joined = False
+        member = self.members.get(row.ip)
+        if member is None:
+            member = Member(row.ip, row.zone, row.flags & _HAS_DISK, self._unlisted.pop(row.ip))
+            self.members[row.ip] = member
+            has_joined = True
+        if (row.incarnation, row.heartbeat_count) <= (member.incarnation, member.heartbeat_count):
+            return has_joined
+        has_joined |= now - member.last_heartbeat > self.failure_timeout_s
+        sent_at = now - row.age_s
+        if row.incarnation > member.incarnation or not member.last_heartbeat > sent_at:
+            member.last_heartbeat = sent_at
+        member.incarnation = row.incarnation
+        member.heartbeat_count = row.heartbeat_count
+        member.zone = row.zone
+        member.flags = row.flags
+        return has_joined
+
+    # -- who is there --------------------------------------------------------------------------------------
 
     def alive(self, now: float, flags: int = 0) -> list[Member]:
-        """Members heard of lately that have all of these flags, this one included."""
-        return [m for m in self.members.values() if now - m.beat <= self.silent_s and m.flags & flags == flags]
-
-    def alone(self, now: float) -> float:
-        """All that were heard of in the last minute over those heard of lately, where these are no more than half:
-        behind a cut, the others are there as well and let in what they would.  Else 1.
-        """
-        known = sum(1 for m in self.members.values() if now - m.beat <= FORGET_S and not m.flags & LEAVING)
-        lately = max(1, len(self.alive(now)))  # who was frozen does not hear of itself
-        return known / lately if 2 * lately <= known else 1.0
-
-    def watchers(self, now: float, near: set[int], beat: int, far: bool) -> list[int]:
-        """To whom that beat goes: on the ring of the near zones two of those that lie 1, 2, 4, ... places further, by
-        turns, so that news is everywhere after about as many beats as the ring can be halved; and, where `far`, the
-        next of all the others.  Links between regions are dear.
+        """Return the members that have not failed and have all of these flags, this ingress included."""
+        required = int(flags)
+        timeout_s = self.failure_timeout_s
+        return [
+            member
+            for member in self.members.values()
+            if now - member.last_heartbeat <= timeout_s and member.flags & required == required
+        ]
+
+    def unreachable_ips(self, now: float) -> list[int]:
+        """Return the members that count as failed: asked now and then, for a partition may have ended."""
+        timeout_s = self.failure_timeout_s
+        return sorted(member.ip for member in self.members.values() if now - member.last_heartbeat > timeout_s)
+
+    def isolation_factor(self, now: float) -> float:
+        """Return members heard of in the last minute over live ones, if these are no more than half of those; else 1.
+
+        Behind a partition the others are there as well, and admit what they would.  Counts of this side are multiplied
+        by it, so that both sides together admit no more than one would.
         """
-        ring = sorted((m for m in self.alive(now) if m.zone in near), key=lambda m: (m.place, m.ip))
-        turns = max(1, len(ring).bit_length() - 1)
-        found = self._next(ring, {1 << beat % turns, 1 << (beat + turns // 2) % turns})
-        if far:
-            others = [m for m in self.alive(now) if m.zone not in near] + [self.me]
-            found += self._next(sorted(others, key=lambda m: (m.place, m.ip)), {1})
-        return found
-
-    def _next(self, ring: list[Member], steps: set[int]) -> list[int]:
-        at = next((n for n, m in enumerate(ring) if m.ip == self.me.ip), 0)
-        n = len(ring)
-        return [ring[(at + step) % n].ip for step in sorted(steps) if n and (at + step) % n != at]
-
-    def missing(self, now: float) -> list[int]:
-        """Members not heard of lately: asked now and then, for a cut may have ended."""
-        return sorted(m.ip for m in self.members.values() if now - m.beat > self.silent_s)
+        known = sum(
+            1
+            for member in self.members.values()
+            if now - member.last_heartbeat <= FORGET_AFTER_S and not member.is_leaving
+        )
+        live = max(1, len(self.alive(now)))  # a process that was frozen has no fresh heartbeat of its own either
+        return known / live if 2 * live <= known else 1.0
+
+    def heartbeat_targets(
+        self, now: float, region_zones: set[int], heartbeat_number: int, include_other_regions: bool
+    ) -> list[int]:
+        """Return the addresses that this heartbeat goes to (`heartbeat_ring`); zones are given by their index."""
+        live = self.alive(now)
+        region = [member for member in live if member.zone in region_zones]
+        elsewhere = []
+        if include_other_regions:
+            elsewhere = [member for member in live if member.zone not in region_zones]
+            elsewhere.append(self.local_member)
+        return heartbeat_targets(self.local_member.ip, region, elsewhere, heartbeat_number)
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -22,7 +22,8 @@
 from .load_reporter import LoadReporter
 from .membership.electorate import Electorate
 from .membership.leadership import Leadership
-from .membership.table import DISK, FORMED, LEAVING, READY, Member, MembershipTable
+from .membership.member import Member, MemberFlags
+from .membership.table import MembershipTable
 from .proxy.listener import ClientConnection, Listener
 from .proxy.proxy import Proxy
 from .proxy.slow_start_leases import SlowStartLeases
@@ -30,7 +31,7 @@
 from .quota.client import QuotaClient
 from .settings import Settings, SettingsError
 from .topology import Topology
-from .transport import connections
+from .transport.addresses import ip_from_int, ip_to_int
 from .transport.fencing import Fence
 
 if TYPE_CHECKING:
@@ -83,9 +84,9 @@
         self.membership = self.context.membership
         self.fence = Fence(self.membership)
         self.endpoints = EndpointList(settings.cloud_api.max_lag)
-        self.leadership = Leadership(self.membership.me.ip)
+        self.leadership = Leadership(self.membership.local_member.ip)
         body_pool = BufferPool(most=int(settings.limits.memory_mb * BODY_MEMORY_BYTES_PER_MB))
-        self.upstream_pool = environment.servers(body_pool)
+        self.upstream_pool = environment.upstream_pool(body_pool)
         self.control_plane = self._make_control_plane()
         self.electorate = Electorate(self.control_plane.committed.voters, self.membership)
         self.quota_client = QuotaClient(reactor, settings, environment, self.membership, self._tenant_count)
@@ -97,18 +98,18 @@
         self.control = ControlApi(self.control_plane, self.status)
         self.directory = Directory(reactor, settings, self.membership, self.context.rng, self.has_read_lease)
         self.applier = ConfigurationApplier(self.control_plane, self.fence, self.proxy, self.front)
-        self.platform = environment.platform(self.endpoints, self._on_endpoints_fetched)
+        self.platform = environment.platform_client(self.endpoints, self._on_endpoints_fetched)
         self._make_drivers()
 
     def _make_context(self, reactor: Reactor, settings: Settings, environment: Environment) -> NodeContext:
-        rng = random.Random(f"{settings.node_name} {environment.unix()}")
+        rng = random.Random(f"{settings.node_name} {environment.unix_time()}")
         started_at = reactor.seconds()
         me = Member(
-            connections.number(settings.ip_address),
+            ip_to_int(settings.ip_address),
             self.topology.zone_index(settings.zone),
-            DISK if settings.data_directory else 0,
-            incarnation=int(environment.unix() * INCARNATIONS_PER_S) & INCARNATION_MASK,
-            beat=started_at,
+            MemberFlags.HAS_DISK if settings.data_directory else 0,
+            incarnation=int(environment.unix_time() * INCARNATIONS_PER_S) & INCARNATION_MASK,
+            last_heartbeat=started_at,
         )
         membership = MembershipTable(me, HEARTBEAT_INTERVAL_S)
         return NodeContext(reactor, settings, environment, membership, rng, started_at)
@@ -144,12 +145,12 @@
         context = self.context
         return SlowStartLeases(
             context.reactor,
-            context.membership.me.ip,
+            context.membership.local_member.ip,
             context.rng,
             context.environment.send,
             self.electorate.addresses,
             self.proxy.wanted_leases,
-            context.membership.me.disk,
+            context.membership.local_member.has_disk,
         )
 
     def _make_drivers(self) -> None:
@@ -181,7 +182,7 @@
     def start(self) -> None:
         """Load the disk's state, open the sockets and start the timers."""
         self.control_plane.load()
-        self.context.environment.open(self.fence, self.dispatcher.receive, self.control_plane.handle_call)
+        self.context.environment.listen(self.fence, self.dispatcher.receive, self.control_plane.handle_call)
         self._listen()
         self.heartbeats.run()
         self.control_plane.start()
@@ -250,13 +251,13 @@
 
     def member_flags(self) -> int:
         """Return this node's flags as its heartbeats carry them."""
-        flags = READY if self.is_ready() else 0
+        flags = MemberFlags.READY if self.is_ready() else 0
         if self.shutdown.is_draining:
-            flags |= LEAVING
-        if self.membership.me.disk:
-            flags |= DISK
+            flags |= MemberFlags.LEAVING
+        if self.membership.local_member.has_disk:
+            flags |= MemberFlags.HAS_DISK
         if self.control_plane.monitor.can_propose:
-            flags |= FORMED
+            flags |= MemberFlags.CAN_PROPOSE
         return flags
 
     def handle_readiness(self, client_connection: ClientConnection, request: Request) -> None:
@@ -274,7 +275,7 @@
             "formed": is_formed,
             "ingresses": len(self.membership.alive(self.context.now())),
             "servers": len(self.endpoints.instances),
-            "list": {"holder": connections.host(self.leadership.holder), "term": self.leadership.term},
+            "list": {"holder": ip_from_int(self.leadership.leader_ip), "term": self.leadership.term},
             "counts": self.proxy.counters,
         }
 
--- a/mapleline/balancer/process.py
+++ b/mapleline/balancer/process.py
@@ -9,14 +9,14 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from .environment import Environment
 from .logs import configure
 from .node import Node
+from .process_environment import ProcessEnvironment
 from .settings import Settings, SettingsError
 from .settings import read as read_settings
 
 if TYPE_CHECKING:
-    from .reactor import SteadyReactor
+    from .reactor import MonotonicReactor
 
 logger = logging.getLogger(__name__)
 
@@ -62,7 +62,7 @@
     reactor = install()
     configure(settings.node_name)
     _log_unhandled_errors()
-    node = Node(reactor, settings, Environment(reactor, settings), settings_file.load)
+    node = Node(reactor, settings, ProcessEnvironment(reactor, settings), settings_file.load)
     reactor.callWhenRunning(node.start)
     _handle_signals(reactor, node)
     reactor.run(installSignalHandlers=False)
@@ -82,7 +82,7 @@
     twisted_log.addObserver(on_event)
 
 
-def _handle_signals(reactor: SteadyReactor, node: Node) -> None:
+def _handle_signals(reactor: MonotonicReactor, node: Node) -> None:
     """SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reads the settings file again."""
 
     def on_terminate(*_: object) -> None:
--- /dev/null
+++ b/mapleline/balancer/process_environment.py
@@ -0,0 +1,95 @@
+"""The outside of a real process: sockets of its reactor, threads, the disk and the system's clock."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any, TypeVar
+
+from twisted.internet.threads import deferToThread
+
+from .control.audit_log import AuditLog
+from .control.snapshot import Snapshot
+from .discovery.platform_client import PlatformClient
+from .proxy.upstream import UpstreamPool
+from .transport.connections import CalleeFactory, DatagramSocket, OutgoingCall
+
+if TYPE_CHECKING:
+    from twisted.internet.defer import Deferred
+
+    from ..http1.buffers import BufferPool
+    from .control.snapshot import Store
+    from .discovery.endpoints import EndpointList
+    from .settings import Settings
+    from .transport import messages
+    from .transport.connections import CallHandler, DatagramHandler
+    from .transport.fencing import Fence
+
+AUDIT_LOG_BYTES_PER_MB = (1 << 20) // 8  #: an eighth of the disk that the settings allow
+MAX_DATAGRAM_BYTES = 65536  #: more than a UDP datagram can have
+
+Result = TypeVar("Result")
+
+
+class ProcessEnvironment:
+    """Implements `Environment` for a real process."""
+
+    def __init__(self, reactor: Any, settings: Settings) -> None:
+        """Nothing is opened before `listen`."""
+        self._reactor = reactor
+        self._settings = settings
+        self._port = settings.internal_port_range[0]
+        self._datagrams: DatagramSocket | None = None
+        self._fence: Fence | None = None
+
+    def listen(self, fence: Fence, on_datagram: DatagramHandler, on_call: CallHandler) -> None:
+        """Receive datagrams and calls on the first internal port."""
+        host = self._settings.ip_address
+        self._fence = fence
+        self._datagrams = DatagramSocket(self._port, fence, on_datagram)
+        self._reactor.listenUDP(self._port, self._datagrams, interface=host, maxPacketSize=MAX_DATAGRAM_BYTES)
+        self._reactor.listenTCP(self._port, CalleeFactory(fence, on_call), interface=host)
+
+    def send(self, ip: int, message: messages.Datagram) -> None:
+        """Send a datagram to an ingress; it may be lost on its way.  Before `listen` nothing is sent."""
+        if self._datagrams is not None:
+            self._datagrams.send(ip, message)
+
+    def call(self, ip: int, message: messages.Call, timeout_s: float) -> Deferred[messages.Reply]:
+        """Call an ingress; the result fires with the reply, or with why there is none within the time-out.
+
+        Raises:
+            RuntimeError: `listen` was not called before.
+        """
+        if self._fence is None:
+            raise RuntimeError("a call before listen()")
+        return OutgoingCall(self._fence, ip, message).start(self._reactor, self._port, timeout_s)
+
+    def run_in_thread(self, work: Callable[..., Result], *args: object) -> Deferred[Result]:
+        """Run what waits for the disk in a thread of the reactor's pool."""
+        return deferToThread(work, *args)
+
+    def unix_time(self) -> float:
+        """Return the time of day in seconds since 1970; it may step, and differ from other machines'."""
+        return time.time()
+
+    def snapshot_store(self) -> Store | None:
+        """Return the store in the data directory; None without one."""
+        if not self._settings.data_directory:
+            return None
+        return Snapshot(self._settings.data_directory)
+
+    def audit_log(self) -> AuditLog | None:
+        """Return the audit log in the data directory; None without one."""
+        if not self._settings.data_directory:
+            return None
+        max_bytes = self._settings.limits.disk_mb * AUDIT_LOG_BYTES_PER_MB
+        return AuditLog(self._settings.data_directory, max_bytes)
+
+    def upstream_pool(self, pool: BufferPool) -> UpstreamPool:
+        """Return the connections to the servers."""
+        return UpstreamPool(self._reactor, pool)
+
+    def platform_client(self, endpoints: EndpointList, on_listed: Callable[[bool], None]) -> PlatformClient:
+        """Return the client of the platform's API that the settings name."""
+        return PlatformClient(self._reactor, self._settings, endpoints, on_listed)
--- a/mapleline/balancer/proxy/proxy.py
+++ b/mapleline/balancer/proxy/proxy.py
@@ -13,7 +13,8 @@
 from ...policy.window import Ask, Tenancy
 from ..configuration import Route, Table
 from ..discovery.endpoints import EndpointList, Instance
-from ..membership.table import READY, MembershipTable
+from ..membership.member import MemberFlags
+from ..membership.table import MembershipTable
 from ..settings import Settings
 from ..transport.messages import LoadReport
 from . import outcome
@@ -231,7 +232,7 @@
         ]
         if not cold:
             return []
-        ready, zones = self.membership.alive(now, READY), sorted(self.settings.zones)
+        ready, zones = self.membership.alive(now, MemberFlags.READY), sorted(self.settings.zones)
         near = {name: [m.ip for m in ready if m.zone == n] for n, name in enumerate(zones)}
         everywhere = [m.ip for m in ready]
 
@@ -240,7 +241,7 @@
             ips = near.get(one.zone) or everywhere
             return min(ips, key=lambda ip: crc32(b"%d %s" % (ip, id)), default=0)
 
-        return [crc32(one.id.encode()) for one in cold if lot(one) == self.membership.me.ip]
+        return [crc32(one.id.encode()) for one in cold if lot(one) == self.membership.local_member.ip]
 
     def has_lease(self, one: Instance, now: float) -> bool:
         return self.slow_start_leases is not None and self.slow_start_leases.holds(crc32(one.id.encode()), now)
--- a/mapleline/balancer/quota/client.py
+++ b/mapleline/balancer/quota/client.py
@@ -9,7 +9,7 @@
 
 from ...policy.window import Ask
 from ..environment import Environment
-from ..membership.table import LEAVING, MembershipTable
+from ..membership.table import MembershipTable
 from ..settings import Settings
 from ..transport.messages import CounterIncrement, CounterSync, CounterValue
 from .counters import CounterTable, holders, shard_of
@@ -45,11 +45,11 @@
     ) -> None:
         self.reactor, self.settings, self.membership, self.tenants = reactor, settings, membership, tenants
         self.send = environment.send
-        began = environment.unix() - reactor.seconds()
+        began = environment.unix_time() - reactor.seconds()
         self.unix = lambda: began + reactor.seconds()  # windows are named by it: a step of the clock moves none
         self.zones = sorted(settings.zones)
-        self.me = membership.me
-        self.names = CounterTable(membership.life(membership.me.ip))
+        self.me = membership.local_member
+        self.names = CounterTable(membership.session_key(membership.local_member.ip))
         self.open: dict[int, _Open] = {}
         self.misses: dict[int, int] = {}
         self.suspect: dict[int, float] = {}
@@ -63,10 +63,10 @@
         able = []
         for m in self.membership.alive(now):
             zone = self.zones[m.zone]
-            if m.flags & LEAVING or self.suspect.get(m.ip, -1.0) > now:
+            if m.is_leaving or self.suspect.get(m.ip, -1.0) > now:
                 continue
             if not homes or self.settings.zones[zone] in homes:
-                able.append((m.ip, m.zone, self.settings.zones[zone], m.disk))
+                able.append((m.ip, m.zone, self.settings.zones[zone], m.has_disk))
         return holders(shard_of(tenant, self.tenants()), ",".join(homes), able)
 
     def _distance(self, ip: int) -> tuple[int, bool]:
@@ -158,12 +158,14 @@
                 tenants = {part.tenant for part in message.parts}
                 others = {ip for name in tenants for ip in self._holders(name, self.homes.get(name, ()))}
                 # who isn't a holder by our register counts for those who can't reach one: it gets the whole
-                known = [] if ip in others else self.names.parts(0.0, self.membership.life(ip), tenants, all=True)
+                known = (
+                    [] if ip in others else self.names.parts(0.0, self.membership.session_key(ip), tenants, all=True)
+                )
                 self.send(ip, CounterSync(known, answer=True))
 
     def _count(self, ip: int, message: CounterIncrement) -> CounterValue | None:
         homes = self.homes[message.tenant] = tuple(message.homes)
-        name, sender = (message.tenant, message.window), self.membership.life(ip)
+        name, sender = (message.tenant, message.window), self.membership.session_key(ip)
         if not message.ask:
             return self.names.take_off(sender, message.nonce, *name)
         before, previous = self.names.add(sender, message.nonce, *name, message.units, message.limit)
@@ -173,7 +175,7 @@
         ):
             before = max(before, 2 * self.names.own(message.tenant, message.window))  # a cut: it lets in as much
             previous = max(previous, 2 * self.names.own(message.tenant, message.window - 1))
-        alone = self.membership.alone(now)
+        alone = self.membership.isolation_factor(now)
         return CounterValue(message.nonce, before * alone, previous * alone)
 
     def _total(self, ip: int, total: CounterValue) -> None:
@@ -197,7 +199,7 @@
                 if ip != self.me.ip:
                     to.setdefault(ip, set()).add(tenant)
         for ip, tenants in to.items():
-            parts = self.names.parts(now, self.membership.life(ip), tenants)
+            parts = self.names.parts(now, self.membership.session_key(ip), tenants)
             if parts:
                 self.unheard.setdefault(ip, now)
                 self.send(ip, CounterSync(parts))
--- a/mapleline/balancer/topology.py
+++ b/mapleline/balancer/topology.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from .membership.table import Member
+    from .membership.member import Member
     from .settings import Settings
 
 
@@ -43,4 +43,4 @@
         """
         zone, other_zone = self.zone_names[member.zone], self.zone_names[other.zone]
         is_other_region = self.region_by_zone[zone] != self.region_by_zone[other_zone]
-        return is_other_region, zone != other_zone, member.place ^ other.place
+        return is_other_region, zone != other_zone, member.ring_position ^ other.ring_position
--- a/mapleline/balancer/transport/connections.py
+++ b/mapleline/balancer/transport/connections.py
@@ -1,153 +1,205 @@
-"""How ingresses talk: a datagram socket for the small, one call a connection for the rest."""
+"""The sockets between ingresses: datagrams for what is small, a TCP connection a call for the rest."""
 
 from __future__ import annotations
 
+import logging
 import socket
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any, ClassVar, TypeAlias, TypeVar
 
 from twisted.internet.defer import Deferred
-from twisted.internet.error import ConnectionDone
-from twisted.internet.protocol import DatagramProtocol, ServerFactory
+from twisted.internet.protocol import DatagramProtocol, ServerFactory, connectionDone
 from twisted.protocols.basic import Int32StringReceiver
-from twisted.python.failure import Failure
 
 from ...net.dial import dial
-from . import messages
-from .fencing import Fence, Outstanding, Taken, UnexpectedReplyError
+from .addresses import ip_from_int, ip_to_int
+from .errors import UnexpectedReplyError
 
-LARGEST = 16 << 20
-USER_TIMEOUT_MS = 3000
+if TYPE_CHECKING:
+    from twisted.python.failure import Failure
 
+    from . import messages
+    from .fencing import Fence, OutstandingCall, ReceivedCall
 
-def number(host: str) -> int:
-    """An IPv4 address as a number."""
-    return int.from_bytes(socket.inet_aton(host), "big")
+logger = logging.getLogger(__name__)
 
+MAX_MESSAGE_BYTES = 16 << 20  #: of a call or a reply with its stamps
+TCP_USER_TIMEOUT_MS = 3000  #: a connection whose bytes go unacknowledged for so long is dropped by the kernel
 
-def host(ip: int) -> str:
-    return socket.inet_ntoa(ip.to_bytes(4, "big"))
+Result = TypeVar("Result")
+DatagramHandler: TypeAlias = "Callable[[int, messages.Datagram], None]"  #: gets the sender's address as well
+CallHandler: TypeAlias = "Callable[[messages.Call], messages.Reply | Deferred[messages.Reply]]"
 
 
-class Datagrams(DatagramProtocol):
-    """What the fence believes of datagrams goes to `told(ip, message)`."""
+class DatagramSocket(DatagramProtocol):
+    """Sends and receives datagrams; those that the fence accepts go to the handler."""
 
-    def __init__(self, port: int, fence: Fence, told: Callable[[int, messages.Datagram], None]) -> None:
-        self.port, self.fence, self.told = port, fence, told
+    def __init__(self, port: int, fence: Fence, on_datagram: DatagramHandler) -> None:
+        """All ingresses use the same port."""
+        self._port = port
+        self._fence = fence
+        self._on_datagram = on_datagram
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
-        ip = number(addr[0])
-        message, back = self.fence.open(ip, data)
-        if back is not None:
-            self._write(ip, back)
-        if message is not None:
-            self.told(ip, message)
+        """Handle a datagram from `addr`, a pair of host and port."""
+        ip = ip_to_int(addr[0])
+        received = self._fence.receive_datagram(ip, data)
+        if received.refusal is not None:
+            self._write(ip, received.refusal)
+        if received.message is not None:
+            self._on_datagram(ip, received.message)
 
     def send(self, ip: int, message: messages.Datagram) -> None:
-        """May be lost on its way."""
-        self._write(ip, self.fence.seal(ip, message))
+        """Send a datagram; it may be lost on its way."""
+        self._write(ip, self._fence.stamp_datagram(ip, message))
 
     def _write(self, ip: int, data: bytes) -> None:
-        if self.transport is not None:
-            try:
-                self.transport.write(data, (host(ip), self.port))
-            except OSError:
-                pass  # no way there, or no room: the same as a loss
+        if self.transport is None:
+            return
+        try:
+            self.transport.write(data, (ip_from_int(ip), self._port))
+        except OSError:
+            pass  # no route, or no room in the buffer: the same as a datagram that is lost
+
 
+class MessageConnection(Int32StringReceiver):
+    """A connection on which a call and its reply travel, each with its length in front."""
 
-class _Line(Int32StringReceiver):
-    MAX_LENGTH = LARGEST
+    MAX_LENGTH = MAX_MESSAGE_BYTES
 
     def connectionMade(self) -> None:
+        """Set the socket's options."""
         self.transport.setTcpNoDelay(True)
-        self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+        self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
-class Answering(_Line):
-    """Takes one call; `answer` gives a reply or a Deferred of one."""
+class CalleeConnection(MessageConnection):
+    """The called side: carries out one call and sends the reply; a second call on a connection breaks it off."""
 
-    taken: Taken | None = None
+    factory: CalleeFactory
+
+    def __init__(self) -> None:
+        """Start before the call has come."""
+        self._call: ReceivedCall | None = None
 
     def stringReceived(self, data: bytes) -> None:
-        if self.taken is not None:
-            return self.transport.abortConnection()
-        self.taken = taken = self.factory.fence.take(data)
-        if taken.message is None:
-            if not taken.refusal:
-                return self.transport.abortConnection()
-            self.sendString(taken.refusal)
-            return self.transport.loseConnection()
-        reply = self.factory.answer(taken.message)
+        """Handle a call."""
+        if self._call is not None:
+            self.transport.abortConnection()
+            return
+        self._call = call = self.factory.fence.receive_call(data)
+        if call.message is None:
+            self._refuse(call)
+            return
+        reply = self.factory.on_call(call.message)
         if isinstance(reply, Deferred):
-            reply.addCallbacks(self._reply, lambda _: self.transport.abortConnection())
+            reply.addCallbacks(self._send_reply, self._handle_failure)
         else:
-            self._reply(reply)
+            self._send_reply(reply)
+
+    def _refuse(self, call: ReceivedCall) -> None:
+        if not call.refusal:
+            self.transport.abortConnection()
+            return
+        self.sendString(call.refusal)
+        self.transport.loseConnection()
+
+    def _send_reply(self, reply: messages.Reply) -> None:
+        if self.connected and self._call is not None:
+            self.sendString(self.factory.fence.stamp_reply(self._call, reply))
+
+    def _handle_failure(self, _: Failure) -> None:
+        self.transport.abortConnection()
 
-    def _reply(self, reply: messages.Reply) -> None:
-        if self.connected:
-            self.sendString(self.factory.fence.reply(self.taken, reply))
 
+class CalleeFactory(ServerFactory):
+    """Makes the called side of each connection that comes in."""
 
-class AnswerFactory(ServerFactory):
-    protocol, noisy = Answering, False
+    protocol = CalleeConnection
+    noisy: ClassVar[bool] = False
 
-    def __init__(self, fence: Fence, answer: Callable[[messages.Call], Any]) -> None:
-        self.fence, self.answer = fence, answer
+    def __init__(self, fence: Fence, on_call: CallHandler) -> None:
+        """Calls that the fence accepts go to the handler."""
+        self.fence = fence
+        self.on_call = on_call
 
 
-class _Calling(_Line):
-    up: Deferred | None = None
+class CallerConnection(MessageConnection):
+    """The calling side: waits for the reply and fires the call's Deferred with it."""
 
-    def __init__(self, fence: Fence, out: Outstanding, done: Deferred) -> None:
-        self.fence, self.out, self.done = fence, out, done
+    up: Deferred[CallerConnection] | None = None  #: fires once connected; set by `dial`
+
+    def __init__(self, fence: Fence, call: OutstandingCall, done: Deferred[messages.Reply]) -> None:
+        """`done` fires with the reply to this call, or with why there is none."""
+        self._fence = fence
+        self._call = call
+        self._done: Deferred[messages.Reply] | None = done
 
     def connectionMade(self) -> None:
+        """Tell who dialed."""
         super().connectionMade()
         if self.up is not None:
             self.up.callback(self)
 
     def stringReceived(self, data: bytes) -> None:
-        done, self.done = self.done, None
+        """Handle what is to be the reply, and close the connection."""
+        done, self._done = self._done, None
         self.transport.loseConnection()
         try:
-            reply = self.fence.believe(self.out, data)
-        except UnexpectedReplyError:
+            reply = self._fence.receive_reply(self._call, data)
+        except UnexpectedReplyError as error:
             if done is not None and not done.called:
-                done.errback(Failure())
+                done.errback(error)
             return
         if done is not None and not done.called:
             done.callback(reply)
 
-    def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:  # noqa: B008
-        if self.done is not None and not self.done.called:
-            self.done.errback(reason)
-
-
-def call(reactor: Any, ip: int, port: int, fence: Fence, message: messages.Call, timeout_s: float) -> Deferred:
-    """Fires with the reply if it is the answer to this call, or fails."""
-    out, data = fence.request(ip, message)
-    done: Deferred = Deferred()
-    dialed = dial(reactor, (host(ip), port), lambda: _Calling(fence, out, done), timeout_s)
-    line: list[_Calling] = []
-
-    def up(made: _Calling) -> None:
-        line.append(made)
-        made.sendString(data)
-
-    def refused(reason: Failure) -> None:
-        if not done.called:
-            done.errback(reason)
-
-    def late() -> None:
-        if not done.called:
-            (line[0].transport.abortConnection if line else dialed.cancel)()
-
-    timer = reactor.callLater(timeout_s, late)
-    dialed.addCallbacks(up, refused)
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Fail the call if it has no reply."""
+        if self._done is not None and not self._done.called:
+            self._done.errback(reason)
+
+
+class OutgoingCall:
+    """One call: dials, sends the request, and gives up after a time-out."""
+
+    def __init__(self, fence: Fence, ip: int, message: messages.Call) -> None:
+        """Stamp the request; nothing is sent yet."""
+        self._fence = fence
+        self._ip = ip
+        self._call, self._request = fence.stamp_call(ip, message)
+        self._done: Deferred[messages.Reply] = Deferred()
+        self._connection: CallerConnection | None = None
+
+    def start(self, reactor: Any, port: int, timeout_s: float) -> Deferred[messages.Reply]:
+        """Dial; the result fires with the reply, or with why there is none within the time-out."""
+        address = ip_from_int(self._ip), port
+        self._dialing = dial(reactor, address, self._make_connection, timeout_s)
+        self._timer = reactor.callLater(timeout_s, self._time_out)
+        self._dialing.addCallbacks(self._send_request, self._fail)
+        return self._done.addBoth(self._stop_timer)
+
+    def _make_connection(self) -> CallerConnection:
+        return CallerConnection(self._fence, self._call, self._done)
+
+    def _send_request(self, connection: CallerConnection) -> None:
+        self._connection = connection
+        connection.sendString(self._request)
+
+    def _fail(self, reason: Failure) -> None:
+        if not self._done.called:
+            self._done.errback(reason)
+
+    def _time_out(self) -> None:
+        """Break the call off; the end of the connection, or of dialing, fails it."""
+        if self._done.called:
+            return
+        if self._connection is not None:
+            self._connection.transport.abortConnection()
+        else:
+            self._dialing.cancel()
 
-    def over(result: Any) -> Any:
-        if timer.active():
-            timer.cancel()
+    def _stop_timer(self, result: Result) -> Result:
+        if self._timer.active():
+            self._timer.cancel()
         return result
-
-    return done.addBoth(over)
--- a/mapleline/balancer/transport/fencing.py
+++ b/mapleline/balancer/transport/fencing.py
@@ -1,189 +1,253 @@
-"""What a process stamps on what it sends to other ingresses, and what it believes of what comes (pure).
+"""Which messages of other ingresses a process accepts, by the stamps on them (pure).
 
-Every datagram and call carries the system's identity, the sender's incarnation and the wanted receiver's, 0 where one
-is not known.  Who gets something meant for another life of it, or from a life that it knows to be over, believes
-nothing of it and sends back the bare stamps, which tell the sender what it has wrong: that is all a refusal is.
-
-A call carries a number and its caller's address besides; the reply echoes both stamps and number.  All kinds of
-messages and what holds for each: docs/design/fencing.md.
+Every message carries the system's identity, the sender's incarnation and the one of the receiver that it is meant for,
+0 where these are not known.  Who gets a message for another incarnation of itself, or from one that it knows to be
+over, drops it and sends back the bare stamps: this refusal tells the sender what it has wrong.  Calls carry a number
+and the caller's address as well, which the reply repeats.  Message by message: docs/design/fencing.md.
 """
 
 from __future__ import annotations
 
-import struct
 from collections import Counter
 from dataclasses import dataclass
+from typing import TYPE_CHECKING, NamedTuple
 from zlib import crc32
 
 import msgspec
 
-from ..membership.table import MembershipTable
 from . import messages
+from .errors import DropReason, UnexpectedReplyError
+from .stamps import CALL_STAMPS_BYTES, DATAGRAM_STAMPS_BYTES, CallStamps, DatagramStamps
+
+if TYPE_CHECKING:
+    from ..membership.table import MembershipTable
+
+ANY_INCARNATION = 0  #: in the place of the receiver's
+_UINT32_MASK = 0xFFFFFFFF
 
-STAMPS = struct.Struct("<III")  #: of a datagram: system, incarnation of the sender, of the wanted receiver
-CALL = struct.Struct("<IIIII")  #: of a call and a reply: the same, the call's number, the sender's address
-TO_ANY_LIFE = messages.Heartbeat  #: what teaches incarnations must come through to a receiver that has a new one
 
+class ReceivedDatagram(NamedTuple):
+    """What is to be done with a datagram that has come."""
 
-class UnexpectedReplyError(Exception):
-    """A reply that is not the answer to the call that is out; the text says why."""
+    message: messages.Datagram | None  #: to be handled; None if it was dropped
+    refusal: bytes | None = None  #: to be sent back at once
 
 
 @dataclass(slots=True)
-class Outstanding:
-    """A call that is out: whom it asks, in which of its lives (0: any)."""
+class OutstandingCall:
+    """A call that was sent and has no reply yet.
+
+    Attributes:
+        ip: Whom it asks.
+        receiver_incarnation: The one it asks; `ANY_INCARNATION` if none was known.
+        call_number: Its number.
+        has_reply: Something came back for it: any more is dropped.
+    """
 
     ip: int
-    wanted: int
-    number: int
-    over: bool = False  #: something came back for it: nothing more is believed
+    receiver_incarnation: int
+    call_number: int
+    has_reply: bool = False
 
 
 @dataclass(slots=True)
-class Taken:
-    """A call that has come.  Without a message it is not carried out, and `refusal` is all that is sent back."""
+class ReceivedCall:
+    """A call that has come.
+
+    Attributes:
+        message: To be carried out; None if the call was dropped.
+        refusal: What is sent back for a dropped call; empty if the connection is to be closed without an answer.
+        caller_ip: Who calls.
+        caller_incarnation: The caller's incarnation.
+        call_number: The caller's number of the call.
+    """
 
     message: messages.Call | None
     refusal: bytes = b""
-    ip: int = 0
-    incarnation: int = 0
-    number: int = 0
+    caller_ip: int = 0
+    caller_incarnation: int = 0
+    call_number: int = 0
 
 
 class Fence:
-    """One process's.  It learns incarnations from what it lets in; the register keeps them."""
-
-    def __init__(self, membership: MembershipTable, system: int = 0) -> None:
-        self.membership, self.me = membership, membership.me
-        self.system = system  #: the identity agreed on when the core was founded, 32 bits; 0 until it is known
-        self.dropped: Counter[str] = Counter()  #: what was not believed, by why
-        self._said = 0
-        # callers that began at one moment have one incarnation: their numbers differ
-        self._number = crc32(b"%d %d" % (self.me.ip, self.me.incarnation))
-        self._turn = 0
-        self._turns: dict[int, tuple[int, int]] = {}  #: the newest turn of each sender, and in which life
+    """The fence of one process: stamps what goes out, accepts or drops what comes in.
+
+    It learns the incarnations of senders from what it accepts; the membership table keeps them.
+
+    Attributes:
+        system_id: The identity agreed on when the system was founded, 32 bits; 0 until it is known.
+        dropped: What was dropped since the start, counted by reason.
+        membership: Keeps the incarnations.
+    """
+
+    def __init__(self, membership: MembershipTable, system_id: int = 0) -> None:
+        """Start with nothing dropped."""
+        self.system_id = system_id
+        self.dropped: Counter[DropReason] = Counter()
+        self.membership = membership
+        self._local_member = membership.local_member
+        self._reported_drops = 0
+        # Processes that started at one moment share an incarnation: their call numbers must differ.
+        self._call_number = crc32(b"%d %d" % (self._local_member.ip, self._local_member.incarnation))
+        self._sequence = 0
+        self._last_sequences: dict[int, tuple[int, int]] = {}  #: by sender: incarnation and sequence number
 
     # -- datagrams -----------------------------------------------------------------------------------------
 
-    def seal(self, ip: int, message: messages.Datagram) -> bytes:
-        """A datagram as it goes out."""
-        wanted = 0 if isinstance(message, TO_ANY_LIFE) else self.membership.incarnation(ip)
-        return STAMPS.pack(self.system, self.me.incarnation, wanted) + messages.encode(message)
-
-    def open(self, ip: int, data: bytes) -> tuple[messages.Datagram | None, bytes | None]:
-        """A datagram has come: what is believed of it, and what is sent back at once, if anything."""
-        if len(data) < STAMPS.size:
-            return self._drop("short"), None
-        system, incarnation, wanted = STAMPS.unpack_from(data)
-        refusal = len(data) == STAMPS.size
-        why = self._why_not(ip, system, incarnation, 0 if refusal else wanted)
-        if refusal:
-            if why is None:
-                self.membership.outdo(wanted)
-            return self._drop(why or "refused"), None
-        if why is not None:
-            return self._drop(why), self._refusal(ip) if why != "system" else None
+    def stamp_datagram(self, ip: int, message: messages.Datagram) -> bytes:
+        """Return a datagram as it goes out to an ingress."""
+        # Heartbeats teach incarnations, so they must come through to a receiver that has a new one.
+        is_for_any = isinstance(message, messages.Heartbeat)
+        receiver_incarnation = ANY_INCARNATION if is_for_any else self.membership.incarnation(ip)
+        return self._datagram_stamps(receiver_incarnation) + messages.encode(message)
+
+    def receive_datagram(self, ip: int, data: bytes) -> ReceivedDatagram:
+        """Accept or drop a datagram that came from an address."""
+        if len(data) < DATAGRAM_STAMPS_BYTES:
+            return self._drop_datagram(DropReason.TRUNCATED)
+        stamps = DatagramStamps.decode(data)
+        if len(data) == DATAGRAM_STAMPS_BYTES:
+            return self._drop_datagram(self._receive_refusal(ip, stamps))
+        reason = self._check_stamps(ip, stamps, stamps.receiver_incarnation)
+        if reason is DropReason.FOREIGN_SYSTEM:
+            return self._drop_datagram(reason)
+        if reason is not None:
+            return self._drop_datagram(reason, self._refusal(ip))
         try:
-            return messages.decode_datagram(memoryview(data)[STAMPS.size :]), None
+            return ReceivedDatagram(messages.decode_datagram(memoryview(data)[DATAGRAM_STAMPS_BYTES:]))
         except msgspec.DecodeError:
-            return self._drop("undecodable"), None
-
-    def _why_not(self, ip: int, system: int, incarnation: int, wanted: int) -> str | None:
-        """Why nothing of this is believed, or None; either way its sender's newest incarnation is known then."""
-        if system and self.system and system != self.system:
-            return "system"
-        if incarnation < self.membership.incarnation(ip):
-            return "older"
-        self.membership.learn(ip, incarnation)
-        if wanted and wanted != self.me.incarnation:
-            self.membership.outdo(wanted)  # a clock set back: another life of ours was newer than we are
-            return "not_me"
+            return self._drop_datagram(DropReason.UNDECODABLE)
+
+    def _receive_refusal(self, ip: int, stamps: DatagramStamps) -> DropReason:
+        """Learn from a refusal; it is dropped in any case and never answered, so nothing bounces."""
+        reason = self._check_stamps(ip, stamps, ANY_INCARNATION)
+        if reason is not None:
+            return reason
+        self.membership.refute(stamps.receiver_incarnation)
+        return DropReason.REFUSED
+
+    def _check_stamps(
+        self, ip: int, stamps: DatagramStamps | CallStamps, receiver_incarnation: int
+    ) -> DropReason | None:
+        """Return why a message is to be dropped, None if it isn't; its sender's incarnation is learnt either way."""
+        if stamps.system_id and self.system_id and stamps.system_id != self.system_id:
+            return DropReason.FOREIGN_SYSTEM
+        if stamps.sender_incarnation < self.membership.incarnation(ip):
+            return DropReason.STALE_SENDER
+        self.membership.observe_incarnation(ip, stamps.sender_incarnation)
+        if receiver_incarnation not in (ANY_INCARNATION, self._local_member.incarnation):
+            self.membership.refute(receiver_incarnation)  # after a clock was set back an earlier one is the newer
+            return DropReason.OTHER_INCARNATION
         return None
 
     def _refusal(self, ip: int) -> bytes:
-        return STAMPS.pack(self.system, self.me.incarnation, self.membership.incarnation(ip))
+        return self._datagram_stamps(self.membership.incarnation(ip))
+
+    def _datagram_stamps(self, receiver_incarnation: int) -> bytes:
+        return DatagramStamps(self.system_id, self._local_member.incarnation, receiver_incarnation).encode()
 
-    def _drop(self, why: str) -> None:
-        self.dropped[why] += 1
+    def _drop_datagram(self, reason: DropReason, refusal: bytes | None = None) -> ReceivedDatagram:
+        self.dropped[reason] += 1
+        return ReceivedDatagram(None, refusal)
 
-    # -- what is told again and again ----------------------------------------------------------------------
+    # -- sequences -----------------------------------------------------------------------------------------
 
-    def turn(self) -> int:
-        """Numbers what is told again and again, and replaces what was told before."""
-        self._turn += 1
-        return self._turn
+    def next_sequence(self) -> int:
+        """Return the number of the next message of a kind of which each replaces the one before."""
+        self._sequence += 1
+        return self._sequence
 
-    def newest(self, ip: int, turn: int) -> bool:
-        """Whether nothing newer has come from there: an overtaken one or a double is not believed."""
-        key = self.membership.incarnation(ip), turn
-        if key <= self._turns.get(ip, (-1, 0)):
-            self._drop("overtaken")
+    def accept_sequence(self, ip: int, sequence: int) -> bool:
+        """Return whether no message of this number or a later one has come from there before; else it is dropped.
+
+        Numbers start anew with each incarnation of the sender.
+        """
+        position = self.membership.incarnation(ip), sequence
+        if position <= self._last_sequences.get(ip, (-1, 0)):
+            self.dropped[DropReason.OUT_OF_ORDER] += 1
             return False
-        self._turns[ip] = key
+        self._last_sequences[ip] = position
         return True
 
     # -- calls ---------------------------------------------------------------------------------------------
 
-    def request(self, ip: int, message: messages.Call) -> tuple[Outstanding, bytes]:
-        """A call as it goes out."""
-        self._number = (self._number + 1) & 0xFFFFFFFF
-        call = Outstanding(ip, self.membership.incarnation(ip), self._number)
-        stamps = CALL.pack(self.system, self.me.incarnation, call.wanted, call.number, self.me.ip)
-        return call, stamps + messages.encode(message)
-
-    def take(self, data: bytes) -> Taken:
-        """A call has come."""
-        if len(data) < CALL.size:
-            return Taken(self._drop("short"))
-        system, incarnation, wanted, number, ip = CALL.unpack_from(data)
-        why = self._why_not(ip, system, incarnation, wanted)
-        if why == "system":
-            return Taken(self._drop(why))
-        if why is not None:
-            known = self.membership.incarnation(ip)
-            return Taken(self._drop(why), CALL.pack(self.system, self.me.incarnation, known, number, self.me.ip))
+    def stamp_call(self, ip: int, message: messages.Call) -> tuple[OutstandingCall, bytes]:
+        """Return a new call to an ingress and its bytes."""
+        self._call_number = (self._call_number + 1) & _UINT32_MASK
+        call = OutstandingCall(ip, self.membership.incarnation(ip), self._call_number)
+        return call, self._call_stamps(call.receiver_incarnation, call.call_number) + messages.encode(message)
+
+    def receive_call(self, data: bytes) -> ReceivedCall:
+        """Accept or drop a call that has come."""
+        if len(data) < CALL_STAMPS_BYTES:
+            return self._drop_call(DropReason.TRUNCATED)
+        stamps = CallStamps.decode(data)
+        reason = self._check_stamps(stamps.sender_ip, stamps, stamps.receiver_incarnation)
+        if reason is DropReason.FOREIGN_SYSTEM:
+            return self._drop_call(reason)
+        if reason is not None:
+            known_incarnation = self.membership.incarnation(stamps.sender_ip)
+            return self._drop_call(reason, self._call_stamps(known_incarnation, stamps.call_number))
         try:
-            return Taken(messages.decode_call(memoryview(data)[CALL.size :]), b"", ip, incarnation, number)
+            message = messages.decode_call(memoryview(data)[CALL_STAMPS_BYTES:])
         except msgspec.DecodeError:
-            return Taken(self._drop("undecodable"))
-
-    def reply(self, taken: Taken, reply: messages.Reply) -> bytes:
-        """The answer to a call that was taken."""
-        stamps = CALL.pack(self.system, self.me.incarnation, taken.incarnation, taken.number, self.me.ip)
-        return stamps + messages.encode(reply)
-
-    def believe(self, call: Outstanding, data: bytes) -> messages.Reply:
-        """The answer to the call that is out; raises `Unbelieved` for anything else.  One answer a call."""
-        why = self._why_not_reply(call, data)
-        call.over = True
-        if why is None:
+            return self._drop_call(DropReason.UNDECODABLE)
+        return ReceivedCall(message, b"", stamps.sender_ip, stamps.sender_incarnation, stamps.call_number)
+
+    def stamp_reply(self, call: ReceivedCall, reply: messages.Reply) -> bytes:
+        """Return the reply to a call as it goes out."""
+        return self._call_stamps(call.caller_incarnation, call.call_number) + messages.encode(reply)
+
+    def receive_reply(self, call: OutstandingCall, data: bytes) -> messages.Reply:
+        """Return the reply to a call that is out; only what comes first for a call is considered.
+
+        Raises:
+            UnexpectedReplyError: It is not the reply to this call.
+        """
+        reason = self._check_reply(call, data)
+        call.has_reply = True
+        if reason is None:
             try:
-                return messages.decode_reply(memoryview(data)[CALL.size :])
+                return messages.decode_reply(memoryview(data)[CALL_STAMPS_BYTES:])
             except msgspec.DecodeError:
-                why = "undecodable"
-        self._drop(why)
-        raise UnexpectedReplyError(why)
-
-    def _why_not_reply(self, call: Outstanding, data: bytes) -> str | None:
-        if call.over:
-            return "surplus"
-        if len(data) < CALL.size:
-            return "short"
-        system, incarnation, wanted, number, ip = CALL.unpack_from(data)
-        if (number, ip) != (call.number, call.ip):
-            return "other_call"
-        why = self._why_not(ip, system, incarnation, 0)
-        if why is not None:
-            return why
-        if len(data) == CALL.size:
-            self.membership.outdo(wanted)
-            return "refused"
-        if wanted != self.me.incarnation:
-            return "not_me"
-        return "other_life" if call.wanted not in (0, incarnation) else None
-
-    def news(self) -> dict[str, int]:
-        """What was not believed in all this life, if that is more than was last told."""
+                reason = DropReason.UNDECODABLE
+        self.dropped[reason] += 1
+        raise UnexpectedReplyError(reason)
+
+    def _check_reply(self, call: OutstandingCall, data: bytes) -> DropReason | None:
+        if call.has_reply:
+            return DropReason.SURPLUS_REPLY
+        if len(data) < CALL_STAMPS_BYTES:
+            return DropReason.TRUNCATED
+        stamps = CallStamps.decode(data)
+        if (stamps.call_number, stamps.sender_ip) != (call.call_number, call.ip):
+            return DropReason.OTHER_CALL
+        reason = self._check_stamps(stamps.sender_ip, stamps, ANY_INCARNATION)
+        if reason is not None:
+            return reason
+        if len(data) == CALL_STAMPS_BYTES:
+            self.membership.refute(stamps.receiver_incarnation)
+            return DropReason.REFUSED
+        if stamps.receiver_incarnation != self._local_member.incarnation:
+            return DropReason.OTHER_INCARNATION
+        if call.receiver_incarnation not in (ANY_INCARNATION, stamps.sender_incarnation):
+            return DropReason.CALLEE_RESTARTED
+        return None
+
+    def _call_stamps(self, receiver_incarnation: int, call_number: int) -> bytes:
+        local = self._local_member
+        return CallStamps(self.system_id, local.incarnation, receiver_incarnation, call_number, local.ip).encode()
+
+    def _drop_call(self, reason: DropReason, refusal: bytes = b"") -> ReceivedCall:
+        self.dropped[reason] += 1
+        return ReceivedCall(None, refusal)
+
+    # -- the log -------------------------------------------------------------------------------------------
+
+    def new_drops(self) -> dict[str, int]:
+        """Return what was dropped since the start, by reason, if that is more than at the last call; else nothing."""
         total = self.dropped.total()
-        fresh, self._said = total > self._said, total
-        return dict(self.dropped) if fresh else {}
+        if total <= self._reported_drops:
+            return {}
+        self._reported_drops = total
+        return {reason.value: count for reason, count in self.dropped.items()}
--- a/mapleline/simulation/world.py
+++ b/mapleline/simulation/world.py
@@ -28,7 +28,7 @@
 from ..balancer.proxy.outcome import EndReason
 from ..balancer.proxy.upstream import CONNECT_TIMEOUT_S, Attempt, UpstreamPool
 from ..balancer.transport import messages
-from ..balancer.transport.connections import number
+from ..balancer.transport.addresses import ip_to_int
 from ..balancer.transport.fencing import Fence, UnexpectedReplyError
 from ..http1.messages import Request, Response
 
@@ -172,7 +172,7 @@
     def __init__(self, world: World, zone: str, nth: int, disk: bool) -> None:
         self.world, self.zone, self.name = world, zone, f"{zone}-{nth}"
         self.address = f"10.{world.zone_names.index(zone) + 1}.0.{nth}"
-        self.ip = number(self.address)
+        self.ip = ip_to_int(self.address)
         self.disk = Disk(self._observe_write) if disk else None
         self.node: Node | None = None
         self.reactor: ProcessReactor | None = None
@@ -292,12 +292,12 @@
 
     # -- ways ----------------------------------------------------------------------------------------------
 
-    def open(self, fence: Fence, told: Callable[[int, Any], None], called: Callable[[Any], Any]) -> None:
+    def listen(self, fence: Fence, told: Callable[[int, Any], None], called: Callable[[Any], Any]) -> None:
         self._fence, self._told, self._called = fence, told, called
 
     def send(self, ip: int, message: messages.Datagram) -> None:
         if self._fence is not None:
-            self._carry(ip, self._fence.seal(ip, message), type(message).__name__)
+            self._carry(ip, self._fence.stamp_datagram(ip, message), type(message).__name__)
 
     def _carry(self, ip: int, data: bytes, kind: str) -> None:
         world = self.world
@@ -316,7 +316,7 @@
             to.reactor.run(to._take, self.ip, data)
 
     def _take(self, by: int, data: bytes) -> None:
-        message, back = self._fence.open(by, data)
+        message, back = self._fence.receive_datagram(by, data)
         if back is not None:
             self._carry(by, back, "refusals")
         if message is not None:
@@ -324,7 +324,7 @@
 
     def call(self, ip: int, message: messages.Call, timeout_s: float) -> Deferred:
         world, to, done, fence = self.world, self.world.by_ip.get(ip), Deferred(), self._fence
-        out, data = fence.request(ip, message)
+        out, data = fence.stamp_call(ip, message)
         world.sent["calls"] = world.sent.get("calls", 0) + len(data) + 200
         world.calls.append((world.now, self.name, to.name if to is not None else "", type(message).__name__))
         world.observe("call", self.name, str(ip), data)
@@ -336,7 +336,7 @@
 
         def answered(data: bytes) -> None:
             try:
-                reply = fence.believe(out, data)
+                reply = fence.receive_reply(out, data)
             except UnexpectedReplyError:
                 return None if done.called else done.errback(Failure())
             if not done.called:
@@ -350,11 +350,11 @@
                 world.after(way + world.lateness(), life.run, answered, data)
 
         def take(there: Fence) -> None:
-            taken = there.take(data)
+            taken = there.receive_call(data)
             if taken.message is None:
                 return back(taken.refusal)
             reply = maybeDeferred(to._called, taken.message)
-            reply.addCallbacks(lambda answer: back(there.reply(taken, answer)), lambda _: None)
+            reply.addCallbacks(lambda answer: back(there.stamp_reply(taken, answer)), lambda _: None)
 
         def arrive() -> None:
             if not to.is_running:
@@ -368,7 +368,7 @@
                 world.after(3 * way + world.lateness(), arrive)  # a connection comes up first
         return done
 
-    def in_thread(self, work: Callable[..., Any], *with_: Any) -> Deferred:
+    def run_in_thread(self, work: Callable[..., Any], *with_: Any) -> Deferred:
         disk, life, done, now = self.disk, self.reactor, Deferred(), self.world.clock.seconds()
 
         def synced() -> None:
@@ -384,19 +384,19 @@
         self.world.after(wait, life.run, synced)
         return done
 
-    def unix(self) -> float:
+    def unix_time(self) -> float:
         return 1.7e9 + self.world.clock.seconds() + self.clock_skew_s
 
-    def store(self) -> Any:
+    def snapshot_store(self) -> Any:
         return self.disk
 
-    def history(self) -> None:
+    def audit_log(self) -> None:
         """None is kept."""
 
-    def servers(self, pool: Any) -> UpstreamPool:
+    def upstream_pool(self, pool: Any) -> UpstreamPool:
         return Lines(self)
 
-    def platform(self, endpoints: Any, listed: Callable[[bool], None]) -> Any:
+    def platform_client(self, endpoints: Any, listed: Callable[[bool], None]) -> Any:
         return Asking(self, endpoints, listed)
 
 
--- a/tests/balancer/control/test_recovery.py
+++ b/tests/balancer/control/test_recovery.py
@@ -15,7 +15,7 @@
 from mapleline.balancer.control.commands import DONE, ReplaceConfiguration
 from mapleline.balancer.control.replica import LocalReplica
 from mapleline.balancer.control.state import digest
-from mapleline.balancer.membership.table import FORMED
+from mapleline.balancer.membership.member import MemberFlags
 from mapleline.balancer.transport.messages import Accepted, Prepare, Promised, encode
 from mapleline.simulation.operators import configuration
 from mapleline.simulation.scenarios import ZONES
@@ -50,10 +50,10 @@
 
     @property
     def machines(self):
-        return self.world.core
+        return self.world.control_replicas
 
     def up(self):
-        return [m for m in self.machines if m.up]
+        return [m for m in self.machines if m.is_running]
 
     def put(self, changes: int, at=None) -> None:
         """So many in a row, each after the last was acknowledged."""
@@ -65,7 +65,7 @@
                 self.version += 1
             if left[0]:
                 body = body_of(self.version + 1)
-                machine = at if at is not None and at.up else self.up()[0]
+                machine = at if at is not None and at.is_running else self.up()[0]
                 order = ReplaceConfiguration(self.version + 1, digest(body))
                 machine.node.control_plane.submit_command(order, body, 4.5).addCallback(
                     lambda outcome: world.after(0.0 if outcome.status == DONE else 0.2, next_one, outcome)
@@ -82,7 +82,11 @@
 
     def is_whole(self, machine) -> bool:
         """A voter, and on its disk is what all others hold."""
-        if not machine.up or machine.node.control_plane.state is None or not machine.node.member_flags() & FORMED:
+        if (
+            not machine.is_running
+            or machine.node.control_plane.state is None
+            or not machine.node.member_flags() & MemberFlags.CAN_PROPOSE
+        ):
             return False
         if any(m.node.control_plane.state.former for m in self.up()):
             return False  # who votes is changing still
@@ -117,9 +121,9 @@
             one, two, three, four = core.machines
             core.put(changes - done - 5)
             for kind, machine in zip(found, (one, two, three), strict=True):
-                machine.end()
+                machine.kill()
                 if kind == "wiped":
-                    machine.wipe()
+                    machine.wipe_disk()
                 core.put(1)  # it is behind by one at least
                 if kind == "away":
                     core.world.run(12.0)  # and was let go meanwhile
@@ -143,7 +147,7 @@
         core = Core(7)
         one = core.machines[0]
         core.put(2)
-        one.end()
+        one.kill()
         core.put(300)
         took = core.come_back(one)
         self.assertLess(took.seconds, 4.0)
@@ -154,8 +158,8 @@
         core = Core(8)
         core.put(200)
         for machine in core.machines:
-            machine.end()
-        core.machines[1].wipe()
+            machine.kill()
+        core.machines[1].wipe_disk()
         began = core.world.now
         for machine in core.machines:
             machine.start()
@@ -172,8 +176,8 @@
                 core.put(2)
                 for nth in range(9):
                     machine = core.machines[nth % 3]
-                    machine.end()
-                    machine.wipe()
+                    machine.kill()
+                    machine.wipe_disk()
                     self.assertLess(core.come_back(machine).seconds, 6.0)
                 core.put(1)
 
@@ -183,12 +187,12 @@
         """Nothing there voted on a core of ours; a folder that was spoilt may have, and founds none."""
         for fault, founded in ((migration.FAULT, True), ("torn, empty or foreign", False)):
             world = World(9, ZONES, others=0)
-            for machine in world.core:
+            for machine in world.control_replicas:
                 machine.disk.load = lambda fault=fault: (None, {}, [f"core, r-636f6e666967: {fault}"])
             world.start()
             world.run(8.0)
             with self.subTest(fault):
-                self.assertEqual({m.node.control_plane.state is not None for m in world.core}, {founded})
+                self.assertEqual({m.node.control_plane.state is not None for m in world.control_replicas}, {founded})
 
 
 class TestOlderFolder(Laboratory):
@@ -200,16 +204,16 @@
         was = disk.record, dict(disk.contents)
         old = was[0].disk
         core.put(100)
-        victim.end()
+        victim.kill()
         disk.record, disk.contents = was
-        votes, ballots, opened, called_out = [], [], victim.open, victim.call
+        votes, ballots, opened, called_out = [], [], victim.listen, victim.call
 
         def watch(reply):
             if isinstance(reply, Promised | Accepted) and reply.ok and reply.disk == old:
                 votes.append((core.world.now, reply))
             return reply
 
-        def open_(fence, told, called):
+        def listen(fence, told, called):
             opened(fence, told, lambda call: maybeDeferred(called, call).addCallback(watch))
 
         def call(ip, message, timeout_s):
@@ -217,7 +221,7 @@
                 ballots.append((core.world.now, message))
             return called_out(ip, message, timeout_s)
 
-        victim.open, victim.call = open_, call
+        victim.listen, victim.call = listen, call
         victim.start()
         return old, votes, ballots
 
@@ -228,7 +232,7 @@
                     core = Core(seed)
                     core.put(5)
                     now = core.world.now
-                    first = sorted(core.machines, key=lambda m: m.node.membership.me.place)
+                    first = sorted(core.machines, key=lambda m: m.node.membership.local_member.ring_position)
                     victim = first[place]
                     other = next(m for m in core.machines if m is not victim)
                     old, votes, ballots = self.put_back(core, victim)
@@ -245,7 +249,7 @@
         core = Core(13)
         core.put(5)
         one, two, *_ = core.machines
-        one.end()
+        one.kill()
         one.disk.record, one.disk.contents = two.disk.record, dict(two.disk.contents)
         core.come_back(one)
         self.assertNotIn(one.disk.record.disk, {m.disk.record.disk for m in core.machines if m is not one})
@@ -259,7 +263,7 @@
         for seed in range(11, 17):
             core = Core(seed)
             core.put(5)
-            victim = min(core.machines, key=lambda m: m.node.membership.me.place)
+            victim = min(core.machines, key=lambda m: m.node.membership.local_member.ring_position)
             with believed, mock.patch.object(LocalReplica, "check_rollback"):
                 _, votes, ballots = self.put_back(core, victim)
                 core.put(20, at=next(m for m in core.machines if m is not victim))
@@ -275,7 +279,7 @@
                 victim, knows, late = core.machines
                 old, votes, ballots = self.put_back(core, victim)
                 core.world.run(0.3)
-                knows.end()
+                knows.kill()
                 newest = core.version
                 core.world.run(4.0)
                 self.assertEqual((votes, ballots), ([], []))
--- a/tests/balancer/golden_samples.py
+++ b/tests/balancer/golden_samples.py
@@ -25,9 +25,10 @@
 from mapleline.balancer.control.snapshot import Snapshot
 from mapleline.balancer.control.state import Replica, State, digest
 from mapleline.balancer.discovery.endpoints import EndpointList, ListedInstance
-from mapleline.balancer.membership.table import DISK, FORMED, READY, Member, MembershipTable
+from mapleline.balancer.membership.member import Member, MemberFlags
+from mapleline.balancer.membership.table import MembershipTable
 from mapleline.balancer.transport import messages
-from mapleline.balancer.transport.fencing import Fence, Outstanding, Taken
+from mapleline.balancer.transport.fencing import Fence, OutstandingCall, ReceivedCall
 
 GOLDEN = Path(__file__).parent / "golden"
 MESSAGES_FILE = GOLDEN / "messages.hex"
@@ -222,9 +223,9 @@
 
 def fence(ip: int, incarnation: int, known: dict[int, int], system: int = SYSTEM) -> Fence:
     """One process's fence that knows the incarnations of these others."""
-    table = MembershipTable(Member(ip, 0, DISK, incarnation), 0.5)
+    table = MembershipTable(Member(ip, 0, MemberFlags.HAS_DISK, incarnation), 0.5)
     for other, of_other in known.items():
-        table.learn(other, of_other)
+        table.observe_incarnation(other, of_other)
     return Fence(table, system)
 
 
@@ -248,34 +249,36 @@
     """One call, both sides of it and its reply."""
 
     caller: Fence
-    outstanding: Outstanding
+    outstanding: OutstandingCall
     request: bytes
     callee: Fence
-    taken: Taken
+    taken: ReceivedCall
     reply: bytes
 
 
 def exchange() -> Exchange:
     """A call as it is sent, taken and answered."""
     caller, callee = sender_fence(), receiver_fence()
-    outstanding, request = caller.request(RECEIVER, call_samples()["accept"])
-    taken = callee.take(request)
-    return Exchange(caller, outstanding, request, callee, taken, callee.reply(taken, reply_samples()["accepted"]))
+    outstanding, request = caller.stamp_call(RECEIVER, call_samples()["accept"])
+    taken = callee.receive_call(request)
+    return Exchange(caller, outstanding, request, callee, taken, callee.stamp_reply(taken, reply_samples()["accepted"]))
 
 
 def sealed_samples() -> dict[str, bytes]:
     """What goes out on the wire, stamps and message."""
     sender, samples = sender_fence(), datagram_samples()
-    to_one_life = sender.seal(RECEIVER, samples["replica_query"])
+    to_one_life = sender.stamp_datagram(RECEIVER, samples["replica_query"])
     call = exchange()
     return {
-        "datagram_to_any_life": sender.seal(RECEIVER, samples["heartbeat"]),
+        "datagram_to_any_life": sender.stamp_datagram(RECEIVER, samples["heartbeat"]),
         "datagram_to_one_life": to_one_life,
-        "datagram_before_founding": fence(SENDER, SENDER_INCARNATION, {}, 0).seal(RECEIVER, samples["replica_query"]),
-        "datagram_refusal": restarted_receiver_fence().open(SENDER, to_one_life)[1],
+        "datagram_before_founding": fence(SENDER, SENDER_INCARNATION, {}, 0).stamp_datagram(
+            RECEIVER, samples["replica_query"]
+        ),
+        "datagram_refusal": restarted_receiver_fence().receive_datagram(SENDER, to_one_life)[1],
         "call_request": call.request,
         "call_reply": call.reply,
-        "call_refusal": restarted_receiver_fence().take(call.request).refusal,
+        "call_refusal": restarted_receiver_fence().receive_call(call.request).refusal,
     }
 
 
@@ -314,8 +317,12 @@
 
 def heartbeat_table() -> MembershipTable:
     """A table of three ingresses."""
-    table = MembershipTable(Member(SENDER, 0, DISK | READY, SENDER_INCARNATION, 40, 99.5), 0.5)
-    table.members[RECEIVER] = Member(RECEIVER, 1, DISK | FORMED | READY, RECEIVER_INCARNATION, 41, 99.0)
+    table = MembershipTable(
+        Member(SENDER, 0, MemberFlags.HAS_DISK | MemberFlags.READY, SENDER_INCARNATION, 40, 99.5), 0.5
+    )
+    table.members[RECEIVER] = Member(
+        RECEIVER, 1, MemberFlags.HAS_DISK | MemberFlags.CAN_PROPOSE | MemberFlags.READY, RECEIVER_INCARNATION, 41, 99.0
+    )
     table.members[ADDRESSES[2]] = Member(ADDRESSES[2], 2, 0)
     return table
 
@@ -324,7 +331,7 @@
     """Bytes that a message carries and another part of the sources reads."""
     catalogue = server_catalogue()
     return {
-        "heartbeat_rows": heartbeat_table().rows(100.0),
+        "heartbeat_rows": heartbeat_table().encode(100.0),
         "server_list": catalogue.body,
         "server_list_digest": catalogue.digest.to_bytes(4, "big"),
     }
--- a/tests/balancer/proxy/proxy_harness.py
+++ b/tests/balancer/proxy/proxy_harness.py
@@ -7,7 +7,8 @@
 
 from mapleline.balancer import configuration, settings
 from mapleline.balancer.discovery.endpoints import EndpointList, ListedInstance
-from mapleline.balancer.membership.table import READY, Member, MembershipTable
+from mapleline.balancer.membership.member import Member, MemberFlags
+from mapleline.balancer.membership.table import MembershipTable
 from mapleline.balancer.proxy.outcome import EndReason
 from mapleline.balancer.proxy.proxy import Proxy
 from mapleline.balancer.proxy.slow_start_leases import SlowStartLeases
@@ -75,7 +76,7 @@
         self.clock.advance(100.0)
         self.serving = True
         boot = settings.read(boot)
-        self.membership = MembershipTable(Member(1, 0, READY, beat=100.0), 1e6)
+        self.membership = MembershipTable(Member(1, 0, MemberFlags.READY, last_heartbeat=100.0), 1e6)
         self.endpoints = EndpointList()
         self.servers = Lines(self)
         self.asks = []
--- a/tests/balancer/test_golden_bytes.py
+++ b/tests/balancer/test_golden_bytes.py
@@ -18,7 +18,8 @@
 from mapleline.balancer.control.replica import LocalReplica
 from mapleline.balancer.control.snapshot import Snapshot
 from mapleline.balancer.discovery.endpoints import EndpointList
-from mapleline.balancer.membership.table import Member, MembershipTable
+from mapleline.balancer.membership.member import Member
+from mapleline.balancer.membership.table import MembershipTable
 from mapleline.balancer.transport.fencing import UnexpectedReplyError
 from mapleline.simulation.world import Machine, World
 from tests.balancer import golden_samples as samples
@@ -96,25 +97,25 @@
             ("datagram_before_founding", "replica_query"),
         ):
             with self.subTest(name):
-                opened = samples.receiver_fence().open(samples.SENDER, self.golden[name])
+                opened = samples.receiver_fence().receive_datagram(samples.SENDER, self.golden[name])
                 self.assertEqual(opened, (datagrams[message], None))
 
     def test_a_golden_request_is_taken_and_its_golden_reply_believed(self):
         call = samples.exchange()
-        taken = samples.receiver_fence().take(self.golden["call_request"])
+        taken = samples.receiver_fence().receive_call(self.golden["call_request"])
         self.assertEqual(taken, call.taken)
         self.assertEqual(taken.message, samples.call_samples()["accept"])
-        believed = call.caller.believe(call.outstanding, self.golden["call_reply"])
+        believed = call.caller.receive_reply(call.outstanding, self.golden["call_reply"])
         self.assertEqual(believed, samples.reply_samples()["accepted"])
 
     def test_golden_refusals_teach_the_sender_the_other_life(self):
         restarted = samples.RECEIVER_INCARNATION + 1
         sender = samples.sender_fence()
-        self.assertEqual(sender.open(samples.RECEIVER, self.golden["datagram_refusal"]), (None, None))
+        self.assertEqual(sender.receive_datagram(samples.RECEIVER, self.golden["datagram_refusal"]), (None, None))
         self.assertEqual(sender.membership.incarnation(samples.RECEIVER), restarted)
         call = samples.exchange()
         with self.assertRaises(UnexpectedReplyError) as refusal:
-            call.caller.believe(call.outstanding, self.golden["call_refusal"])
+            call.caller.receive_reply(call.outstanding, self.golden["call_refusal"])
         self.assertEqual(str(refusal.exception), "refused")
         self.assertEqual(call.caller.membership.incarnation(samples.RECEIVER), restarted)
 
@@ -136,12 +137,12 @@
     def test_a_golden_table_is_merged_whole(self):
         table = MembershipTable(Member(0x0A090001, 0, 0), 0.5)
         self.assertTrue(table.merge(200.0, self.golden["heartbeat_rows"]))
-        merged = [member for ip, member in table.members.items() if ip != table.me.ip]
+        merged = [member for ip, member in table.members.items() if ip != table.local_member.ip]
         sent = list(samples.heartbeat_table().members.values())
         for member in sent:  # ages are kept, up to the largest: a hundred seconds lie between the two clocks
-            member.beat = max(member.beat + 100.0, 200.0 - 655.35)
-        known = [member for member in sent if member.count]
-        self.assertEqual([one for one in merged if one.count], known)
+            member.last_heartbeat = max(member.last_heartbeat + 100.0, 200.0 - 655.35)
+        known = [member for member in sent if member.heartbeat_count]
+        self.assertEqual([one for one in merged if one.heartbeat_count], known)
         self.assertEqual({member.ip for member in merged}, set(samples.ADDRESSES))
 
     def test_a_golden_list_is_taken_and_has_the_golden_digest(self):
--- a/tests/balancer/test_parts.py
+++ b/tests/balancer/test_parts.py
@@ -10,8 +10,6 @@
 from mapleline.balancer.control.read_lease import ReadLease
 from mapleline.balancer.control.reconfiguration import ReplicaStatus, due
 from mapleline.balancer.control.state import PAST_MOST, Replica, State, genesis, reformed, settled
-from mapleline.balancer.membership.leadership import Leadership, first
-from mapleline.balancer.membership.table import DISK, READY, Member, MembershipTable
 from mapleline.balancer.proxy import outcome
 from mapleline.balancer.proxy.outcome import Outcome
 from mapleline.balancer.quota.counters import CounterTable, holders
@@ -209,101 +207,6 @@
         self.assertIsNone(self.due(state, ReplicaStatus(third, True)))  # three of six in one zone
 
 
-class TestRegister(unittest.TestCase):
-    def test_news_is_as_old_as_it_is_however_it_came(self):
-        a, b, c = (MembershipTable(Member(ip, 0, DISK if ip == 1 else 0, incarnation=5), 0.85) for ip in (1, 2, 3))
-        a.tick(100.0, DISK | READY)
-        b.merge(100.1, a.rows(100.1))
-        b.tick(102.0, READY)
-        c.tick(102.5, READY)
-        self.assertTrue(c.merge(102.5, b.rows(102.5)))
-        self.assertEqual([m.ip for m in c.alive(102.5, READY)], [3, 2, 1])
-        self.assertEqual([m.ip for m in c.alive(103.2)], [3, 2])  # three seconds after its beat
-        self.assertEqual(c.missing(103.2), [1])
-        c.pinned = {1}  # a voter's row stays, whoever has not been heard of
-        c.tick(200.0, READY)
-        self.assertEqual(sorted(c.members), [1, 3])
-
-    def test_a_restart_outranks_and_a_ring_names_the_watchers(self):
-        a = MembershipTable(Member(1, 0, 0, incarnation=5), 3.0)
-        others = [MembershipTable(Member(ip, 0, 0, incarnation=1), 3.0) for ip in range(2, 12)]
-        for other in others:
-            other.tick(10.0, READY)
-            a.merge(10.0, other.rows(10.0))
-        a.tick(10.0, READY)
-        self.assertEqual([len(a.watchers(10.0, {0}, 0, far)) for far in (False, True)], [2, 2])
-        others[0].me.zone = others[1].me.zone = 1
-        for other in others[:2]:
-            other.tick(10.1, READY)
-            a.merge(10.1, other.rows(10.1))
-        self.assertEqual([len(a.watchers(10.1, {0}, 0, far)) for far in (False, True)], [2, 3])
-        again = MembershipTable(Member(2, 0, 0, incarnation=9), 3.0)
-        again.tick(11.0, 0)
-        a.merge(11.0, again.rows(11.0))
-        self.assertEqual((a.members[2].incarnation, a.members[2].flags), (9, 0))
-        a.merge(11.1, others[0].rows(11.1))  # the earlier life's row comes late
-        self.assertEqual(a.members[2].incarnation, 9)
-
-    def test_who_is_alone_knows_how_many_there_were(self):
-        one = MembershipTable(Member(1, 0, READY, beat=100.0), 0.5)
-        for ip in range(2, 12):
-            one.know(ip, 0, READY)
-            one.members[ip].beat = 100.0
-        self.assertEqual((one.alone(101.0), one.alone(120.0), one.alone(170.0)), (1.0, 11.0, 1.0))
-        one.tick(120.0, READY)  # 11 known, itself heard of
-        self.assertEqual(one.alone(120.0), 11.0)
-
-    def test_news_is_everywhere_before_anybody_is_taken_for_lost(self):
-        """Beats in turn, none lost: rows as old as can be at 11, 40 and 82 ingresses in two regions."""
-        for n in (11, 40, 82):
-            all = {ip: MembershipTable(Member(ip, ip % 4, 0, incarnation=1), 0.5) for ip in range(1, n + 1)}
-            for one in all.values():
-                for other in all.values():
-                    one.know(other.me.ip, other.me.zone, READY)
-                    one.members[other.me.ip].beat = 100.0
-            oldest, phases = 0.0, {ip: random.Random(ip).random() for ip in all}
-            for beat in range(40):
-                for ip, one in sorted(all.items(), key=lambda item: phases[item[0]]):
-                    now = 100.0 + 0.5 * (beat + phases[ip])
-                    one.tick(now, READY)
-                    near = {zone for zone in range(4) if zone % 2 == one.me.zone % 2}
-                    for to in one.watchers(now, near, beat, (beat + ip) % 2 == 0):
-                        all[to].merge(now, one.rows(now))
-                    if beat > 10:
-                        oldest = max(oldest, now - min(m.beat for m in one.members.values()))
-            self.assertLess(oldest, all[1].silent_s, n)
-
-
-class TestCustody(unittest.TestCase):
-    def test_the_holder_names_the_next_and_a_majority_does_once_it_is_lost(self):
-        core = [1, 2, 3, 4]
-        a, b, c = Leadership(1), Leadership(2), Leadership(3)
-        term = a.claim()
-        self.assertEqual([a.granted(term, ip, core) for ip in (1, 9, 2, 2, 3)], [False, False, False, False, True])
-        self.assertTrue(b.told(a.term, a.holder))
-        self.assertFalse(b.told(a.term, a.holder))
-        a.hand_on(3)
-        a.hand_on(2)  # it is no longer its to name
-        self.assertTrue(b.told(a.term, a.holder) and c.told(a.term, a.holder) and c.mine)
-        self.assertFalse(b.vote(b.claim(), lost=False))  # who still hears of the holder does not vote it out
-        self.assertTrue(b.vote(3, lost=True))
-        self.assertFalse(b.vote(3, lost=True))  # one vote a term
-        self.assertEqual(c.told(2, 1), False)  # what is older comes late
-
-    def test_two_claims_of_one_term_never_both_have_a_majority(self):
-        core = [1, 2, 3, 4]
-        seats = {ip: Leadership(ip) for ip in core}
-        terms = {ip: seats[ip].claim() for ip in (1, 2)}
-        for voter, order in ((1, (1, 2)), (2, (2, 1)), (3, (1, 2)), (4, (2, 1))):
-            for ip in order:
-                if seats[voter].vote(terms[ip], lost=True):
-                    seats[ip].granted(terms[ip], voter, core)
-        self.assertEqual([seats[ip].mine for ip in (1, 2)], [False, False])  # two votes each: neither
-        self.assertGreater(seats[1].claim(), terms[1])
-        self.assertEqual(first([Member(5, 0, 0), Member(6, 0, DISK), Member(7, 0, DISK)]), 7)
-        self.assertEqual(first([]), 0)
-
-
 class TestTallies(unittest.TestCase):
     def test_the_estimate_refuses_above_the_limit_and_says_when(self):
         self.assertEqual(weighted(10, 0.25, 3), 5.5)
--- a/tests/balancer/transport/test_fencing.py
+++ b/tests/balancer/transport/test_fencing.py
@@ -10,11 +10,13 @@
 from twisted.internet.defer import Deferred
 
 from mapleline.balancer.control.replica_monitor import ReplicaMonitor
-from mapleline.balancer.membership.table import DISK, READY, Member, MembershipTable
+from mapleline.balancer.membership.member import Member, MemberFlags
+from mapleline.balancer.membership.table import MembershipTable
 from mapleline.balancer.quota.client import QuotaClient
 from mapleline.balancer.quota.counters import CounterTable
 from mapleline.balancer.transport import connections, messages
-from mapleline.balancer.transport.fencing import CALL, STAMPS, Fence, UnexpectedReplyError
+from mapleline.balancer.transport.errors import DropReason, UnexpectedReplyError
+from mapleline.balancer.transport.fencing import Fence
 from mapleline.balancer.transport.messages import (
     Accepted,
     CounterIncrement,
@@ -25,80 +27,85 @@
     LoadReport,
     Promised,
 )
+from mapleline.balancer.transport.stamps import CALL_STAMPS_BYTES, CallStamps, DatagramStamps
 from mapleline.simulation.scenarios import AFTER_S, ZONES, Day, play
 from mapleline.simulation.world import World
 
 BEAT = Heartbeat(b"", 0, 0, 0)
 TALLY = CounterIncrement(1, "t", 8, 1.0, [], 5.0)
-BELIEVES_ALL = mock.patch.object(Fence, "_why_not", lambda *_: None)
+BELIEVES_ALL = mock.patch.object(Fence, "_check_stamps", lambda *_: None)
 
 
 def fence(ip, incarnation, system=0, **known):
     """Of an ingress that knows others by `i2=incarnation`."""
     membership = MembershipTable(Member(ip, 0, 0, incarnation, 1, 0.0), 0.5)
     for name, other in known.items():
-        membership.members[int(name[1:])] = Member(int(name[1:]), 0, READY | DISK, other, 7, 0.0)
+        membership.members[int(name[1:])] = Member(
+            int(name[1:]), 0, MemberFlags.READY | MemberFlags.HAS_DISK, other, 7, 0.0
+        )
     return Fence(membership, system)
 
 
 class TestDatagrams(unittest.TestCase):
     def believed(self, to, by, data):
-        return to.open(by.me.ip, data)[0] is not None
+        return to.receive_datagram(by.membership.local_member.ip, data)[0] is not None
 
     def dropped(self, why, to, by, data):
         """It is not believed, counted under that name, and would be without the fence; gives what goes back."""
         with BELIEVES_ALL:
             self.assertTrue(self.believed(to, by, data))
-        message, back = to.open(by.me.ip, data)
+        message, back = to.receive_datagram(by.membership.local_member.ip, data)
         self.assertIsNone(message)
         self.assertEqual(dict(to.dropped), {why: 1})
         return back
 
     def test_another_systems_are_nothing_and_one_not_known_yet_is_none(self):
         a = fence(1, 10, 0xAAAA)
-        self.assertIsNone(self.dropped("system", fence(2, 20, 0xBBBB), a, a.seal(2, TALLY)))
+        self.assertIsNone(self.dropped(DropReason.FOREIGN_SYSTEM, fence(2, 20, 0xBBBB), a, a.stamp_datagram(2, TALLY)))
         for system in (0, 0xAAAA):
-            self.assertTrue(self.believed(fence(2, 20, system), a, a.seal(2, TALLY)))
-        a.system = 0
-        self.assertTrue(self.believed(fence(2, 20, 0xBBBB), a, a.seal(2, TALLY)))
+            self.assertTrue(self.believed(fence(2, 20, system), a, a.stamp_datagram(2, TALLY)))
+        a.system_id = 0
+        self.assertTrue(self.believed(fence(2, 20, 0xBBBB), a, a.stamp_datagram(2, TALLY)))
 
     def test_what_an_earlier_life_sent_is_not_its_successors(self):
         a, b = fence(1, 10), fence(2, 20)
-        late = a.seal(2, TALLY)
-        self.assertTrue(self.believed(b, a, fence(1, 11).seal(2, BEAT)))  # a stranger yet: in no table
-        self.dropped("older", b, a, late)
+        late = a.stamp_datagram(2, TALLY)
+        self.assertTrue(self.believed(b, a, fence(1, 11).stamp_datagram(2, BEAT)))  # a stranger yet: in no table
+        self.dropped(DropReason.STALE_SENDER, b, a, late)
 
     def test_what_was_meant_for_an_earlier_life_teaches_who_sent_it_at_once(self):
         a, b = fence(1, 10, i2=20), fence(2, 21)
-        back = self.dropped("not_me", b, a, a.seal(2, TALLY))
-        self.assertEqual(a.open(2, back), (None, None))  # a refusal is not refused
-        self.assertTrue(self.believed(b, a, a.seal(2, TALLY)))
+        back = self.dropped(DropReason.OTHER_INCARNATION, b, a, a.stamp_datagram(2, TALLY))
+        self.assertEqual(a.receive_datagram(2, back), (None, None))  # a refusal is not refused
+        self.assertTrue(self.believed(b, a, a.stamp_datagram(2, TALLY)))
         new = a.membership.members[2]  # of the new life nothing is known but that it keeps its disk
-        self.assertEqual((new.incarnation, new.count, new.flags), (21, 0, DISK))
-        self.assertTrue(self.believed(b, a, fence(1, 10, i2=20).seal(2, BEAT)))  # beats come through
-        a.open(2, back)
-        self.assertEqual(a.me.incarnation, 10)
+        self.assertEqual((new.incarnation, new.heartbeat_count, new.flags), (21, 0, MemberFlags.HAS_DISK))
+        self.assertTrue(self.believed(b, a, fence(1, 10, i2=20).stamp_datagram(2, BEAT)))  # beats come through
+        a.receive_datagram(2, back)
+        self.assertEqual(a.membership.local_member.incarnation, 10)
 
     def test_a_life_whose_clock_was_set_back_becomes_the_newest_by_one_exchange(self):
         a, b = fence(1, 5), fence(2, 20, i1=10)
-        back = self.dropped("older", b, a, a.seal(2, TALLY))
-        a.open(2, back)
-        self.assertEqual(a.me.incarnation, 11)
-        self.assertTrue(self.believed(b, a, a.seal(2, TALLY)))
-        with mock.patch.object(MembershipTable, "outdo", lambda *_: None):
+        back = self.dropped(DropReason.STALE_SENDER, b, a, a.stamp_datagram(2, TALLY))
+        a.receive_datagram(2, back)
+        self.assertEqual(a.membership.local_member.incarnation, 11)
+        self.assertTrue(self.believed(b, a, a.stamp_datagram(2, TALLY)))
+        with mock.patch.object(MembershipTable, "refute", lambda *_: None):
             c = fence(3, 5)
-            c.open(2, STAMPS.pack(0, 20, 10))
-        self.assertEqual(c.me.incarnation, 5)
-        self.assertEqual(b.open(1, b"short"), (None, None))
-        self.assertEqual(b.open(1, STAMPS.pack(0, 11, 0) + b"\xc1"), (None, None))
-        self.assertEqual(dict(b.dropped), {"older": 1, "short": 1, "undecodable": 1})
+            c.receive_datagram(2, DatagramStamps(0, 20, 10).encode())
+        self.assertEqual(c.membership.local_member.incarnation, 5)
+        self.assertEqual(b.receive_datagram(1, b"short"), (None, None))
+        self.assertEqual(b.receive_datagram(1, DatagramStamps(0, 11, 0).encode() + b"\xc1"), (None, None))
+        self.assertEqual(
+            dict(b.dropped), {DropReason.STALE_SENDER: 1, DropReason.TRUNCATED: 1, DropReason.UNDECODABLE: 1}
+        )
 
     def test_what_is_told_again_and_again_never_goes_back(self):
         a, b = fence(1, 10), fence(2, 20)
-        told = [a.turn(), a.turn(), a.turn()]
-        self.assertEqual([b.newest(1, told[n]) for n in (0, 2, 1, 2)], [True, True, False, False])
-        b.open(1, fence(1, 11).seal(2, BEAT))
-        self.assertTrue(b.newest(1, 1))  # another life counts anew
+        told = [a.next_sequence(), a.next_sequence(), a.next_sequence()]
+        self.assertEqual([b.accept_sequence(1, told[n]) for n in (0, 2, 1, 2)], [True, True, False, False])
+        b.receive_datagram(1, fence(1, 11).stamp_datagram(2, BEAT))
+        self.assertTrue(b.accept_sequence(1, 1))  # another life counts anew
 
 
 class TestCalls(unittest.TestCase):
@@ -107,47 +114,47 @@
 
     def asked(self, by=None):
         """A call of the first that is out, and what the second (or another) has taken."""
-        out, data = self.a.request(2, FetchState())
-        return out, (by or self.b).take(data)
+        out, data = self.a.stamp_call(2, FetchState())
+        return out, (by or self.b).receive_call(data)
 
     def unbelieved(self, why, out, data):
-        over = out.over
-        with mock.patch.object(Fence, "_why_not_reply", lambda *_: None):
-            self.assertEqual(self.a.believe(out, data), Accepted(True, 1))
-        out.over = over
+        over = out.has_reply
+        with mock.patch.object(Fence, "_check_reply", lambda *_: None):
+            self.assertEqual(self.a.receive_reply(out, data), Accepted(True, 1))
+        out.has_reply = over
         with self.assertRaises(UnexpectedReplyError) as caught:
-            self.a.believe(out, data)
+            self.a.receive_reply(out, data)
         self.assertEqual((str(caught.exception), self.a.dropped[why]), (why, 1))
         self.a.dropped.clear()
 
     def test_only_the_answer_to_the_call_that_is_out_is_believed_and_once(self):
         out, taken = self.asked()
-        data = self.b.reply(taken, Accepted(True, 1))
-        self.assertEqual(self.a.believe(out, data), Accepted(True, 1))
-        self.unbelieved("surplus", out, data)
-        self.unbelieved("other_call", self.asked()[0], data)
+        data = self.b.stamp_reply(taken, Accepted(True, 1))
+        self.assertEqual(self.a.receive_reply(out, data), Accepted(True, 1))
+        self.unbelieved(DropReason.SURPLUS_REPLY, out, data)
+        self.unbelieved(DropReason.OTHER_CALL, self.asked()[0], data)
         other = fence(3, 10, i2=20)  # began when we did, and has called as often
-        taken = self.b.take(other.request(2, FetchState())[1])
+        taken = self.b.receive_call(other.stamp_call(2, FetchState())[1])
         self.a = fence(1, 10, i2=20)
-        self.unbelieved("other_call", self.asked()[0], self.b.reply(taken, Accepted(True, 1)))
+        self.unbelieved(DropReason.OTHER_CALL, self.asked()[0], self.b.stamp_reply(taken, Accepted(True, 1)))
 
     def test_only_from_whom_was_asked_in_the_life_that_was_asked(self):
         third = fence(3, 20)
         out, taken = self.asked(third)
-        self.unbelieved("other_call", out, third.reply(taken, Accepted(True, 1)))
+        self.unbelieved(DropReason.OTHER_CALL, out, third.stamp_reply(taken, Accepted(True, 1)))
         out, taken = self.asked()
-        self.a.system, self.b.system = 0xAAAA, 0xBBBB
-        self.unbelieved("system", out, self.b.reply(taken, Accepted(True, 1)))
-        self.a.system = 0
+        self.a.system_id, self.b.system_id = 0xAAAA, 0xBBBB
+        self.unbelieved(DropReason.FOREIGN_SYSTEM, out, self.b.stamp_reply(taken, Accepted(True, 1)))
+        self.a.system_id = 0
         out, taken = self.asked()
-        self.a.me.incarnation = 11  # not the caller any more: it was raised meanwhile
-        self.unbelieved("not_me", out, self.b.reply(taken, Accepted(True, 1)))
+        self.a.membership.local_member.incarnation = 11  # not the caller any more: it was raised meanwhile
+        self.unbelieved(DropReason.OTHER_INCARNATION, out, self.b.stamp_reply(taken, Accepted(True, 1)))
         out, taken = self.asked()
-        old = self.b.reply(taken, Accepted(True, 1))
-        self.b.me.incarnation = 21
-        self.unbelieved("other_life", out, self.b.reply(taken, Accepted(True, 1)))
-        out.over, out.wanted = False, 0
-        self.unbelieved("older", out, old)  # who answered was over before its answer came
+        old = self.b.stamp_reply(taken, Accepted(True, 1))
+        self.b.membership.local_member.incarnation = 21
+        self.unbelieved(DropReason.CALLEE_RESTARTED, out, self.b.stamp_reply(taken, Accepted(True, 1)))
+        out.has_reply, out.receiver_incarnation = False, 0
+        self.unbelieved(DropReason.STALE_SENDER, out, old)  # who answered was over before its answer came
 
     def test_a_call_meant_for_an_earlier_life_is_not_carried_out_and_fails_at_once(self):
         b = fence(2, 21)
@@ -156,11 +163,11 @@
         out, taken = self.asked(b)
         self.assertIsNone(taken.message)
         with self.assertRaises(UnexpectedReplyError):
-            self.a.believe(out, taken.refusal)
+            self.a.receive_reply(out, taken.refusal)
         self.assertEqual(self.asked(b)[1].message, FetchState())
-        b.system, self.a.system = 0xBBBB, 0xAAAA
+        b.system_id, self.a.system_id = 0xBBBB, 0xAAAA
         self.assertEqual((self.asked(b)[1].message, self.asked(b)[1].refusal), (None, b""))
-        self.assertEqual(dict(b.dropped), {"not_me": 1, "system": 2})
+        self.assertEqual(dict(b.dropped), {DropReason.OTHER_INCARNATION: 1, DropReason.FOREIGN_SYSTEM: 2})
 
 
 class TestCourier(unittest.TestCase):
@@ -168,12 +175,12 @@
 
     def setUp(self):
         self.a, self.b, self.carried_out = fence(1, 10, i2=20), fence(2, 20), []
-        self.out, data = self.a.request(2, FetchState(7))
+        self.out, data = self.a.stamp_call(2, FetchState(7))
         self.done = Deferred()
         self.failed, self.got = [], []
         self.done.addCallbacks(self.got.append, lambda reason: self.failed.append(str(reason.value)))
-        self.calling = connections._Calling(self.a, self.out, self.done)
-        self.answering = connections.AnswerFactory(self.b, self.answer).buildProtocol(None)
+        self.calling = connections.CallerConnection(self.a, self.out, self.done)
+        self.answering = connections.CalleeFactory(self.b, self.answer).buildProtocol(None)
         for end in (self.calling, self.answering):
             end.makeConnection(mock.Mock())
         self.calling.sendString(data)
@@ -189,7 +196,9 @@
         self.answering.dataReceived(self.written(self.calling))
         answer = self.written(self.answering)
         self.calling.dataReceived(answer + answer)
-        self.assertEqual((self.got, self.failed, dict(self.a.dropped)), ([FetchedState()], [], {"surplus": 1}))
+        self.assertEqual(
+            (self.got, self.failed, dict(self.a.dropped)), ([FetchedState()], [], {DropReason.SURPLUS_REPLY: 1})
+        )
         self.answering.dataReceived(self.written(self.calling))
         self.assertEqual(self.carried_out, [FetchState(7)])
         self.answering.transport.abortConnection.assert_called_once()
@@ -203,10 +212,10 @@
             self.assertEqual((self.got, len(self.failed)), ([], 1))
 
     def test_who_has_begun_anew_says_so_and_does_nothing(self):
-        self.b.me.incarnation = 21
+        self.b.membership.local_member.incarnation = 21
         self.answering.dataReceived(self.written(self.calling))
         self.calling.dataReceived(self.written(self.answering))
-        self.assertEqual((self.carried_out, self.failed), ([], ["refused"]))
+        self.assertEqual((self.carried_out, self.failed), ([], [DropReason.REFUSED]))
         self.assertEqual(self.a.membership.incarnation(2), 21)
 
 
@@ -264,21 +273,21 @@
 
     def test_a_life_that_uses_its_predecessors_nonces_is_counted(self):
         def total(key):
-            with mock.patch.object(MembershipTable, "life", key):
+            with mock.patch.object(MembershipTable, "session_key", key):
                 a, b = fence(1, 10), fence(2, 20)
                 quota_client = QuotaClient(
                     mock.Mock(seconds=lambda: 0.0),
                     mock.Mock(zones={"z1": "r1"}),
-                    mock.Mock(unix=lambda: 1.0),
+                    mock.Mock(unix_time=lambda: 1.0),
                     b.membership,
                     lambda: 1,
                 )
                 for sender in (a, a, fence(1, 11)):
-                    message, _ = b.open(1, sender.seal(2, TALLY))
+                    message, _ = b.receive_datagram(1, sender.stamp_datagram(2, TALLY))
                     quota_client.told(1, message)
                 return quota_client.names.own("t", 8)
 
-        self.assertEqual(total(MembershipTable.life), 2.0)
+        self.assertEqual(total(MembershipTable.session_key), 2.0)
         self.assertEqual(total(lambda self, ip: ip), 1.0)
 
     def test_a_holder_that_began_anew_is_told_the_whole_at_once(self):
@@ -293,7 +302,7 @@
         quota_client = QuotaClient(
             mock.Mock(seconds=lambda: 0.0),
             mock.Mock(zones={"z1": "r1"}),
-            mock.Mock(unix=lambda: 1.0),
+            mock.Mock(unix_time=lambda: 1.0),
             fence(1, 10, i2=20, i3=30).membership,
             lambda: 1,
         )
@@ -340,11 +349,11 @@
         self.assertEqual(fetched(), 0.0)
 
         def dates_nothing(self, now, rows, merge=MembershipTable.merge):
-            fresh, self.told_at = merge(self, now, rows), now
+            fresh, self.last_merge_sent_at = merge(self, now, rows), now
             return fresh
 
         with (
-            mock.patch.object(MembershipTable, "overtaken", lambda *_: False),
+            mock.patch.object(MembershipTable, "is_superseded", lambda *_: False),
             mock.patch.object(MembershipTable, "merge", dates_nothing),
         ):  # either of them is enough
             self.assertGreater(fetched(), 1.0)
@@ -357,20 +366,20 @@
             return other.node.proxy.near[one.ip][1].out
 
         self.assertEqual(out(), {7: 5})
-        with mock.patch.object(Fence, "newest", lambda *_: True):
+        with mock.patch.object(Fence, "accept_sequence", lambda *_: True):
             self.assertEqual(out(), {7: 3})
 
     def test_a_machine_whose_clock_was_set_back_is_the_newest_as_soon_as_it_has_asked(self):
         def newest():
             world = self.world()
             one = next(m for m in world.machines.values() if m.disk is None)
-            earlier = one.node.membership.me.incarnation
-            one.end()
+            earlier = one.node.membership.local_member.incarnation
+            one.kill()
             world.run(9.0)  # nobody sends it beats any more
-            one.skew = -100.0
+            one.clock_skew_s = -100.0
             one.start()
             world.run(0.8)
-            at_once = one.node.membership.me.incarnation > earlier
+            at_once = one.node.membership.local_member.incarnation > earlier
             world.run(1.5)
             for other in world.machines.values():
                 self.assertIn(one.ip, {m.ip for m in other.node.membership.alive(world.now)})
@@ -435,21 +444,22 @@
         for closing in ("kill", "wipe"):
             found, day = play(3, troubles, 9.0, closing)
             self.assertEqual(found, [], closing)
-            why = sum((m.node.fence.dropped for m in day.world.machines.values() if m.up), Counter())
-            self.assertTrue({"other_call", "surplus", "overtaken"} <= set(why), why)
+            why = sum((m.node.fence.dropped for m in day.world.machines.values() if m.is_running), Counter())
+            self.assertTrue({DropReason.OTHER_CALL, DropReason.SURPLUS_REPLY, DropReason.OUT_OF_ORDER} <= set(why), why)
 
     def test_an_answer_to_another_call_acknowledges_nothing(self):
         def lost():
             day = Day(3)
             world = day.world
             day.begin()
-            first = next(m for m in world.core if m.node.control_plane.monitor.coordinator(world.now) == m.ip)
-            earlier, others = {}, [m for m in world.core if m is not first]
+            replicas = world.control_replicas
+            first = next(m for m in replicas if m.node.control_plane.monitor.coordinator(world.now) == m.ip)
+            earlier, others = {}, [m for m in replicas if m is not first]
 
             def astray(to, data):
                 """Who refuses seems to say what it said when it did not."""
-                reply = messages.decode_reply(data[CALL.size :])
-                kind = CALL.unpack_from(data)[4], type(reply)
+                reply = messages.decode_reply(data[CALL_STAMPS_BYTES:])
+                kind = CallStamps.decode(data).sender_ip, type(reply)
                 if to is not first or not isinstance(reply, Promised | Accepted):
                     return data
                 return earlier.setdefault(kind, data) if reply.ok else earlier.get(kind, data)
@@ -458,19 +468,19 @@
             day.operator.config(at=first)
             world.run(1.0)
             for machine in others:
-                machine.disk.refuses = True
+                machine.disk.refuses_writes = True
             day.operator.config(at=first)
             world.run(1.5)
             day.kill(list(world.machines.values()), 0.5)
-            first.wipe()
+            first.wipe_disk()
             for machine in others:
-                machine.disk.refuses = False
+                machine.disk.refuses_writes = False
             world.run(AFTER_S)
             return day.read_back()
 
         self.assertEqual(lost(), [])
         with (
-            mock.patch.object(Fence, "_why_not_reply", lambda *_: None),
+            mock.patch.object(Fence, "_check_reply", lambda *_: None),
             mock.patch.object(ReplicaMonitor, "record_turn", lambda *_: True),
         ):  # either is enough
             self.assertTrue(lost()[0].startswith("LOST"))
--- a/tests/simulation/test_directed_scenarios.py
+++ b/tests/simulation/test_directed_scenarios.py
@@ -46,7 +46,7 @@
 
     def sync(self, acceptor):
         if self.store is not None:
-            self.environment.in_thread(self.store.save, acceptor.record, dict(self.committed.contents)).addErrback(
+            self.environment.run_in_thread(self.store.save, acceptor.record, dict(self.committed.contents)).addErrback(
                 lambda _: None
             )
         acceptor.synced(acceptor.record)
@@ -72,7 +72,7 @@
 
 def knows_its_seeds_alone():
     """What an earlier life knew of the others is forgotten."""
-    return mock.patch(BALANCER + "membership.table.MembershipTable.know", lambda *_: None)
+    return mock.patch(BALANCER + "membership.table.MembershipTable.add_member", lambda *_: None)
 
 
 def takes_whatever_it_is_asked():
@@ -126,7 +126,7 @@
 
 def believes_any_reply():
     """A reply is believed for whatever call is out."""
-    return mock.patch(BALANCER + "transport.fencing.Fence._why_not_reply", lambda *_: None)
+    return mock.patch(BALANCER + "transport.fencing.Fence._check_reply", lambda *_: None)
 
 
 def counts_by_the_wall_clock():
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -114,7 +114,7 @@
 
     def test_nothing_acknowledged_is_lost_with_the_power_of_all_and_one_disk(self):
         def sync(self, acceptor):
-            self.environment.in_thread(self.store.save, acceptor.record, dict(self.committed.contents)).addErrback(
+            self.environment.run_in_thread(self.store.save, acceptor.record, dict(self.committed.contents)).addErrback(
                 lambda _: None
             )
             acceptor.synced(acceptor.record)
@@ -200,7 +200,7 @@
     def test_the_list_is_fresh_everywhere_though_its_holder_is_cut_off_from_the_core(self):
         def troubles(day):
             world = day.world
-            holder = next(m for m in world.machines.values() if m.node.leadership.mine)
+            holder = next(m for m in world.machines.values() if m.node.leadership.is_leader)
             holders.append(holder)
             day.cut([holder], world.control_replicas, 5.0)
             day.look = lambda: (
@@ -226,7 +226,9 @@
             day.cut([others[-1]], others, 9.0)
             day.kept["b2"] = [others[-1]]
 
-        self.breaks("QUOTA", cut_off, mock.patch.object(MembershipTable, "alone", lambda *_: 1.0), 9.0, load=3.0)
+        self.breaks(
+            "QUOTA", cut_off, mock.patch.object(MembershipTable, "isolation_factor", lambda *_: 1.0), 9.0, load=3.0
+        )
 
     def test_quotas_and_what_may_have_run(self):
         self.breaks("QUOTA", hot, mock.patch.object(Tenancy, "over", lambda *_: None))
--- a/tests/simulation/test_slow_start_scenarios.py
+++ b/tests/simulation/test_slow_start_scenarios.py
@@ -7,7 +7,8 @@
 from zlib import crc32
 
 from mapleline.balancer.discovery.endpoints import EndpointList, ListedInstance
-from mapleline.balancer.membership.table import Member, MembershipTable
+from mapleline.balancer.membership.member import Member
+from mapleline.balancer.membership.table import MembershipTable
 from mapleline.balancer.node import Node
 from mapleline.balancer.proxy import proxy, slow_start_leases
 from mapleline.balancer.proxy.proxy import Proxy
@@ -246,17 +247,17 @@
 class TestCatalogue(unittest.TestCase):
     def test_a_list_is_not_newer_for_a_beat_that_waited(self):
         one, other = (MembershipTable(Member(ip, 0, 0, incarnation=5), 0.5) for ip in (1, 2))
-        one.tick(10.0, 0)
-        other.merge(10.02, one.rows(10.0))
-        beat = other.rows(10.30)
+        one.record_heartbeat(10.0, 0)
+        other.merge(10.02, one.encode(10.0))
+        beat = other.encode(10.30)
         one.merge(10.32, beat)
-        self.assertTrue(10.25 < one.told_at <= 10.30)
-        one.tick(13.0, 0)
+        self.assertTrue(10.25 < one.last_merge_sent_at <= 10.30)
+        one.record_heartbeat(13.0, 0)
         one.merge(13.0, beat)  # it lay here while this process stood still
-        self.assertTrue(10.25 < one.told_at <= 10.30)
-        one.me.incarnation = 6  # another life has made other beats
+        self.assertTrue(10.25 < one.last_merge_sent_at <= 10.30)
+        one.local_member.incarnation = 6  # another life has made other beats
         one.merge(13.0, beat)
-        self.assertLess(one.told_at, 0.0)
+        self.assertLess(one.last_merge_sent_at, 0.0)
 
     def test_ends_of_cold_times_as_others_hear_of_them(self):
         def listed(left):
