--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -23,24 +23,26 @@
 
 from boltons.tableutils import Table  # noqa: E402
 
-from mapleline.balancer.cli.trial import CONTROL, ZONES, Trial, configuration, until  # noqa: E402
+from mapleline.balancer.cli.trial.cluster import TrialCluster, wait_until  # noqa: E402
+from mapleline.balancer.cli.trial.layout import CONTROL_PORT, INITIAL_NODES, NODE_ADDRESSES  # noqa: E402
+from mapleline.balancer.cli.trial.sample_configuration import sample_configuration  # noqa: E402
 from mapleline.balancer.control.snapshot import FOLDER  # noqa: E402
 
 STEP_S = 0.01
 
 
-def status(trial: Trial, name: str) -> dict:
-    said, text = trial.call(name, CONTROL, "GET", "/status", timeout=1.0)
-    return json.loads(text) if said == 200 else {}
+def status(trial: TrialCluster, name: str) -> dict:
+    answer = trial.get(name, CONTROL_PORT, "/status", timeout_s=1.0)
+    return json.loads(answer.text) if answer.status == 200 else {}
 
 
-def come_back(trial: Trial, name: str, version: int) -> float:
+def come_back(trial: TrialCluster, name: str, version: int) -> float:
     """Seconds until it votes and holds that version, and nobody is between two sets of voters."""
     began = time.monotonic()
     trial.start(name, False)
     while time.monotonic() < began + 30:
         said = status(trial, name)
-        me = [row for row in said.get("members", ()) if row["address"] == trial.places[name]]
+        me = [row for row in said.get("members", ()) if row["address"] == NODE_ADDRESSES[name]]
         if said.get("formed") and said["config_version"] == version and me and me[0]["kept"] == said["number"]:
             return time.monotonic() - began
         time.sleep(STEP_S)
@@ -51,18 +53,18 @@
     return f"{statistics.median(values):.2f} ({min(values):.2f}-{max(values):.2f})"
 
 
-def measure(trial: Trial, counts: list[int], rounds: int) -> list[dict]:
-    zones, rows, version = list(ZONES), [], 0
+def measure(trial: TrialCluster, counts: list[int], rounds: int) -> list[dict]:
+    zones, rows, version = list(INITIAL_NODES), [], 0
 
     def put() -> float:
         nonlocal version
         version += 1
         began = time.monotonic()
-        if trial.order("z1", configuration(version)) != 200:
+        if trial.replace_configuration("z1", sample_configuration(version)) != 200:
             raise SystemExit(f"version {version} was not acknowledged")
         return time.monotonic() - began
 
-    fault = until("the first order", lambda: trial.order("z1", configuration(1)) == 200)
+    fault = wait_until("the first order", lambda: trial.replace_configuration("z1", sample_configuration(1)) == 200)
     if fault:
         raise SystemExit(fault)
     version = 1
@@ -97,9 +99,9 @@
     parser.add_argument("--rounds", type=int, default=5)
     asked = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="mapleline-recovery-") as folder:
-        trial = Trial(Path(folder))
+        trial = TrialCluster(Path(folder))
         try:
-            for zone in ZONES:
+            for zone in INITIAL_NODES:
                 trial.start(zone, True)
             rows = measure(trial, [int(n) for n in asked.changes.split(",")], asked.rounds)
         finally:
--- a/mapleline/balancer/cli/__init__.py
+++ b/mapleline/balancer/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line of the global load balancer."""
--- a/mapleline/balancer/cli/commands.py
+++ b/mapleline/balancer/cli/commands.py
@@ -238,7 +238,7 @@
     check: Annotated[bool, cappa.Arg(long="--check", help="see orders, rivals, losses and leaving go through")] = False
 
     def __call__(self) -> None:
-        from .trial import run
+        from .trial.command import run
 
         tell(run(self.check))
 
--- /dev/null
+++ b/mapleline/balancer/cli/trial/checks.py
@@ -0,0 +1,134 @@
+"""The steps of `mapleline try --check`, in their order."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from shutil import rmtree
+
+from .cluster import TrialCluster, wait_until
+from .layout import JOINING_NODE
+from .scenario import FROZEN_PREFIX, RIVAL_ROUNDS, Scenario, ScenarioError, tear_content_file
+
+
+@dataclass(frozen=True, slots=True)
+class Step:
+    """An action, and the condition that has to hold after it, within a time."""
+
+    title: str
+    condition: Callable[[], bool]
+    action: Callable[[], object] | None = None
+
+    def run(self) -> str | None:
+        """Return what was not seen, or None."""
+        try:
+            if self.action is not None:
+                self.action()
+            return wait_until(self.title, self.condition)
+        except ScenarioError as error:
+            return f"{self.title}: {error}"
+
+
+def run_checks(cluster: TrialCluster, report: Callable[[str], None]) -> str | None:
+    """Run each step in its turn, and report how long it took; return what was not seen, or None."""
+    scenario = Scenario(cluster)
+    for step in (
+        *_service_steps(scenario, cluster),
+        *_order_steps(scenario),
+        *_disk_steps(scenario),
+        *_freeze_steps(scenario),
+        *_membership_steps(scenario, cluster),
+        *_evacuation_steps(scenario),
+    ):
+        began_at = time.monotonic()
+        fault = step.run()
+        if fault is not None:
+            return fault
+        report(f"{step.title}: {time.monotonic() - began_at:.1f} s")
+    return None
+
+
+def _service_steps(scenario: Scenario, cluster: TrialCluster) -> list[Step]:
+    return [
+        Step("a configuration is acknowledged", scenario.put_configuration),
+        Step("every ingress serves", lambda: scenario.is_served_by_all("/slots/x", "a")),
+        Step("three megabytes go up and come back", scenario.is_long_body_echoed),
+        Step(
+            "a machine is killed, the next version acknowledged",
+            lambda: scenario.put_configuration("/free/"),
+            action=lambda: cluster.kill("z3"),
+        ),
+        Step(
+            "the others serve by it",
+            lambda: all(scenario.is_served(name, "/free/x", f"b-{name}") for name in ("z1", "z2")),
+        ),
+        Step("and no longer by the last", scenario.is_path_unknown),
+        Step(
+            "the lost machine is back and serves by it",
+            lambda: scenario.is_served("z3", "/free/x", "d"),
+            action=lambda: cluster.start("z3", is_initial=False),
+        ),
+    ]
+
+
+def _order_steps(scenario: Scenario) -> list[Step]:
+    return [
+        Step("the first version is put in force again", lambda: scenario.roll_back(1)),
+        Step("every ingress serves by that", lambda: scenario.is_served_by_all("/slots/x", "r")),
+        Step(f"of two rivals one is confirmed and one refused, {RIVAL_ROUNDS} times", scenario.play_rivals),
+        Step("an order whose answer was thrown away is confirmed at another", scenario.repeat_after_lost_answer),
+        Step("the newest again is confirmed everywhere", scenario.is_newest_confirmed_again),
+        Step("another content under its number is refused everywhere", scenario.is_other_content_refused),
+    ]
+
+
+def _disk_steps(scenario: Scenario) -> list[Step]:
+    return [
+        Step(
+            "a disk is lost, and joins the core again",
+            lambda: scenario.is_formed("z2"),
+            action=lambda: scenario.restart_with_damaged_disk("z2", rmtree),
+        ),
+        Step(
+            "a torn file is not believed, and mended",
+            lambda: scenario.is_torn_file_repaired("z3"),
+            action=lambda: scenario.restart_with_damaged_disk("z3", tear_content_file),
+        ),
+        Step(
+            "an order is acknowledged and in force everywhere",
+            lambda: scenario.put_configuration(FROZEN_PREFIX) and scenario.is_served_by_all(f"{FROZEN_PREFIX}x", "f"),
+        ),
+    ]
+
+
+def _freeze_steps(scenario: Scenario) -> list[Step]:
+    return [
+        Step("a machine stands still, orders go on", scenario.order_while_frozen, action=scenario.freeze),
+        Step("thawed it comes to the newest, and never said the old", scenario.is_thawed, action=scenario.thaw),
+    ]
+
+
+def _membership_steps(scenario: Scenario, cluster: TrialCluster) -> list[Step]:
+    return [
+        Step(
+            "all are killed at once, and serve by the last word",
+            scenario.is_served_after_restart,
+            action=scenario.restart_all,
+        ),
+        Step("a fourth machine joins", scenario.is_joined, action=scenario.join),
+        Step("one leaves in order", scenario.is_released, action=scenario.leave),
+        Step(
+            "and right after one is killed: orders go on",
+            lambda: scenario.put_configuration(name=JOINING_NODE),
+            action=lambda: cluster.kill("z3"),
+        ),
+    ]
+
+
+def _evacuation_steps(scenario: Scenario) -> list[Step]:
+    return [
+        Step("an evacuation is acknowledged", scenario.begin_evacuation),
+        Step("the zone's servers get nothing", scenario.is_evacuated_zone_idle),
+        Step("a booking runs once", scenario.is_booked_once),
+    ]
--- a/tests/balancer/cli/test_commands.py
+++ b/tests/balancer/cli/test_commands.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from mapleline.balancer.cli.commands import main
-from mapleline.balancer.cli.trial import configuration
+from mapleline.balancer.cli.trial.sample_configuration import sample_configuration
 
 STATUS = {
     "system": 99,
@@ -75,7 +75,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.file = Path(folder.name) / "config.json"
-        self.file.write_bytes(configuration(7))
+        self.file.write_bytes(sample_configuration(7))
 
     def standin(self, **answers):
         one = Standin({"/" + name.replace("_", "/"): said for name, said in answers.items()})
@@ -176,7 +176,7 @@
 
     def test_a_faulty_configuration_is_not_sent(self):
         one = self.standin(config_replace=(200, b"{}"))
-        self.file.write_bytes(configuration(7)[:-9])
+        self.file.write_bytes(sample_configuration(7)[:-9])
         self.assertEqual(self.run_main("config", "put", str(self.file), "--at", one.at)[0], 1)
         self.assertEqual(one.asked, [])
 
@@ -196,7 +196,7 @@
             self.assertEqual(one.asked, [("POST", path, b"")])
 
     def test_a_rollback_sends_the_earlier_one_above_the_newest(self):
-        old, newest = configuration(3, "/old/"), configuration(9)
+        old, newest = sample_configuration(3, "/old/"), sample_configuration(9)
         one = self.standin(config_history_3=(200, old), config_read=(200, newest), config_replace=(200, b"{}"))
         self.assertEqual(
             self.run_main("config", "rollback", "3", "--at", one.at), (0, "version 3 is in force again as 10\n")
