--- a/mapleline/balancer/cli/data_folder.py
+++ b/mapleline/balancer/cli/data_folder.py
@@ -20,7 +20,7 @@
 
 def check_settings(text: bytes) -> Result[str, str]:
     try:
-        boot = settings.read(text.decode())
+        boot = settings.parse_settings(text.decode())
     except (settings.SettingsError, UnicodeDecodeError) as err:
         return Error(str(err))
     return Ok(
@@ -30,7 +30,7 @@
 
 def check_config(text: bytes) -> Result[str, str]:
     try:
-        read = configuration.read(text)
+        read = configuration.parse_configuration(text)
     except configuration.ConfigurationError as err:
         return Error(str(err))
     lines = [
--- a/mapleline/balancer/cli/operator_client.py
+++ b/mapleline/balancer/cli/operator_client.py
@@ -7,7 +7,7 @@
 
 from expression import Error, Ok, Result
 
-from ..settings import address
+from ..settings import parse_address
 
 WAIT_S = 8.0
 HOPS = 2
@@ -48,7 +48,7 @@
 
     for place in filter(None, at.split(",")):
         try:
-            host, port = address(place)
+            host, port = parse_address(place)
         except ValueError as err:
             return Error(f"--at: {err}")
         for _ in range(HOPS + 1):
@@ -67,7 +67,7 @@
             said, status = f"{place}: {answer.status} {' '.join(text.split())}".strip(), answer.status
             if answer.status == 307 and (to := answer.getheader("Location", "")).startswith("http://"):
                 where, _, rest = to.removeprefix("http://").partition("/")
-                (host, port), path = address(where), "/" + rest
+                (host, port), path = parse_address(where), "/" + rest
                 continue
             if 400 <= answer.status < 500 and answer.status not in (408, 429):
                 return fault()
--- a/mapleline/balancer/configuration.py
+++ b/mapleline/balancer/configuration.py
@@ -1,4 +1,8 @@
-"""The operator's configuration: read whole, checked, and laid out for the data plane."""
+"""The operator's configuration: routes, services, limits and tenants, parsed and validated.
+
+It arrives as one JSON document by `POST /config/replace` (PROTOCOL.md, The operator).  Field names are its keys;
+unknown keys are ignored.  Durations are `1500ms` or `2.5s` in the document and seconds here.
+"""
 
 from __future__ import annotations
 
@@ -6,29 +10,37 @@
 
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, ValidationError, model_validator
 
-from .settings import seconds
+from .errors import InvalidInputError
+from .settings import parse_duration
+
+Seconds = Annotated[float, BeforeValidator(parse_duration)]
+
+#: A latency target that far beyond the time-out is taken for a typing error (PROTOCOL.md, The operator).
+MAX_TARGET_BEYOND_TIMEOUT_S = 60.0
+
+#: Named in place of a key where the document as a whole is at fault.
+WHOLE_DOCUMENT = "the configuration"
 
-Seconds = Annotated[float, BeforeValidator(seconds)]
-LATE_AIM_S = 60.0  # an aim that far beyond the time-out is a slip of the pen (PROTOCOL, The operator)
 
+class ConfigurationError(InvalidInputError):
+    """A configuration that is invalid."""
 
-class ConfigurationError(Exception):
-    """A configuration that is invalid; the text names the key."""
 
+class ConfigurationSection(BaseModel):
+    """Base of the document's sections: immutable, unknown keys ignored."""
 
-class _Part(BaseModel):
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
-class Share(_Part):
-    """One service of a split."""
+class WeightedService(ConfigurationSection):
+    """One service of a weighted split; weights are relative to their sum."""
 
     target_service: str
     weight: float = Field(ge=0)
 
 
-class Route(_Part):
-    """Which requests go where, and how long they may take (times in seconds)."""
+class Route(ConfigurationSection):
+    """Which requests go to which service, and how long they may take (`timeout`, `target_latency` in seconds)."""
 
     host_name: str = Field(min_length=1)
     path_prefix: str = Field(pattern=r"^/(.*/)?$")
@@ -37,38 +49,43 @@
     target_latency: Seconds
     priority: int = 1
     target_service: str | None = None
-    weighted_split: list[Share] = []
+    weighted_split: list[WeightedService] = []
     max_attempts: int = Field(default=1, ge=1)
     anonymous: bool = False
     home_regions: list[str] = []
 
     @property
     def shares(self) -> list[tuple[str, float]]:
-        """Services with their weights."""
+        """Services and their weights; a single service has weight 1."""
         if self.weighted_split:
             return [(share.target_service, share.weight) for share in self.weighted_split]
         return [(self.target_service or "", 1.0)]
 
     @model_validator(mode="after")
-    def _sound(self) -> Route:
+    def _check_consistency(self) -> Route:
         if (self.target_service is None) == (not self.weighted_split):
             raise ValueError("needs target_service or weighted_split, and not both")
         if sum(weight for _, weight in self.shares) <= 0:
             raise ValueError("weighted_split has no weight")
-        if self.target_latency >= self.timeout + LATE_AIM_S:
+        if self.target_latency >= self.timeout + MAX_TARGET_BEYOND_TIMEOUT_S:
             raise ValueError("target_latency is a minute or more beyond timeout")
         return self
 
 
-class Service(_Part):
+class Service(ConfigurationSection):
+    """How a service's servers are used.
+
+    `cold_start` is how long a server warms up, in seconds; `cold_rate_s` the requests a second that it bears meanwhile.
+    """
+
     health_path: str = "/health"
     max_connections: int = Field(default=100, ge=1)
     cold_start: Seconds = 0.0
     cold_rate_s: float = 0.0
 
 
-class Limits(_Part):
-    """What a client may send, and how long it may take or stay idle."""
+class Limits(ConfigurationSection):
+    """What a client may send (bytes), and how long it may take over a header or stay idle (seconds)."""
 
     max_header_bytes: int = Field(default=16384, ge=1)
     max_body_bytes: int = Field(default=64 << 20, ge=0)
@@ -76,7 +93,9 @@
     idle_timeout: Seconds = 15.0
 
 
-class Tenant(_Part):
+class Tenant(ConfigurationSection):
+    """A customer: its keys, its quota (requests a second, burst in requests) and its home regions."""
+
     api_keys: list[str] = []
     priority: int | None = None
     rate_per_s: float = Field(default=0.0, ge=0)
@@ -84,8 +103,8 @@
     home_regions: list[str] = []
 
 
-class Config(_Part):
-    """One version, whole."""
+class Configuration(ConfigurationSection):
+    """One version of the configuration, complete."""
 
     config_version: int
     route_table: dict[str, Route]
@@ -94,55 +113,40 @@
     tenant_table: dict[str, Tenant] = {}
 
     @model_validator(mode="after")
-    def _sound(self) -> Config:
-        places: dict[tuple[str, str], str] = {}
+    def _check_consistency(self) -> Configuration:
+        self._check_routes()
+        self._check_api_keys()
+        return self
+
+    def _check_routes(self) -> None:
+        """Each service that a route names exists, and no two routes match the same host and prefix."""
+        route_by_match: dict[tuple[str, str], str] = {}
         for name, route in self.route_table.items():
             for service, _ in route.shares:
                 if service not in self.service_table:
                     raise ValueError(f"route_table.{name} names the unknown service {service!r}")
-            other = places.setdefault((route.host_name.lower(), route.path_prefix), name)
+            other = route_by_match.setdefault((route.host_name.lower(), route.path_prefix), name)
             if other != name:
                 raise ValueError(f"route_table.{name} has the place of route_table.{other}")
-        owners: dict[str, str] = {}
+
+    def _check_api_keys(self) -> None:
+        """No two tenants share a key."""
+        tenant_by_key: dict[str, str] = {}
         for name, tenant in self.tenant_table.items():
             for key in tenant.api_keys:
-                if owners.setdefault(key, name) != name:
-                    raise ValueError(f"tenant_table.{name}.api_keys: a key of {owners[key]} as well")
-        return self
+                if tenant_by_key.setdefault(key, name) != name:
+                    raise ValueError(f"tenant_table.{name}.api_keys: a key of {tenant_by_key[key]} as well")
+
 
+def parse_configuration(text: bytes) -> Configuration:
+    """Parse and validate a configuration.
 
-def read(text: bytes) -> Config:
-    """The checked configuration.  Raises ConfigFault with the key at fault."""
+    Raises:
+        ConfigurationError: The document breaks a rule; only the first fault is reported.
+    """
     try:
-        return Config.model_validate_json(text)
+        return Configuration.model_validate_json(text)
     except ValidationError as err:
         first = err.errors(include_url=False, include_input=False)[0]
-        key = ".".join(str(part) for part in first["loc"]) or "the configuration"
-        raise ConfigurationError(f"{key}: {first['msg']}") from None
-
-
-class Table:
-    """A configuration as the data plane asks it."""
-
-    def __init__(self, config: Config) -> None:
-        self.config, self.version = config, config.config_version
-        self.limits, self.services, self.tenants = config.limits, config.service_table, config.tenant_table
-        self.homes: dict[str, set[str]] = {}  #: by service: regions that some of its requests may not leave
-        for route in config.route_table.values():
-            for service, _ in route.shares:
-                self.homes.setdefault(service, set()).update(route.home_regions)
-        hosts: dict[str, list[tuple[str, str, Route]]] = {}
-        for name, route in config.route_table.items():
-            hosts.setdefault(route.host_name.lower(), []).append((route.path_prefix, name, route))
-        self._hosts = {host: sorted(rows, key=lambda row: -len(row[0])) for host, rows in hosts.items()}
-        self._keys = {key: name for name, tenant in self.tenants.items() for key in tenant.api_keys}
-
-    def route(self, host: str, path: str) -> Route | None:
-        """Of that host the one with the longest prefix that begins the path."""
-        rows = self._hosts.get(host) or self._hosts.get(host.rpartition(":")[0], ())
-        return next((route for prefix, _, route in rows if path.startswith(prefix)), None)
-
-    def owner(self, authorization: str) -> str | None:
-        """The tenant that holds the key of an `Authorization` header."""
-        kind, _, key = authorization.partition(" ")
-        return self._keys.get(key.strip()) if kind.lower() == "bearer" else None
+        key = ".".join(str(part) for part in first["loc"]) or WHOLE_DOCUMENT
+        raise ConfigurationError(key, first["msg"]) from None
--- a/mapleline/balancer/configuration_applier.py
+++ b/mapleline/balancer/configuration_applier.py
@@ -5,8 +5,8 @@
 import logging
 from typing import TYPE_CHECKING
 
-from .configuration import ConfigurationError, Table
-from .configuration import read as read_config
+from .configuration import ConfigurationError, parse_configuration
+from .routing_table import RoutingTable
 
 if TYPE_CHECKING:
     from .control.control_plane import ControlPlane
@@ -48,7 +48,7 @@
         if body is None or not is_new:
             return True
         try:
-            table = Table(read_config(body))
+            table = RoutingTable(parse_configuration(body))
         except ConfigurationError as error:
             logger.info("committed configuration cannot be read", extra={"error": str(error)})
             return False
@@ -57,7 +57,7 @@
         logger.info("configuration in force", extra={"version": table.version})
         return True
 
-    def _set_listener_limits(self, table: Table) -> None:
+    def _set_listener_limits(self, table: RoutingTable) -> None:
         limits = table.limits
         self._front.idle_timeout_s = limits.idle_timeout
         self._front.header_timeout_s = limits.header_timeout
--- a/mapleline/balancer/control/api.py
+++ b/mapleline/balancer/control/api.py
@@ -12,8 +12,7 @@
 from twisted.internet.defer import Deferred
 
 from ...http1.messages import Request
-from ..configuration import ConfigurationError
-from ..configuration import read as read_config
+from ..configuration import ConfigurationError, parse_configuration
 from ..logs import say
 from ..membership.member import MemberFlags
 from ..proxy.listener import ClientConnection
@@ -122,7 +121,7 @@
     def replace(self, client_conn: ClientConnection, body: bytes) -> None:
         """A whole configuration."""
         try:
-            config = read_config(body)
+            config = parse_configuration(body)
         except ConfigurationError as err:
             return client_conn.reply(400, str(err).encode())
         version = config.config_version
--- a/mapleline/balancer/discovery/directory.py
+++ b/mapleline/balancer/discovery/directory.py
@@ -1,72 +1,99 @@
-"""Where clients go: the ingresses of their own zone, or the nearest there are."""
+"""The directory service: tells clients the addresses of the ingresses nearest to them (`GET /lookup`)."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from random import Random
+from typing import TYPE_CHECKING
 from urllib.parse import parse_qs
 
 import msgspec
 
-from ...http1.messages import Request
 from ..membership.member import Member, MemberFlags
-from ..membership.table import MembershipTable
-from ..proxy.listener import ClientConnection
-from ..settings import Settings
 from ..transport.addresses import ip_from_int
 
-MOST, ENOUGH = 64, 2
-TTL_S = 2.0
+if TYPE_CHECKING:
+    from random import Random
+
+    from ...http1.messages import Request
+    from ..clock import Clock
+    from ..membership.table import MembershipTable
+    from ..proxy.listener import ClientConnection
+    from ..settings import Settings
+
+#: Addresses in one answer, at most.
+MAX_ADDRESSES = 64
 
+#: With fewer ingresses in a client's zone, the whole region is named, and with fewer there all.
+MIN_ADDRESSES = 2
 
-def near(
-    members: list[Member], zones: list[str], regions: dict[str, str], zone: str, region: str, rng: Random
-) -> list[Member]:
-    """Those in the zone and one besides, for a zone may be lost at once; with fewer than `ENOUGH` there those of the
-    region, else all.
-    """
-    found = [m for m in members if zones[m.zone] == zone]
-    beside = [m for m in members if zones[m.zone] != zone and regions[zones[m.zone]] == region]
-    if len(found) >= ENOUGH:
-        return found + (rng.sample(beside, 1) if beside else [])
-    found += beside
-    return found if len(found) >= ENOUGH else members
+#: How long clients may keep an answer, unless `protocol_bounds.ttl_max` is less.
+TTL_S = 2.0
+
+JSON_HEADER = b"Content-Type: application/json\r\n"
+RETRY_HEADER = b"Retry-After: 0.3\r\n"
 
 
 class Directory:
-    """Answers for one ingress, while `in_touch()`: one without contact with the core speaks for nobody."""
+    """Answers clients' look-ups from this node's membership table."""
 
     def __init__(
         self,
-        reactor: object,
+        clock: Clock,
         settings: Settings,
         membership: MembershipTable,
         rng: Random,
-        in_touch: Callable[[], bool],
-    ):
-        self.reactor, self.settings, self.membership, self.rng, self.in_touch = (
-            reactor,
-            settings,
-            membership,
-            rng,
-            in_touch,
-        )
-        self.zones = sorted(settings.zones)
-
-    def take(self, client_conn: ClientConnection, request: Request) -> None:
-        """`GET /lookup?name=&region=&zone=`."""
+        has_read_lease: Callable[[], bool],
+    ) -> None:
+        """`has_read_lease`: without a read lease the table may be outdated, and no client is sent anywhere."""
+        self.clock = clock
+        self.settings = settings
+        self.membership = membership
+        self.rng = rng
+        self.has_read_lease = has_read_lease
+        self._zone_names = sorted(settings.zones)
+
+    def handle_request(self, client_conn: ClientConnection, request: Request) -> None:
+        """Answer `GET /lookup?name=&region=&zone=` with addresses and their time to live."""
         path, _, query = request.target.decode("latin-1").partition("?")
         if path != "/lookup" or request.method != b"GET":
-            return client_conn.reply(404, b"no such call")
-        asked = parse_qs(query)
-        members = [m for m in self.membership.alive(self.reactor.seconds(), MemberFlags.READY) if not m.is_leaving]
-        where = (asked.get(name, [""])[0] for name in ("zone", "region"))
-        found = near(members, self.zones, self.settings.zones, *where, self.rng)
-        if not found or not self.in_touch() or self.settings.listen_addresses.front_addr is None:
-            return client_conn.reply(503, b"no ingress is ready, or no contact with the core", b"Retry-After: 0.3\r\n")
-        port = self.settings.listen_addresses.front_addr[1]
-        if len(found) > MOST:
-            found = self.rng.sample(found, MOST)
-        ttl = min(TTL_S, self.settings.protocol_bounds.ttl_max)
-        body = {"address_list": [f"{ip_from_int(m.ip)}:{port}" for m in found], "ttl": f"{ttl:g}s"}
-        client_conn.reply(200, msgspec.json.encode(body), b"Content-Type: application/json\r\n")
+            client_conn.reply(404, b"no such call")
+            return
+        parameters = parse_qs(query)
+        zone = parameters.get("zone", [""])[0]
+        region = parameters.get("region", [""])[0]
+        found = self._nearest(self._ready_members(), zone, region)
+        front_addr = self.settings.listen_addresses.front_addr
+        if not found or not self.has_read_lease() or front_addr is None:
+            client_conn.reply(503, b"no ingress is ready, or no contact with the core", RETRY_HEADER)
+            return
+        if len(found) > MAX_ADDRESSES:
+            found = self.rng.sample(found, MAX_ADDRESSES)
+        _, port = front_addr  # the same on each ingress
+        client_conn.reply(200, self._encode_answer(found, port), JSON_HEADER)
+
+    def _ready_members(self) -> list[Member]:
+        ready = self.membership.alive(self.clock.seconds(), MemberFlags.READY)
+        return [member for member in ready if not member.is_leaving]
+
+    def _nearest(self, members: list[Member], zone: str, region: str) -> list[Member]:
+        """Return the members of the zone and one of another zone of the region, for a zone may be lost at once.
+
+        With fewer than `MIN_ADDRESSES` in the zone, those of the region; with fewer there, all.
+        """
+        in_zone = [member for member in members if self._zone_names[member.zone] == zone]
+        in_other_zones = [
+            member for member in members if self._zone_names[member.zone] != zone and self._region_of(member) == region
+        ]
+        if len(in_zone) >= MIN_ADDRESSES:
+            spare = self.rng.sample(in_other_zones, 1) if in_other_zones else []
+            return in_zone + spare
+        in_region = in_zone + in_other_zones
+        return in_region if len(in_region) >= MIN_ADDRESSES else members
+
+    def _region_of(self, member: Member) -> str:
+        return self.settings.zones[self._zone_names[member.zone]]
+
+    def _encode_answer(self, members: list[Member], port: int) -> bytes:
+        ttl_s = min(TTL_S, self.settings.protocol_bounds.ttl_max)
+        addresses = [f"{ip_from_int(member.ip)}:{port}" for member in members]
+        return msgspec.json.encode({"address_list": addresses, "ttl": f"{ttl_s:g}s"})
--- a/mapleline/balancer/discovery/endpoint_poller.py
+++ b/mapleline/balancer/discovery/endpoint_poller.py
@@ -12,7 +12,7 @@
 from ..membership.leadership import Leadership, choose_successor
 from ..membership.member import Member
 from ..transport.messages import Vote, VoteRequest
-from .platform_client import EVERY_S, FIRST_S, STALE_S
+from .platform_client import EMPTY_POLL_INTERVAL_S, POLL_INTERVAL_S, STALE_AFTER_S
 
 if TYPE_CHECKING:
     from ..context import NodeContext
@@ -54,7 +54,7 @@
     def run(self) -> None:
         """Poll the platform if it is this node's turn, and set the timer of the next turn."""
         now = self._context.now()
-        interval_s = EVERY_S if self._endpoints.digest else FIRST_S
+        interval_s = POLL_INTERVAL_S if self._endpoints.digest else EMPTY_POLL_INTERVAL_S
         jitter = self._context.rng.uniform(JITTER_LOW, JITTER_HIGH)
         self._context.reactor.callLater(interval_s * jitter, self.run)
         if self._is_stopped:
@@ -62,7 +62,7 @@
         candidates = self._candidates(now)
         self._update_leadership(now, candidates)
         is_due = self._is_polling_due(now, candidates)
-        if is_due and self._uptime(now) > FIRST_S / 2:
+        if is_due and self._uptime(now) > EMPTY_POLL_INTERVAL_S / 2:
             self._fetch()
 
     def stop(self) -> None:
@@ -114,10 +114,10 @@
 
     def _is_polling_due(self, now: float, candidates: list[Member]) -> bool:
         """Return whether this node polls in this turn.  Draws a random number if the list is stale."""
-        list_age_s = now - self._endpoints.fetched
+        list_age_s = now - self._endpoints.fetched_at
         is_fallback = (
-            list_age_s > STALE_S
-            and self._uptime(now) > 2 * FIRST_S
+            list_age_s > STALE_AFTER_S
+            and self._uptime(now) > 2 * EMPTY_POLL_INTERVAL_S
             and self._context.rng.random() < FALLBACK_POLLERS / (1 + len(candidates))
         )
         is_second = list_age_s > SECOND_CANDIDATE_AFTER_S and self._is_second(candidates)
--- a/mapleline/balancer/discovery/endpoints.py
+++ b/mapleline/balancer/discovery/endpoints.py
@@ -1,4 +1,8 @@
-"""Which servers exist: the platform's list as one ingress fetched it, and the age of that news (pure)."""
+"""The endpoint list: which instances of which services exist, as the platform listed them last.
+
+One node fetches the list; all others take it over from their peers.  `EndpointList` does no input or output, and its
+times are on the clock of its own node.  When an instance counts as warming up: docs/design/cold.md.
+"""
 
 from __future__ import annotations
 
@@ -7,11 +11,32 @@
 
 import msgspec
 
-from ..settings import seconds
+from ..settings import parse_duration
+
+#: The end of an instance that is not known to be warming up.
+NOT_WARMING_UP = float("-inf")
+
+#: The ends of one warm-up, as two fetches report them, lie apart by less.
+SAME_END_TOLERANCE_S = 0.05
+
+#: Ages beyond an hour are reported as an hour.
+MAX_AGE_MS = 3_600_000
+MS_PER_S = 1000
 
 
 class ListedInstance(msgspec.Struct, array_like=False):
-    """One entry of the platform's list."""
+    """One entry of the list, as the platform sends it and as nodes pass it on; the field names are its keys.
+
+    Attributes:
+        instance_id: The name of one run of a server; a restart has another.
+        target_service: The service that it belongs to.
+        address: Host and port.
+        zone: Its zone.
+        state: `ready`, or why no requests may be sent to it.
+        slot_count: Requests that it works on at once.
+        cold_left: How long it still warms up, such as `300ms`.
+        turn: How often it was seen to start warming up again before it was warm; counted here, not by the platform.
+    """
 
     instance_id: str
     target_service: str
@@ -20,26 +45,36 @@
     state: str = "ready"
     slot_count: int = 1
     cold_left: str = "0ms"
-    turn: int = 0  #: how often it was seen to turn cold while it was; ours, not the platform's
+    turn: int = 0
 
 
-class Page(msgspec.Struct):
-    """One answer of the platform."""
+class InstancePage(msgspec.Struct):
+    """One page of the platform's answer; `next_token` names the next one."""
 
     instance_list: list[ListedInstance]
     next_token: str | None = None
 
 
-WARM = float("-inf")
-SAME_END_S = 0.05  # ends of one cold time, as two fetches tell them, lie apart by less
-read_page = msgspec.json.Decoder(Page).decode
-_pack = msgspec.msgpack.Encoder().encode
-_unpack = msgspec.msgpack.Decoder(list[ListedInstance]).decode
+decode_page = msgspec.json.Decoder(InstancePage).decode
+_encode_list = msgspec.msgpack.Encoder().encode
+_decode_list = msgspec.msgpack.Decoder(list[ListedInstance]).decode
 
 
 @dataclass(slots=True)
 class Instance:
-    """One life of a server."""
+    """One run of a server.
+
+    Attributes:
+        id: Its name in the platform's list.
+        service: The service that it belongs to.
+        address: Host and port.
+        zone: Its zone.
+        slots: Requests that it works on at once.
+        ready: Whether requests may be sent to it at all.
+        warming_until: When the warm-up that is under way ends; `NOT_WARMING_UP` without one.
+        warm_up_count: How often it started warming up again before it was warm.
+        warm_up_ended_at: When its last warm-up ends or ended; `NOT_WARMING_UP` if none was seen.
+    """
 
     id: str
     service: str
@@ -47,76 +82,125 @@
     zone: str
     slots: int
     ready: bool
-    cold_until: float
-    turn: int = 0
-    ended: float = WARM  #: when its last cold time ends, or ended
+    warming_until: float
+    warm_up_count: int = 0
+    warm_up_ended_at: float = NOT_WARMING_UP
 
 
 class EndpointList:
-    """The newest list known here; times are on this ingress's clock."""
-
-    def __init__(self, lag_s: float = 0.8) -> None:
-        """`lag_s`: how much older than its fetching a list may be."""
-        self.lag_s = lag_s
+    """The newest list that is known at this node.
+
+    Attributes:
+        instances: By id, in the order of the list.
+        fetched_at: When the list was fetched from the platform.
+        body: The list as it is passed on to peers.
+        digest: A checksum of all but remaining times; 0 before the first list.
+    """
+
+    def __init__(self, max_lag_s: float = 0.8) -> None:
+        """`max_lag_s`: how much older than its fetch the platform's list may be."""
+        self.max_lag_s = max_lag_s
         self.instances: dict[str, Instance] = {}
-        self.fetched = float("-inf")
-        self.body, self.digest = b"", 0
+        self.fetched_at = float("-inf")
+        self.body = b""
+        self.digest = 0
 
     def age_ms(self, now: float) -> int:
-        return int(min(3_600_000, (now - self.fetched) * 1000))
+        """Return the time since the list was fetched, an hour at most."""
+        return int(min(MAX_AGE_MS, (now - self.fetched_at) * MS_PER_S))
 
-    def take_list(self, fetched: float, listed: list[ListedInstance]) -> bool:
-        """A list that was fetched at that time; says whether anything but ages has changed."""
-        listed = sorted(listed, key=lambda one: one.instance_id)
-        listed = [msgspec.structs.replace(one, turn=self._turn(fetched, one)) for one in listed]
-        return self._take(fetched, listed, _pack(listed))
+    def update_from_platform(self, fetched_at: float, listed: list[ListedInstance]) -> bool:
+        """Replace the list by one that was fetched here.
 
-    def _turn(self, fetched: float, one: ListedInstance) -> int:
-        """Counts on where a later end is told than is known, for those who heard of the earlier one have to hear of it.
+        Returns:
+            Whether anything but remaining times has changed; False as well for a list that is older.
+        """
+        by_id = sorted(listed, key=lambda entry: entry.instance_id)
+        counted = [msgspec.structs.replace(entry, turn=self._warm_up_count(fetched_at, entry)) for entry in by_id]
+        return self._replace(fetched_at, counted, _encode_list(counted))
+
+    def update_from_peer(self, fetched_at: float, body: bytes) -> bool:
+        """Replace the list by one that another node fetched; returns as `update_from_platform`.
 
-        What is left is told up to `lag_s` late, which looks the same: from the second time on the end is taken so much
-        later, and late news is no news any more.
+        Raises:
+            msgspec.DecodeError: The body is no list.
         """
-        known, cold = self.instances.get(one.instance_id), seconds(one.cold_left)
+        return self._replace(fetched_at, _decode_list(body), body)
+
+    def confirm(self, fetched_at: float, digest: int) -> None:
+        """Take note that another node fetched a list with that digest; if it is ours, ours is as new."""
+        if digest == self.digest and fetched_at > self.fetched_at:
+            self.fetched_at = fetched_at
+
+    def _warm_up_count(self, fetched_at: float, entry: ListedInstance) -> int:
+        """Return the count for an entry that was fetched here: one more where it ends later than was known.
+
+        Peers that know the earlier end have to hear of the later one, and the count changes the digest.  The platform
+        may report up to `max_lag_s` late, which looks the same; so ends of counted warm-ups are taken that much later
+        (`_warming_until`), and a late report is no new end.
+        """
+        known = self.instances.get(entry.instance_id)
         if known is None:
             return 0
-        return known.turn + (cold > 0 and fetched + cold > known.cold_until + SAME_END_S > WARM)
-
-    def take_body(self, fetched: float, body: bytes) -> bool:
-        """The same from another ingress."""
-        return self._take(fetched, _unpack(body), body)
+        remaining_s = parse_duration(entry.cold_left)
+        known_end = known.warming_until + SAME_END_TOLERANCE_S
+        ends_later = remaining_s > 0 and fetched_at + remaining_s > known_end > NOT_WARMING_UP
+        return known.warm_up_count + ends_later
 
-    def _take(self, fetched: float, listed: list[ListedInstance], body: bytes) -> bool:
-        if fetched <= self.fetched:
+    def _replace(self, fetched_at: float, listed: list[ListedInstance], body: bytes) -> bool:
+        if fetched_at <= self.fetched_at:
             return False
-        self.fetched, self.body = fetched, body
-        found = {}
-        for one in listed:
-            host, _, port = one.address.rpartition(":")
-            known, cold = self.instances.get(one.instance_id), seconds(one.cold_left)
-            until = fetched + cold if cold > 0 else WARM
-            if cold > 0 and known is not None and known.turn == one.turn and known.cold_until > WARM:
-                until = max(until, known.cold_until)
-            elif one.turn > 0:
-                until += self.lag_s
-            found[one.instance_id] = Instance(
-                one.instance_id,
-                one.target_service,
-                (host, int(port)),
-                one.zone,
-                max(1, one.slot_count),
-                one.state == "ready",
-                until,
-                one.turn,
-                until if cold > 0 or known is None else min(max(known.ended, known.cold_until), fetched),
-            )
-        self.instances = found
-        told = [(i.id, i.service, i.address, i.ready, i.cold_until > fetched, i.turn) for i in found.values()]
-        digest = crc32(repr(told).encode()) or 1
-        changed, self.digest = digest != self.digest, digest
-        return changed
-
-    def same_at(self, fetched: float, digest: int) -> None:
-        """Another has fetched the same list later."""
-        if digest == self.digest and fetched > self.fetched:
-            self.fetched = fetched
+        self.fetched_at = fetched_at
+        self.body = body
+        self.instances = {entry.instance_id: self._instance(fetched_at, entry) for entry in listed}
+        digest = _digest(self.instances, fetched_at)
+        has_changed = digest != self.digest
+        self.digest = digest
+        return has_changed
+
+    def _instance(self, fetched_at: float, entry: ListedInstance) -> Instance:
+        known = self.instances.get(entry.instance_id)
+        is_warming = parse_duration(entry.cold_left) > 0
+        warming_until = self._warming_until(fetched_at, entry, known)
+        if is_warming or known is None:
+            ended_at = warming_until
+        else:
+            ended_at = min(max(known.warm_up_ended_at, known.warming_until), fetched_at)
+        host, _, port = entry.address.rpartition(":")
+        return Instance(
+            id=entry.instance_id,
+            service=entry.target_service,
+            address=(host, int(port)),
+            zone=entry.zone,
+            slots=max(1, entry.slot_count),
+            ready=entry.state == "ready",
+            warming_until=warming_until,
+            warm_up_count=entry.turn,
+            warm_up_ended_at=ended_at,
+        )
+
+    def _warming_until(self, fetched_at: float, entry: ListedInstance, known: Instance | None) -> float:
+        """Return the end of the warm-up that an entry reports; never earlier than known of the same warm-up."""
+        remaining_s = parse_duration(entry.cold_left)
+        if remaining_s <= 0:
+            return NOT_WARMING_UP
+        until = fetched_at + remaining_s
+        if known is not None and known.warm_up_count == entry.turn and known.warming_until > NOT_WARMING_UP:
+            return max(until, known.warming_until)
+        return until + self.max_lag_s if entry.turn > 0 else until
+
+
+def _digest(instances: dict[str, Instance], now: float) -> int:
+    """Return a checksum of what routing depends on; never 0.  All nodes have to compute the same."""
+    rows = [
+        (
+            instance.id,
+            instance.service,
+            instance.address,
+            instance.ready,
+            instance.warming_until > now,
+            instance.warm_up_count,
+        )
+        for instance in instances.values()
+    ]
+    return crc32(repr(rows).encode()) or 1
--- a/mapleline/balancer/discovery/platform_client.py
+++ b/mapleline/balancer/discovery/platform_client.py
@@ -1,96 +1,161 @@
-"""The platform's list, fetched page by page within the rate that all ingresses share."""
+"""Client of the platform's instance list: fetches it page by page, one fetch at a time.
+
+All nodes share the platform's rate limit, so only the leader of the list fetches it regularly (`node.py`).
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any
 from urllib.parse import quote
 
 import msgspec
-from twisted.python.failure import Failure
+from twisted.internet.protocol import connectionDone
 
 from ...http1.buffers import BufferPool
 from ...http1.client import ClientConnection
 from ...http1.messages import Response
 from ...net.dial import dial
 from ...net.streams import Stream
-from ..settings import Settings
-from .endpoints import EndpointList, ListedInstance, read_page
+from .endpoints import InstancePage, ListedInstance, decode_page
 
-CALL_S = 1.0
-EVERY_S, STALE_S, FIRST_S = 0.8, 2.0, 0.2
-WHOLE = 1 << 24
+if TYPE_CHECKING:
+    from twisted.internet.defer import Deferred
+    from twisted.python.failure import Failure
 
+    from ..clock import Reactor
+    from ..settings import Settings
+    from .endpoints import EndpointList
 
-class _Asking(Stream):
-    def __init__(self, pool: BufferPool, done: Callable[[Response | None], None]) -> None:
-        self.machine, self.done = ClientConnection(pool, WHOLE), done
+#: A page that has not come by then is given up, and the fetch with it.
+REQUEST_TIMEOUT_S = 1.0
 
-    def ask(self, data: bytes) -> None:
-        self.machine.called(None)
-        self.send(data)
+#: Between two fetches of the leader (docs/design/system.md, Bounds, DRAIN: a change is known everywhere in under 3 s).
+POLL_INTERVAL_S = 0.8
+
+#: The same before the first list is known.
+EMPTY_POLL_INTERVAL_S = 0.2
+
+#: With a list that old a node may fetch itself: the leader is lost, or cut off from it.
+STALE_AFTER_S = 2.0
+
+#: Bound of one page, in bytes.
+MAX_RESPONSE_BYTES = 1 << 24
+
+#: Connections are not reused, so few buffers are kept.
+KEPT_BUFFERS = 2
+
+
+@dataclass(frozen=True, slots=True)
+class _Fetch:
+    """A fetch under way: when it began, and what earlier pages listed."""
 
-    def _end(self, response: Response | None) -> None:
-        done, self.done = self.done, lambda _: None
-        done(response)
+    began_at: float
+    instances: list[ListedInstance] = field(default_factory=list)
+
+
+class _PageConnection(Stream):
+    """One connection, for one page; `on_response` is called once, with None if there is no complete answer."""
+
+    transport: Any  # Twisted's interfaces declare methods without self, which mypy takes for attributes
+
+    def __init__(self, pool: BufferPool, on_response: Callable[[Response | None], None]) -> None:
+        self._http = ClientConnection(pool, MAX_RESPONSE_BYTES)
+        self._on_response: Callable[[Response | None], None] | None = on_response
+
+    def request(self, data: bytes) -> None:
+        """Send an encoded GET request."""
+        self._http.called(None)
+        self.send(data)
 
     def dataReceived(self, data: bytes) -> None:
-        for _, response in self.machine.receive(data):
+        """Twisted's: bytes have arrived."""
+        for _, response in self._http.receive(data):
             self.transport.loseConnection()
-            return self._end(response)
-        if not self.machine.reusable:
+            self._finish(response)
+            return
+        if not self._http.reusable:
             self.transport.abortConnection()
 
-    def connectionLost(self, reason: Failure) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Twisted's: the connection has ended."""
         super().connectionLost(reason)
-        self._end(None)
+        self._finish(None)
+
+    def _finish(self, response: Response | None) -> None:
+        on_response = self._on_response
+        self._on_response = None
+        if on_response is not None:
+            on_response(response)
 
 
 class PlatformClient:
-    """`listed(changed)` is called when a whole list has come into the catalogue."""
+    """Fetches the list into `endpoints`."""
 
     def __init__(
-        self, reactor: Any, settings: Settings, endpoints: EndpointList, listed: Callable[[bool], None]
+        self, reactor: Reactor, settings: Settings, endpoints: EndpointList, on_listed: Callable[[bool], None]
     ) -> None:
-        self.reactor, self.settings, self.endpoints, self.listed = reactor, settings, endpoints, listed
-        self.pool = BufferPool(kept=2)
-        self.busy = False
+        """`on_listed` is called after each complete fetch, with whether the list has changed."""
+        self.reactor = reactor
+        self.settings = settings
+        self.endpoints = endpoints
+        self.on_listed = on_listed
+        self._pool = BufferPool(kept=KEPT_BUFFERS)
+        self._is_fetching = False
 
     def fetch(self) -> None:
-        """Ask for the whole list, unless a question is out."""
-        if not self.busy:
-            self.busy = True
-            self._page("", [], self.reactor.seconds())
-
-    def _page(self, token: str, found: list[ListedInstance], began: float) -> None:
-        host, port = self.settings.cloud_api.address
-        path = "/instances" + (f"?page_token={quote(token)}" if token else "")
-        data = f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: close\r\n\r\n".encode()
-
-        def done(response: Response | None) -> None:
-            if timer.active():
-                timer.cancel()
-            page = None
-            if response is not None and response.status == 200:
-                try:
-                    page = read_page(response.body)
-                except msgspec.DecodeError:
-                    page = None
-            if page is None:
-                self.busy = False
-                return
-            found.extend(page.instance_list)
-            if page.next_token:
-                return self._page(page.next_token, found, began)
-            self.busy = False
-            self.listed(self.endpoints.take_list(began, found))
-
-        made: list[_Asking] = []
-        dialed = dial(self.reactor, (host, port), lambda: _Asking(self.pool, done), CALL_S)
-
-        def up(line: _Asking) -> None:
-            made.append(line)
-            line.ask(data)
-
-        timer = self.reactor.callLater(CALL_S, lambda: made[0].transport.abortConnection() if made else None)
-        dialed.addCallbacks(up, lambda _: done(None))
+        """Begin to fetch the complete list, unless a fetch is under way."""
+        if not self._is_fetching:
+            self._is_fetching = True
+            self._request_page(_Fetch(self.reactor.seconds()), "")
+
+    def _request_page(self, fetch: _Fetch, token: str) -> None:
+        address = self.settings.cloud_api.address
+        connections: list[_PageConnection] = []
+
+        def on_response(response: Response | None) -> None:
+            if timeout.active():
+                timeout.cancel()
+            self._on_page(fetch, _decode_response(response))
+
+        def on_connected(connection: _PageConnection) -> None:
+            connections.append(connection)
+            connection.request(_encode_request(address, token))
+
+        def abort() -> None:
+            if connections:
+                connections[0].transport.abortConnection()
+
+        connected: Deferred[_PageConnection] = dial(
+            self.reactor, address, lambda: _PageConnection(self._pool, on_response), REQUEST_TIMEOUT_S
+        )
+        timeout = self.reactor.callLater(REQUEST_TIMEOUT_S, abort)
+        connected.addCallbacks(on_connected, lambda _: on_response(None))
+
+    def _on_page(self, fetch: _Fetch, page: InstancePage | None) -> None:
+        if page is None:
+            self._is_fetching = False
+            return
+        fetch.instances.extend(page.instance_list)
+        if page.next_token:
+            self._request_page(fetch, page.next_token)
+            return
+        self._is_fetching = False
+        has_changed = self.endpoints.update_from_platform(fetch.began_at, fetch.instances)
+        self.on_listed(has_changed)
+
+
+def _encode_request(address: tuple[str, int], token: str) -> bytes:
+    host, port = address
+    path = "/instances" + (f"?page_token={quote(token)}" if token else "")
+    return f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: close\r\n\r\n".encode()
+
+
+def _decode_response(response: Response | None) -> InstancePage | None:
+    if response is None or response.status != 200:
+        return None
+    try:
+        return decode_page(response.body)
+    except msgspec.DecodeError:
+        return None
--- a/mapleline/balancer/dispatcher.py
+++ b/mapleline/balancer/dispatcher.py
@@ -64,10 +64,10 @@
             VoteRequest: receivers.poller.handle_vote_request,
             Vote: receivers.poller.receive_vote,
             LeaseRequest: self._handle_lease_request,
-            LeaseGrant: receivers.slow_start_leases.told,
-            CounterIncrement: receivers.quota_client.told,
-            CounterValue: receivers.quota_client.told,
-            CounterSync: receivers.quota_client.told,
+            LeaseGrant: receivers.slow_start_leases.handle_grant,
+            CounterIncrement: receivers.quota_client.receive,
+            CounterValue: receivers.quota_client.receive,
+            CounterSync: receivers.quota_client.receive,
         }
 
     def receive(self, ip: int, message: Datagram) -> None:
@@ -82,6 +82,6 @@
             self._proxy.receive_load_report(ip, report, self._context.now())
 
     def _handle_lease_request(self, ip: int, request: LeaseRequest) -> None:
-        grant = self._slow_start_leases.answer(ip, request)
+        grant = self._slow_start_leases.handle_request(ip, request)
         if grant is not None:
             self._context.send(ip, grant)
--- a/mapleline/balancer/heartbeats.py
+++ b/mapleline/balancer/heartbeats.py
@@ -139,9 +139,9 @@
     def _compare_endpoint_list(self, ip: int, heartbeat: Heartbeat, now: float) -> None:
         """Fetch the sender's endpoint list if it is newer, or date ours by it if it is the same."""
         list_age_s = heartbeat.list_age_ms / 1000
-        if not heartbeat.list_digest or now - list_age_s <= self._endpoints.fetched + LIST_AGE_TOLERANCE_S:
+        if not heartbeat.list_digest or now - list_age_s <= self._endpoints.fetched_at + LIST_AGE_TOLERANCE_S:
             return
         if heartbeat.list_digest == self._endpoints.digest:
-            self._endpoints.same_at(self._membership.last_merge_sent_at - list_age_s, heartbeat.list_digest)
+            self._endpoints.confirm(self._membership.last_merge_sent_at - list_age_s, heartbeat.list_digest)
         else:
             self._control_plane.fetch(ip, servers=True, state=False)
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -137,7 +137,7 @@
             self.endpoints,
             self.upstream_pool,
             self.can_serve,
-            self.quota_client.ask,
+            self.quota_client.consult,
             context.rng,
         )
 
@@ -189,7 +189,7 @@
         self.housekeeping.run()
         self.poller.run()
         self.load_reporter.run()
-        self.slow_start_leases.tick()
+        self.slow_start_leases.start()
         settings = self.settings
         logger.info(
             "started",
@@ -206,7 +206,7 @@
         for address, handler in (
             (addresses.ready_addr, self.handle_readiness),
             (addresses.control_addr, self.control.handle_request),
-            (addresses.directory_addr, self.directory.take),
+            (addresses.directory_addr, self.directory.handle_request),
         ):
             if address is not None:
                 listener = Listener(self.context.reactor, pool, handler)
@@ -298,7 +298,7 @@
 
     def _import_endpoints(self, fetched_at: float, body: bytes) -> None:
         """Take the endpoint list from another node."""
-        if self.endpoints.take_body(fetched_at, body):
+        if self.endpoints.update_from_peer(fetched_at, body):
             self.proxy.update_endpoints()
 
     def _on_endpoints_fetched(self, is_changed: bool) -> None:
--- a/mapleline/balancer/process.py
+++ b/mapleline/balancer/process.py
@@ -12,8 +12,7 @@
 from .logs import configure
 from .node import Node
 from .process_environment import ProcessEnvironment
-from .settings import Settings, SettingsError
-from .settings import read as read_settings
+from .settings import Settings, SettingsError, parse_settings
 
 if TYPE_CHECKING:
     from .reactor import MonotonicReactor
@@ -41,10 +40,10 @@
         """
         path = os.environ.get(SETTINGS_VARIABLE)
         if not path:
-            raise SettingsError(f"{SETTINGS_VARIABLE}: not set; it names the settings file")
+            raise SettingsError(SETTINGS_VARIABLE, "not set; it names the settings file")
         text = Path(path).read_text()
         if self._settings is None or self._text != text:
-            self._settings = read_settings(text)
+            self._settings = parse_settings(text)
             self._text = text
         return self._settings
 
--- a/mapleline/balancer/proxy/proxy.py
+++ b/mapleline/balancer/proxy/proxy.py
@@ -11,10 +11,11 @@
 from ...http1.upload import Upload
 from ...policy.placing import Target, choose, too_late
 from ...policy.window import Ask, Tenancy
-from ..configuration import Route, Table
+from ..configuration import Route
 from ..discovery.endpoints import EndpointList, Instance
 from ..membership.member import MemberFlags
 from ..membership.table import MembershipTable
+from ..routing_table import RoutingTable
 from ..settings import Settings
 from ..transport.messages import LoadReport
 from . import outcome
@@ -137,7 +138,7 @@
     ) -> None:
         self.reactor, self.settings, self.membership, self.endpoints = reactor, settings, membership, endpoints
         self.servers, self.may_serve, self.ask, self.rng = servers, may_serve, ask, rng
-        self.table: Table | None = None
+        self.table: RoutingTable | None = None
         self.evacuated_zones: set[str] = set()
         self.cooling: dict[str, float] = {}  #: zones taken back, whose servers count as cold until a list is as new
         self.slow_start_leases: SlowStartLeases | None = (
@@ -167,11 +168,11 @@
             if target is None:
                 region = self.settings.zones.get(one.zone, "")
                 target = self.targets[id] = Target(id, one.service, one.zone, region, one.slots)
-            target.cold_until = max(target.cold_until, one.cold_until)
+            target.cold_until = max(target.cold_until, one.warming_until)
         for id in [id for id in self.targets if id not in listed]:
             self.servers.close_connections(self.targets.pop(id))
         if self.slow_start_leases is not None:
-            self.slow_start_leases.tend()
+            self.slow_start_leases.request_leases()
 
     def next_load_report(self) -> LoadReport | None:
         """What is out at servers of this region, and which are sick, if that differs from what was last told."""
@@ -205,19 +206,19 @@
         """
         self.cooling[zone] = self.reactor.seconds() + self.settings.cloud_api.max_lag
         if self.slow_start_leases is not None:
-            self.slow_start_leases.tend()
+            self.slow_start_leases.request_leases()
 
     def is_warming_up(self, one: Instance, now: float) -> bool:
         """Also in the second after: any span of one that begins while it is cold counts whole."""
-        ends = max(one.cold_until, one.ended + WARM_UP_MARGIN_S)
-        return now < ends or self.endpoints.fetched < self.cooling.get(one.zone, -1e9)
+        ends = max(one.warming_until, one.warm_up_ended_at + WARM_UP_MARGIN_S)
+        return now < ends or self.endpoints.fetched_at < self.cooling.get(one.zone, -1e9)
 
     def cold_rate(self, one: Instance, now: float, rate: float) -> float:
         """Requests a second for the one that sends to it: what a cold server bears, and in the second after what the
         rule leaves (docs/design/cold.md: two holders send 2 + 1.35 x this in a second at most).
         """
         bounds = self.settings.protocol_bounds
-        if now < one.cold_until or self.endpoints.fetched < self.cooling.get(one.zone, -1e9):
+        if now < one.warming_until or self.endpoints.fetched_at < self.cooling.get(one.zone, -1e9):
             return rate
         return max(rate, (rate * bounds.cold_overshoot + bounds.cold_slack - 2.5) / 1.35)
 
@@ -244,7 +245,7 @@
         return [crc32(one.id.encode()) for one in cold if lot(one) == self.membership.local_member.ip]
 
     def has_lease(self, one: Instance, now: float) -> bool:
-        return self.slow_start_leases is not None and self.slow_start_leases.holds(crc32(one.id.encode()), now)
+        return self.slow_start_leases is not None and self.slow_start_leases.is_held(crc32(one.id.encode()), now)
 
     def usable(self, service: str, homes: set[str] | None, now: float) -> list[Target]:
         """Servers of a service that a request may go to now."""
--- a/mapleline/balancer/proxy/slow_start_leases.py
+++ b/mapleline/balancer/proxy/slow_start_leases.py
@@ -1,109 +1,195 @@
-"""Who alone may do something for a while: leases by number, granted by more than half of the core (pure, but its tick).
+"""Leases on servers that are warming up: at most one node sends to such a server at any time.
 
-A voter grants a number to one process at a time, for `LEASE_S` on its own clock from when it was asked; the holder
-counts from when it asked, which is earlier.  Two majorities have a voter in common, so two never hold one number at
-once, whatever they believe of each other, and between the beginnings of two holders lie `LEASE_S` at least.  A voter
-that was started anew has forgotten what it granted and grants nothing until that has ended.
+A lease is granted by a majority of the control replicas (the voters), each for `LEASE_S` on its own clock from when it
+received the request; the holder counts from when it sent the request, which is earlier.  Two majorities have a voter
+in common, so no two nodes hold one lease at once, whatever they believe of each other, and at least `LEASE_S` lies
+between the beginnings of two holders.  A voter that has restarted has forgotten its grants, and grants nothing until
+they have expired.  Derivation of the bounds: docs/design/cold.md.
+
+A lease's id is the CRC-32 of the server's id.
 """
 
 from __future__ import annotations
 
-import random
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, NamedTuple
 
 from ..transport.messages import LeaseGrant, LeaseRequest
 
-LEASE_S = 1.5  # more than a second and `DIAL_S`: the span of the rule meets two holders at most (docs/design/cold.md)
-RENEW_S = 0.4  # one lost question, and the way there and back, cost no lease
-EARLY_S = 0.05  # the holder ends before its voters: clocks run apart by less
+if TYPE_CHECKING:
+    import random
+
+    from ..clock import Clock
+
+#: Longer than a second, the span of the rule, and `upstream.DIAL_S`: that span meets two holders at most.
+LEASE_S = 1.5
+
+#: Between two requests of a holder: one lost request, and the round trip of the next, cost no lease.
+RENEW_INTERVAL_S = 0.4
+
+#: So much earlier than its voters the holder takes a lease for expired: clocks drift apart by less in `LEASE_S`.
+EXPIRY_MARGIN_S = 0.05
+
+#: Nonces and incarnations are 31 bits wide.
+NONCE_MASK = 0x7FFFFFFF
+INCARNATION_BITS = 31
+
+NEVER = -1e9
+
+
+class LeaseOwner(NamedTuple):
+    """One run of a node's process."""
+
+    ip: int
+    incarnation: int
+
+
+class Grant(NamedTuple):
+    """A lease as its voter knows it."""
+
+    owner: LeaseOwner
+    expires_at: float
+
 
+class LeaseVoter:
+    """The leases that one control replica has granted; `now` is on its own clock."""
 
-class Voter:
-    """What one machine of the core has granted."""
+    def __init__(self, started_at: float) -> None:
+        """`started_at`: when this process started; what an earlier one granted is not known."""
+        self.started_at = started_at
+        self.grants: dict[int, Grant] = {}
 
-    def __init__(self, started: float) -> None:
-        self.started = started
-        self.granted: dict[int, tuple[int, int, float]] = {}  #: holder, its life, until when
+    def grant(self, now: float, owner: LeaseOwner, lease_ids: list[int]) -> list[int]:
+        """Grant or renew leases for `LEASE_S`.
 
-    def ask(self, now: float, ip: int, life: int, numbers: list[int]) -> list[int]:
-        """Those of the numbers that this process has from now on, for `LEASE_S`."""
-        if now - self.started < LEASE_S:
+        Returns:
+            Those of the leases that no other owner has; none within `LEASE_S` of the start.
+        """
+        if now - self.started_at < LEASE_S:
             return []
-        self.granted = {number: row for number, row in self.granted.items() if row[2] > now}
-        given = [number for number in numbers if self.granted.get(number, (ip, life))[:2] == (ip, life)]
-        self.granted.update(dict.fromkeys(given, (ip, life, now + LEASE_S)))
-        return given
+        self.grants = {lease_id: grant for lease_id, grant in self.grants.items() if grant.expires_at > now}
+        granted = [lease_id for lease_id in lease_ids if self._owner(lease_id, owner) == owner]
+        grant = Grant(owner, now + LEASE_S)
+        self.grants.update(dict.fromkeys(granted, grant))
+        return granted
 
+    def _owner(self, lease_id: int, default: LeaseOwner) -> LeaseOwner:
+        grant = self.grants.get(lease_id)
+        return grant.owner if grant is not None else default
 
-class SlowStartLeases:
-    """What one process holds, and its questions to the core.
 
-    `wanted(now)` says which numbers it should hold; `voters()` who the core is.
+class LeaseHolder:
+    """The leases that one node has requested and been granted; `now` is on its own clock.
+
+    Attributes:
+        requested_at: When each open request was sent, by nonce.
+        granted_at: By lease and voter, when the request was sent that the voter granted last.
+        voter_counts: How many voters there are, as each voter reported it.
     """
 
+    def __init__(self, incarnation: int) -> None:
+        """`incarnation`: of this process; another run of it is another owner."""
+        self.incarnation = incarnation
+        self.nonce = 0
+        self.requested_at: dict[int, float] = {}
+        self.granted_at: dict[int, dict[int, float]] = {}
+        self.voter_counts: dict[int, int] = {}
+
+    def new_request(self, now: float, lease_ids: list[int]) -> LeaseRequest:
+        """Return a request for leases, to be sent to each voter now."""
+        self._forget_expired(now)
+        self.nonce = (self.nonce + 1) & NONCE_MASK
+        self.requested_at[self.nonce] = now
+        return LeaseRequest(self.nonce, self.incarnation, lease_ids)
+
+    def record_grant(self, voter: int, grant: LeaseGrant) -> None:
+        """Take in a voter's answer; one to a request that is not open any more is ignored."""
+        requested_at = self.requested_at.get(grant.nonce)
+        if requested_at is None:
+            return
+        self.voter_counts[voter] = grant.core
+        for lease_id in grant.numbers:
+            by_voter = self.granted_at.setdefault(lease_id, {})
+            by_voter[voter] = max(requested_at, by_voter.get(voter, requested_at))
+
+    def is_held(self, lease_id: int, now: float, voters: list[int]) -> bool:
+        """Return whether a majority granted the lease, of the largest number of voters that any of them reported."""
+        voter_count = max([len(voters), *(self.voter_counts.get(voter, 0) for voter in voters)])
+        by_voter = self.granted_at.get(lease_id, {})
+        valid = [voter for voter in voters if now - by_voter.get(voter, NEVER) < LEASE_S - EXPIRY_MARGIN_S]
+        return len(valid) > voter_count // 2
+
+    def _forget_expired(self, now: float) -> None:
+        self.granted_at = {
+            lease_id: by_voter
+            for lease_id, by_voter in self.granted_at.items()
+            if any(now - requested_at < LEASE_S for requested_at in by_voter.values())
+        }
+        self.requested_at = {nonce: at for nonce, at in self.requested_at.items() if now - at < LEASE_S}
+
+
+class SlowStartLeases:
+    """Both sides of one node: its requests to the voters and, on a control replica, its answers to others."""
+
     def __init__(
         self,
-        reactor: Any,
-        me: int,
+        clock: Clock,
+        own_ip: int,
         rng: random.Random,
-        send: Callable[[int, Any], None],
+        send: Callable[[int, LeaseRequest], None],
         voters: Callable[[], list[int]],
         wanted: Callable[[float], list[int]],
-        disk: bool,
+        is_voter: bool,
     ) -> None:
-        self.reactor, self.me, self.send, self.voters, self.wanted = reactor, me, send, voters, wanted
-        self.life = rng.getrandbits(31)
-        self.voter = Voter(reactor.seconds()) if disk else None
-        self.nonce = 0
-        self.asked: dict[int, float] = {}  #: questions out, and since when
-        self.grants: dict[int, dict[int, float]] = {}  #: by number and voter: when that was asked for
-        self.sizes: dict[int, int] = {}  #: how many the core are, as each voter said
-
-    def tick(self) -> None:
-        self.reactor.callLater(RENEW_S, self.tick)
-        self.tend()
-
-    def tend(self) -> None:
-        """Ask for what is wanted now; what isn't any more ends by itself."""
-        now = self.reactor.seconds()
-        numbers = self.wanted(now)
-        if not numbers:
+        """Set up without a request yet.
+
+        Args:
+            clock: Time and timers.
+            own_ip: This node's address.
+            rng: Draws the incarnation.
+            send: Sends a datagram to an address.
+            voters: Returns the addresses of the control replicas.
+            wanted: Returns the leases that this node should hold at a time.
+            is_voter: Whether this node is a control replica.
+        """
+        self.clock = clock
+        self.own_ip = own_ip
+        self.send = send
+        self.voters = voters
+        self.wanted = wanted
+        self.holder = LeaseHolder(rng.getrandbits(INCARNATION_BITS))
+        self.voter = LeaseVoter(clock.seconds()) if is_voter else None
+
+    def start(self) -> None:
+        """Request the wanted leases now and every `RENEW_INTERVAL_S`."""
+        self.clock.callLater(RENEW_INTERVAL_S, self.start)
+        self.request_leases()
+
+    def request_leases(self) -> None:
+        """Request or renew the wanted leases; those that are no longer wanted expire."""
+        now = self.clock.seconds()
+        lease_ids = self.wanted(now)
+        if not lease_ids:
             return
-        self.grants = {
-            number: rows for number, rows in self.grants.items() if any(now - at < LEASE_S for at in rows.values())
-        }
-        self.asked = {nonce: at for nonce, at in self.asked.items() if now - at < LEASE_S}
-        self.nonce = (self.nonce + 1) & 0x7FFFFFFF
-        self.asked[self.nonce] = now
-        question = LeaseRequest(self.nonce, self.life, numbers)
-        for ip in self.voters():
-            if ip != self.me:
-                self.send(ip, question)
-            elif (answer := self.answer(ip, question)) is not None:
-                self.told(ip, answer)
-
-    def answer(self, ip: int, question: LeaseRequest) -> LeaseGrant | None:
-        """What this one grants; None where it is no voter."""
+        request = self.holder.new_request(now, lease_ids)
+        for voter in self.voters():
+            if voter != self.own_ip:
+                self.send(voter, request)
+            elif (grant := self.handle_request(voter, request)) is not None:
+                self.handle_grant(voter, grant)
+
+    def handle_request(self, ip: int, request: LeaseRequest) -> LeaseGrant | None:
+        """Return the grant for a node's request; None where this node is no voter."""
         if self.voter is None:
             return None
-        given = self.voter.ask(self.reactor.seconds(), ip, question.life, question.numbers)
-        return LeaseGrant(question.nonce, len(self.voters()), given)
+        owner = LeaseOwner(ip, request.life)
+        granted = self.voter.grant(self.clock.seconds(), owner, request.numbers)
+        return LeaseGrant(request.nonce, len(self.voters()), granted)
 
-    def told(self, ip: int, answer: LeaseGrant) -> None:
-        """A voter has answered."""
-        asked = self.asked.get(answer.nonce)
-        if asked is None:
-            return
-        self.sizes[ip] = answer.core
-        for number in answer.numbers:
-            rows = self.grants.setdefault(number, {})
-            rows[ip] = max(asked, rows.get(ip, asked))
-
-    def holds(self, number: int, now: float) -> bool:
-        """It is this one's alone, now."""
-        voters = self.voters()
-        size = max([len(voters), *(self.sizes.get(ip, 0) for ip in voters)])
-        rows = self.grants.get(number, {})
-        fresh = [ip for ip in voters if now - rows.get(ip, -1e9) < LEASE_S - EARLY_S]
-        return len(fresh) > size // 2
+    def handle_grant(self, ip: int, grant: LeaseGrant) -> None:
+        """Take in a voter's grant."""
+        self.holder.record_grant(ip, grant)
+
+    def is_held(self, lease_id: int, now: float) -> bool:
+        """Return whether this node alone holds the lease now."""
+        return self.holder.is_held(lease_id, now, self.voters())
--- a/mapleline/balancer/quota/client.py
+++ b/mapleline/balancer/quota/client.py
@@ -1,205 +1,175 @@
-"""Consults the holders of tallies, and answers as one of them."""
+"""The client side of quotas: asks a tenant's counter replicas for its use, once for each request.
+
+The nearest replica is asked first; the request is hedged at all replicas where it does not answer, and given up soon
+after.  Units of a request that is not let in are reverted.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from msgspec.structs import replace
 
-from ...policy.window import Ask
-from ..environment import Environment
-from ..membership.table import MembershipTable
-from ..settings import Settings
+from ...policy.window import WindowUsage
 from ..transport.messages import CounterIncrement, CounterSync, CounterValue
-from .counters import CounterTable, holders, shard_of
+from .placement import Distance, ReplicaPlacement
+from .replica import CounterReplica
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ...policy.window import Ask
+    from ..clock import Clock, DelayedCall
+    from ..environment import Environment
+    from ..membership.table import MembershipTable
+    from ..settings import Settings
+
+#: Then the nearest replica is asked again, and the others as well: longer than a round trip between regions, 40 ms.
+HEDGE_AFTER_S = 0.045
+
+#: Then the request is rejected: a fifth of the shortest latency target seen.
+CONSULTATION_TIMEOUT_S = 0.16
 
-AGAIN_S = 0.045  # the nearer holder is asked again, and the other one as well
-MOST_S = 0.16  # then the request is refused: a fifth of the shortest aim seen
-TELL_S = 0.05  # holders look so often for what they have to tell each other
-SILENT_S = 0.6  # a holder that has told and heard nothing since counts what it is asked for twice
-MISSES, SUSPECT_S = 2, 1.2  # consultations in a row without an answer; then it is not asked for a while
+#: Nonces are 31 bits wide; the first one is made of 30 bits of the time of day, so that incarnations differ.
+NONCE_MASK = 0x7FFFFFFF
+FIRST_NONCE_MASK = 0x3FFFFFFF
+MS_PER_S = 1000
 
+#: A request is one unit of its tenant's quota.
+UNITS_PER_REQUEST = 1.0
 
-class _Open:
-    """One consultation."""
 
-    __slots__ = ("ask", "asked", "left", "message", "order", "timers")
+@dataclass(slots=True)
+class PendingConsultation:
+    """A consultation that has no answer yet.
 
-    def __init__(self, ask: Ask, message: CounterIncrement, left: float, order: list[int]) -> None:
-        self.ask, self.message, self.left, self.order = ask, message, left, order
-        self.asked: set[int] = set()
-        self.timers: list[Any] = []
+    Attributes:
+        ask: The request to be decided on, with its callback.
+        increment: What replicas are sent.
+        remaining_share: The share of the window that was left when it began.
+        replicas: The tenant's replicas, the nearest first.
+        asked: Those of them that were sent the increment.
+        timers: For the hedge and the time-out.
+    """
+
+    ask: Ask
+    increment: CounterIncrement
+    remaining_share: float
+    replicas: list[int]
+    asked: set[int] = field(default_factory=set)
+    timers: list[DelayedCall] = field(default_factory=list)
 
 
 class QuotaClient:
-    """`tenants()` tells how many there are."""
+    """Consults replicas for this node's requests; `replica` is the node's own part of the counters.
+
+    Attributes:
+        pending: Consultations without an answer, by nonce.
+        nonce: The nonce of the last consultation.
+    """
 
     def __init__(
         self,
-        reactor: Any,
+        clock: Clock,
         settings: Settings,
         environment: Environment,
         membership: MembershipTable,
-        tenants: Callable[[], int],
+        tenant_count: Callable[[], int],
     ) -> None:
-        self.reactor, self.settings, self.membership, self.tenants = reactor, settings, membership, tenants
+        """`tenant_count` returns how many tenants the configuration in force has."""
+        self.clock = clock
         self.send = environment.send
-        began = environment.unix_time() - reactor.seconds()
-        self.unix = lambda: began + reactor.seconds()  # windows are named by it: a step of the clock moves none
-        self.zones = sorted(settings.zones)
-        self.me = membership.local_member
-        self.names = CounterTable(membership.session_key(membership.local_member.ip))
-        self.open: dict[int, _Open] = {}
-        self.misses: dict[int, int] = {}
-        self.suspect: dict[int, float] = {}
-        self.unheard: dict[int, float] = {}  #: other holders, and since when they owe us a word
-        self.homes: dict[str, tuple[str, ...]] = {}  #: of the tenants whose names are held here
-        self.nonce = int(self.unix() * 1000) & 0x3FFFFFFF  # another life's nonces are others
-        reactor.callLater(TELL_S, self._tell)
-
-    def _holders(self, tenant: str, homes: tuple[str, ...]) -> list[int]:
-        now = self.reactor.seconds()
-        able = []
-        for m in self.membership.alive(now):
-            zone = self.zones[m.zone]
-            if m.is_leaving or self.suspect.get(m.ip, -1.0) > now:
-                continue
-            if not homes or self.settings.zones[zone] in homes:
-                able.append((m.ip, m.zone, self.settings.zones[zone], m.has_disk))
-        return holders(shard_of(tenant, self.tenants()), ",".join(homes), able)
-
-    def _distance(self, ip: int) -> tuple[int, bool]:
-        member = self.membership.members.get(ip)
-        if ip == self.me.ip or member is None:
-            return 0, False
-        zone = self.zones[member.zone]
-        away = 0 if zone == self.settings.zone else 1 if self.settings.zones[zone] == self.settings.region else 2
-        return away, True
-
-    def ask(self, ask: Ask) -> None:
-        """One consultation for one request."""
+        self.own_ip = membership.local_member.ip
+        self._unix_offset_s = environment.unix_time() - clock.seconds()
+        self.placement = ReplicaPlacement(clock, settings, membership, tenant_count)
+        self.replica = CounterReplica(clock, membership, self.placement, environment.send)
+        self.pending: dict[int, PendingConsultation] = {}
+        self.nonce = int(self._unix_time() * MS_PER_S) & FIRST_NONCE_MASK
+        self.replica.start()
+
+    def consult(self, ask: Ask) -> None:
+        """Begin a consultation for one request; `ask.done` is called once, perhaps at once, with None on failure."""
         homes = tuple(sorted(ask.homes))
-        order = self._holders(ask.tenancy.name, homes)
-        order.sort(key=self._distance)
-        if not order:
+        replicas = self.placement.replicas_of(ask.tenancy.name, homes)
+        replicas.sort(key=self.placement.distance)
+        if not replicas:
             ask.done(None)
             return
-        window, left = ask.tenancy.place(self.unix())
-        self.nonce = (self.nonce + 1) & 0x7FFFFFFF
-        one = _Open(
-            ask,
-            CounterIncrement(self.nonce, ask.tenancy.name, window, 1.0, list(homes), ask.tenancy.limit),
-            left,
-            order,
-        )
-        self.open[self.nonce] = one
-        self._send(one, order[0])
-        if self.nonce in self.open:
-            one.timers = [
-                self.reactor.callLater(AGAIN_S, self._again, one),
-                self.reactor.callLater(MOST_S, self._late, one),
+        consultation = self._new_consultation(ask, homes, replicas)
+        nonce = consultation.increment.nonce
+        self.pending[nonce] = consultation
+        self._send_increment(consultation, replicas[0])
+        if nonce in self.pending:
+            consultation.timers = [
+                self.clock.callLater(HEDGE_AFTER_S, self._hedge, consultation),
+                self.clock.callLater(CONSULTATION_TIMEOUT_S, self._time_out, consultation),
             ]
 
-    def _send(self, one: _Open, ip: int) -> None:
-        one.asked.add(ip)
-        if ip == self.me.ip:
-            self._total(ip, self._count(ip, one.message))
+    def receive(self, ip: int, message: CounterIncrement | CounterValue | CounterSync) -> None:
+        """Handle a datagram that concerns counters, of either side."""
+        if isinstance(message, CounterValue):
+            self._handle_value(ip, message)
+        elif isinstance(message, CounterSync):
+            self.replica.handle_sync(ip, message)
+        elif message.ask:
+            self.send(ip, self.replica.increment(ip, message))
         else:
-            self.send(ip, one.message)
-
-    def _again(self, one: _Open) -> None:
-        if self._distance(one.order[0])[0] < 2:  # a far one's answer is still on its way
-            self._missed(one.order[0])
-        for ip in one.order:
-            if one.message.nonce in self.open:
-                self._send(one, ip)
-
-    def _missed(self, ip: int) -> None:
-        self.misses[ip] = self.misses.get(ip, 0) + 1
-        if self.misses[ip] >= MISSES:
-            self.suspect[ip] = self.reactor.seconds() + SUSPECT_S
-
-    def _late(self, one: _Open) -> None:
-        for ip in one.asked:
-            self._missed(ip)
-        self._decide(one, None)
-
-    def _decide(self, one: _Open, answer: tuple[float, float, float] | None, by: int = 0) -> None:
-        self.open.pop(one.message.nonce, None)
-        for timer in one.timers:
+            self.replica.revert(ip, message)
+
+    def _unix_time(self) -> float:
+        """Return the time of day, in seconds, which names windows; it goes on evenly where the system's clock steps."""
+        return self._unix_offset_s + self.clock.seconds()
+
+    def _new_consultation(self, ask: Ask, homes: tuple[str, ...], replicas: list[int]) -> PendingConsultation:
+        tenancy = ask.tenancy
+        window, remaining_share = tenancy.place(self._unix_time())
+        self.nonce = (self.nonce + 1) & NONCE_MASK
+        increment = CounterIncrement(self.nonce, tenancy.name, window, UNITS_PER_REQUEST, list(homes), tenancy.limit)
+        return PendingConsultation(ask, increment, remaining_share, replicas)
+
+    def _send_increment(self, consultation: PendingConsultation, ip: int) -> None:
+        consultation.asked.add(ip)
+        if ip == self.own_ip:
+            self._handle_value(ip, self.replica.increment(ip, consultation.increment))
+        else:
+            self.send(ip, consultation.increment)
+
+    def _hedge(self, consultation: PendingConsultation) -> None:
+        """Ask all replicas; an answer from another region may still be on its way, and is not missed yet."""
+        nearest = consultation.replicas[0]
+        if self.placement.distance(nearest) < Distance.OTHER_REGION:
+            self.placement.suspects.record_miss(nearest)
+        for ip in consultation.replicas:
+            if consultation.increment.nonce in self.pending:
+                self._send_increment(consultation, ip)
+
+    def _time_out(self, consultation: PendingConsultation) -> None:
+        for ip in consultation.asked:
+            self.placement.suspects.record_miss(ip)
+        self._complete(consultation, None)
+
+    def _handle_value(self, ip: int, value: CounterValue) -> None:
+        """Complete the consultation that a replica has answered, if it was asked and is the first to answer."""
+        self.placement.suspects.record_answer(ip)
+        consultation = self.pending.get(value.nonce)
+        if consultation is not None and ip in consultation.asked:
+            usage = WindowUsage(value.before, value.previous, consultation.remaining_share)
+            self._complete(consultation, usage, ip)
+
+    def _complete(self, consultation: PendingConsultation, usage: WindowUsage | None, answered_by: int = 0) -> None:
+        """Report the outcome; the units stay counted at one replica at most, the others are sent a revert."""
+        self.pending.pop(consultation.increment.nonce, None)
+        for timer in consultation.timers:
             if timer.active():
                 timer.cancel()
-        stays = {by} if one.ask.done(answer) else set()  # a refused try's units are taken off again
-        if one.asked <= stays:
+        is_let_in = consultation.ask.done(usage)
+        counting = {answered_by} if is_let_in else set()
+        if consultation.asked <= counting:
             return
-        off = replace(one.message, ask=False)  # it may overtake what it takes off, or come where that never came
-        for ip in one.asked - stays:
-            if ip == self.me.ip:
-                self._count(ip, off)
+        revert = replace(consultation.increment, ask=False)
+        for ip in consultation.asked - counting:
+            if ip == self.own_ip:
+                self.replica.revert(ip, revert)
             else:
-                self.send(ip, off)
-
-    # -- as a holder ---------------------------------------------------------------------------------------
-
-    def told(self, ip: int, message: CounterIncrement | CounterValue | CounterSync) -> None:
-        """A datagram has come."""
-        if isinstance(message, CounterIncrement):
-            total = self._count(ip, message)
-            if total is not None:
-                self.send(ip, total)
-        elif isinstance(message, CounterValue):
-            self._total(ip, message)
-        else:
-            self.unheard.pop(ip, None)
-            self.names.take(message.parts)
-            self.suspect.pop(ip, None)
-            if not message.answer:
-                tenants = {part.tenant for part in message.parts}
-                others = {ip for name in tenants for ip in self._holders(name, self.homes.get(name, ()))}
-                # who isn't a holder by our register counts for those who can't reach one: it gets the whole
-                known = (
-                    [] if ip in others else self.names.parts(0.0, self.membership.session_key(ip), tenants, all=True)
-                )
-                self.send(ip, CounterSync(known, answer=True))
-
-    def _count(self, ip: int, message: CounterIncrement) -> CounterValue | None:
-        homes = self.homes[message.tenant] = tuple(message.homes)
-        name, sender = (message.tenant, message.window), self.membership.session_key(ip)
-        if not message.ask:
-            return self.names.take_off(sender, message.nonce, *name)
-        before, previous = self.names.add(sender, message.nonce, *name, message.units, message.limit)
-        now = self.reactor.seconds()
-        if self.unheard and any(
-            now - self.unheard.get(other, now) > SILENT_S for other in self._holders(message.tenant, homes)
-        ):
-            before = max(before, 2 * self.names.own(message.tenant, message.window))  # a cut: it lets in as much
-            previous = max(previous, 2 * self.names.own(message.tenant, message.window - 1))
-        alone = self.membership.isolation_factor(now)
-        return CounterValue(message.nonce, before * alone, previous * alone)
-
-    def _total(self, ip: int, total: CounterValue) -> None:
-        self.misses.pop(ip, None)
-        self.suspect.pop(ip, None)
-        one = self.open.get(total.nonce)
-        if one is not None and ip in one.asked:
-            self._decide(one, (total.before, total.previous, one.left), ip)
-
-    def _tell(self) -> None:
-        """Holders tell each other what they have counted."""
-        self.reactor.callLater(TELL_S, self._tell)
-        to: dict[int, set[str]] = {}
-        now = self.reactor.seconds()
-        found: dict[tuple[int, tuple[str, ...]], list[int]] = {}
-        for tenant in self.names.tenants():
-            key = shard_of(tenant, self.tenants()), self.homes.get(tenant, ())
-            if key not in found:
-                found[key] = self._holders(tenant, key[1])
-            for ip in found[key]:
-                if ip != self.me.ip:
-                    to.setdefault(ip, set()).add(tenant)
-        for ip, tenants in to.items():
-            parts = self.names.parts(now, self.membership.session_key(ip), tenants)
-            if parts:
-                self.unheard.setdefault(ip, now)
-                self.send(ip, CounterSync(parts))
+                self.send(ip, revert)
--- a/mapleline/balancer/quota/counters.py
+++ b/mapleline/balancer/quota/counters.py
@@ -1,146 +1,218 @@
-"""Tallies: counts named by tenant and window, held by two ingresses far apart (pure).
+"""Replicated counters of tenants' requests: one for each tenant and window, without input or output.
 
-Tenants fall into shards.  A shard has two holders, in different regions if its homes allow, else in different zones.
-An ingress asks the nearer one; each holder counts what it was asked for and tells the other, so that either knows
-the whole but for what is on its way.  The estimate made of it: policy/window.py.
+A counter is a state-based CRDT close to a G-counter: each incarnation of a replica has a row of its own, only that
+incarnation changes it, and a merge keeps the row with the higher version.  Unlike in a G-counter a row may also go down
+(a rejected request is reverted), which is why rows carry versions.  The value is the sum of the rows; replicas never
+exchange sums, for three of them that did would count for ever.
+
+What is made of the counts: `policy/window.py`; where the replicas are: `placement.py`.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass, field
-from zlib import crc32
+from typing import NamedTuple
 
 from ..transport.messages import CounterRows
 
-SHARD = 16  # tenants: what two holders tell each other fits one datagram
-KEPT = 2  # windows for which a name lives
-NONCES = 4096
-MUCH, MUCH_PART = 2, 0.07  # changes, and part of a limit, after which the other holder is told at once
-WHILE_S = 0.3  # and in any case
+#: Windows that a counter is kept for: the estimate needs the current and the previous one.
+KEPT_WINDOWS = 2
 
+#: Operations that are remembered, the oldest forgotten first, to recognise repeats and reverts.
+REMEMBERED_OPERATIONS = 4096
 
-def shard_of(tenant: str, tenants: int) -> int:
-    """The shard of a tenant, of as many as there are."""
-    return crc32(tenant.encode()) % max(1, tenants // SHARD)
+#: A row is synchronised at once after so many changes, or that share of a limit if it is more: what the replicas do not
+#: know of each other lets in more than the limit (docs/design/system.md, Bounds, QUOTA).
+SYNC_MIN_CHANGES = 2
+SYNC_LIMIT_SHARE = 0.07
 
+#: Fewer changes are synchronised after that time.
+SYNC_MAX_DELAY_S = 0.3
 
-def holders(shard: int, homes: str, candidates: list[tuple[int, int, str, bool]]) -> list[int]:
-    """The two holders of a shard, of (address, zone, region, core): by lot, as far apart as there are.
 
-    Machines of the core come last: a cut through the core must not lie between two holders.
-    """
-    if not candidates:
-        return []
-    order = sorted(candidates, key=lambda c: (c[3], crc32(b"%d %d %s" % (c[0], shard, homes.encode()))))
-    first = order[0]
-    others = [c for c in order if c[2] != first[2]] or [c for c in order if c[1] != first[1]]
-    return [first[0]] + [c[0] for c in others[:1]]
+class CounterKey(NamedTuple):
+    """Names a counter."""
+
+    tenant: str
+    window: int
+
+
+class CounterRow(NamedTuple):
+    """What one incarnation of a replica has counted; the higher version is the newer."""
+
+    version: int = 0
+    units: float = 0.0
+
+
+class Operation(NamedTuple):
+    """Names one increment: the incarnation that sent it, and its nonce."""
+
+    sender: int
+    nonce: int
+
+
+class SentVersion(NamedTuple):
+    """Which version of the own row a peer was sent last, and when."""
+
+    version: int
+    at: float
+
+
+class CounterReading(NamedTuple):
+    """The count of a window before an increment, and that of the window before."""
+
+    current: float
+    previous: float
+
+
+EMPTY_ROW = CounterRow()
+NEVER_SENT = SentVersion(-1, -1e9)
 
 
 @dataclass(slots=True)
 class Counter:
-    """One tenant's count in one window: a row (version, count) for each holder that ever counted it, by its life
-    (`Register.life`): a holder that is back, empty, counts in a row of its own beside that of its earlier life.
+    """One tenant's count in one window.
+
+    A replica that has restarted counts in a new row, beside that of its earlier incarnation.
 
-    Rows are added up and never passed on as a sum: three holders that tell each other sums would count for ever.
+    Attributes:
+        rows: By incarnation (`MembershipTable.session_key`).
+        limit: The tenant's limit in one window, as the node that asked last knew it.
+        sent: By the incarnation of a peer, what of the own row it was sent last.
     """
 
-    rows: dict[int, tuple[int, float]] = field(default_factory=dict)
-    limit: float = 0.0  #: as an ingress that asked last knew it
-    told: dict[int, tuple[int, float]] = field(default_factory=dict)  #: our row's version, and when; by life
+    rows: dict[int, CounterRow] = field(default_factory=dict)
+    limit: float = 0.0
+    sent: dict[int, SentVersion] = field(default_factory=dict)
 
     @property
     def total(self) -> float:
-        return sum(count for _, count in self.rows.values())
+        """The sum of the rows."""
+        return sum(row.units for row in self.rows.values())
 
-    def due(self, now: float, me: int, to: int) -> bool:
-        """Much of our own row is told at once, little in a while, all of it to a new holder."""
-        version = self.rows.get(me, (0, 0.0))[0]
-        told, at = self.told.get(to, (-1, -1e9))
-        return version - told >= max(MUCH, MUCH_PART * self.limit) or version > told and now - at >= WHILE_S
+    def row(self, replica: int) -> CounterRow:
+        """Return the row of an incarnation, empty if it has none."""
+        return self.rows.get(replica, EMPTY_ROW)
+
+    def change(self, replica: int, units: float) -> None:
+        """Give the row of an incarnation another number of units, as its next version."""
+        self.rows[replica] = CounterRow(self.row(replica).version + 1, units)
+
+    def is_sync_due(self, now: float, own: int, peer: int) -> bool:
+        """Return whether the peer is to be sent the own row: many changes at once, few after a while."""
+        version = self.row(own).version
+        sent = self.sent.get(peer, NEVER_SENT)
+        changes = version - sent.version
+        if changes >= max(SYNC_MIN_CHANGES, SYNC_LIMIT_SHARE * self.limit):
+            return True
+        return changes > 0 and now - sent.at >= SYNC_MAX_DELAY_S
 
 
 class CounterTable:
-    """The counts that this ingress holds; `me` and whoever sends or is told are lives (`Register.life`).
+    """The counters that one replica has.
 
-    What was added is remembered by sender and nonce, the last few thousand: coming again it adds nothing; taken off it
-    is taken off once, and if that comes first it is not added.  What is forgotten errs towards refusing: a double adds
-    once more, and nothing is taken off for it.
-    """
+    Senders, peers and the replica itself are named by incarnation (`MembershipTable.session_key`).
 
-    def __init__(self, me: int) -> None:
-        self.me = me
-        self._names: dict[tuple[str, int], Counter] = {}
-        self._counted: dict[tuple[int, int], float] = {}  #: units that stand, by sender and nonce
-        self._order: deque[tuple[int, int]] = deque()
+    The last `REMEMBERED_OPERATIONS` operations are remembered: a repeated increment adds nothing, a repeated revert
+    takes nothing off, and an increment that comes after its revert is not added.  Errors of what is forgotten lie on
+    the side of rejecting: a repeat adds once more, and a revert takes nothing off.
+    """
 
-    def _name(self, tenant: str, window: int) -> Counter:
-        name = self._names.get((tenant, window))
-        if name is None:
-            for key in [k for k in self._names if k[0] == tenant and k[1] <= window - KEPT]:
-                del self._names[key]
-            name = self._names[tenant, window] = Counter()
-        return name
+    def __init__(self, own: int) -> None:
+        """`own`: the incarnation of this replica."""
+        self.own = own
+        self.counters: dict[CounterKey, Counter] = {}
+        self._applied_units: dict[Operation, float] = {}
+        self._operations: deque[Operation] = deque()
 
     def add(
         self, sender: int, nonce: int, tenant: str, window: int, units: float, limit: float = 0.0
-    ) -> tuple[float, float]:
-        """The count before, and that of the window before; a repeated nonce adds nothing."""
-        previous = self._names.get((tenant, window - 1))
-        name, before = self._name(tenant, window), previous.total if previous is not None else 0.0
-        count, name.limit = name.total, limit
-        counted = self._counted.get((sender, nonce))
-        if counted is not None:
-            return max(0.0, count - counted), before
-        self._remember((sender, nonce), units)
-        version, own = name.rows.get(self.me, (0, 0.0))
-        name.rows[self.me] = version + 1, own + units
-        return count, before
-
-    def take_off(self, sender: int, nonce: int, tenant: str, window: int) -> None:
-        """What was added under that nonce counts no more, and will not if it is still on its way."""
-        counted = self._counted.get((sender, nonce))
-        if counted is None:
-            return self._remember((sender, nonce), 0.0)
-        self._counted[sender, nonce] = 0.0
-        name = self._names.get((tenant, window))
-        if counted and name is not None:
-            version, own = name.rows.get(self.me, (0, 0.0))
-            name.rows[self.me] = version + 1, max(0.0, own - counted)
-
-    def _remember(self, key: tuple[int, int], units: float) -> None:
-        self._counted[key] = units
-        self._order.append(key)
-        if len(self._order) > NONCES:
-            self._counted.pop(self._order.popleft(), None)
-
-    def take(self, parts: list[CounterRows]) -> None:
-        """What another holder knows.  Of our own row it knows more only if we have lost it."""
-        for part in parts:
-            name = self._name(part.tenant, part.window)
-            for ip, version, count in part.rows:
-                held, own = name.rows.get(ip, (0, 0.0))
-                if version <= held:
+    ) -> CounterReading:
+        """Add units to a counter, unless that operation was applied or reverted before.
+
+        Returns:
+            The counts without these units.
+        """
+        previous = self.counters.get(CounterKey(tenant, window - 1))
+        previous_total = previous.total if previous is not None else 0.0
+        counter = self._counter(CounterKey(tenant, window))
+        counter.limit = limit
+        total = counter.total
+        operation = Operation(sender, nonce)
+        applied = self._applied_units.get(operation)
+        if applied is not None:
+            return CounterReading(max(0.0, total - applied), previous_total)
+        self._remember(operation, units)
+        counter.change(self.own, counter.row(self.own).units + units)
+        return CounterReading(total, previous_total)
+
+    def revert(self, sender: int, nonce: int, tenant: str, window: int) -> None:
+        """Take off what an operation added; if it comes later, it will add nothing."""
+        operation = Operation(sender, nonce)
+        applied = self._applied_units.get(operation)
+        if applied is None:
+            self._remember(operation, 0.0)
+            return
+        self._applied_units[operation] = 0.0
+        counter = self.counters.get(CounterKey(tenant, window))
+        if applied and counter is not None:
+            counter.change(self.own, max(0.0, counter.row(self.own).units - applied))
+
+    def merge(self, updates: list[CounterRows]) -> None:
+        """Take in a peer's rows where they are newer.
+
+        A newer version of the own row can only mean that this replica has lost it; what was counted since is added.
+        """
+        for update in updates:
+            counter = self._counter(CounterKey(update.tenant, update.window))
+            for replica, version, units in update.rows:
+                known = counter.row(replica)
+                if version <= known.version:
                     continue
-                if ip == self.me:
-                    version, count = version + 1, count + own
-                name.rows[ip] = version, count
-
-    def parts(self, now: float, to: int, tenants: set[str], all: bool = False) -> list[CounterRows]:
-        """What another holder is to be told of these tenants; `all`: whether or not it is due."""
-        found = []
-        for (tenant, window), name in self._names.items():
-            if tenant in tenants and (all or name.due(now, self.me, to)):
-                name.told[to] = name.rows.get(self.me, (0, 0.0))[0], now
-                found.append(CounterRows(tenant, window, [(ip, *row) for ip, row in name.rows.items()]))
-        return found
+                if replica == self.own:
+                    counter.rows[replica] = CounterRow(version + 1, units + known.units)
+                else:
+                    counter.rows[replica] = CounterRow(version, units)
+
+    def updates_for(self, now: float, peer: int, tenants: set[str], *, complete: bool = False) -> list[CounterRows]:
+        """Return all rows of the tenants' counters that are due to be sent to a peer, and take them for sent.
+
+        With `complete`, also of those that are not due.
+        """
+        updates = []
+        for key, counter in self.counters.items():
+            if key.tenant not in tenants or not (complete or counter.is_sync_due(now, self.own, peer)):
+                continue
+            counter.sent[peer] = SentVersion(counter.row(self.own).version, now)
+            rows = [(replica, row.version, row.units) for replica, row in counter.rows.items()]
+            updates.append(CounterRows(key.tenant, key.window, rows))
+        return updates
 
     def tenants(self) -> list[str]:
-        """Of whom there are names here."""
-        return list(dict.fromkeys(tenant for tenant, _ in self._names))
-
-    def own(self, tenant: str, window: int) -> float:
-        """What this holder itself was asked for."""
-        name = self._names.get((tenant, window))
-        return name.rows.get(self.me, (0, 0.0))[1] if name is not None else 0.0
+        """Return the tenants that have counters here, each once."""
+        return list(dict.fromkeys(key.tenant for key in self.counters))
+
+    def own_count(self, tenant: str, window: int) -> float:
+        """Return what this replica itself has counted."""
+        counter = self.counters.get(CounterKey(tenant, window))
+        return counter.row(self.own).units if counter is not None else 0.0
+
+    def _counter(self, key: CounterKey) -> Counter:
+        """Return a counter; a new one replaces those of the tenant's windows that are not needed any more."""
+        counter = self.counters.get(key)
+        if counter is None:
+            self._drop_windows(key.tenant, key.window - KEPT_WINDOWS)
+            counter = self.counters[key] = Counter()
+        return counter
+
+    def _drop_windows(self, tenant: str, last: int) -> None:
+        expired = [key for key in self.counters if key.tenant == tenant and key.window <= last]
+        for key in expired:
+            del self.counters[key]
+
+    def _remember(self, operation: Operation, units: float) -> None:
+        self._applied_units[operation] = units
+        self._operations.append(operation)
+        if len(self._operations) > REMEMBERED_OPERATIONS:
+            self._applied_units.pop(self._operations.popleft(), None)
--- a/mapleline/balancer/settings.py
+++ b/mapleline/balancer/settings.py
@@ -1,4 +1,8 @@
-"""What a process is told: the settings file of lines `a.b=value`, read and checked in one place."""
+"""The settings of one process: a file of `key.subkey=value` lines, parsed and validated.
+
+The platform writes the file and names it in `MAPLELINE_CONFIG` (DEPLOY.md, the settings file); unknown keys are
+ignored.  Field names are the file's keys.  Class names are part of pydantic's error texts, which operators see.
+"""
 
 from __future__ import annotations
 
@@ -7,68 +11,102 @@
 
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, ValidationError
 
-TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
-LISTS = frozenset(
+from .errors import InvalidInputError
+
+DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
+MS_PER_S = 1000
+MAX_PORT = 65535
+
+#: Keys whose value is a list, separated by commas (DEPLOY.md).
+LIST_KEYS = frozenset(
     {"served_roles", "seed_nodes", "active_contracts", "protocol_bounds", "internal_port_range", "cloud_api.duty_list"}
 )
+#: The list key whose entries are `name=value` pairs themselves.
+TABLE_KEY = "protocol_bounds"
 
 
-class SettingsError(Exception):
-    """A settings file that the program can't start from; the text names the key."""
+class SettingsError(InvalidInputError):
+    """A settings file that the program cannot start from."""
 
 
-def seconds(value: object) -> float:
-    """`1500ms` and `2.5s` as seconds.  Raises ValueError for anything else."""
-    found = TIME.fullmatch(value) if isinstance(value, str) else None
-    if found is None:
+def parse_duration(value: object) -> float:
+    """Parse `1500ms` or `2.5s`.
+
+    Returns:
+        The duration in seconds.
+
+    Raises:
+        ValueError: The value is anything else.
+    """
+    match = DURATION.fullmatch(value) if isinstance(value, str) else None
+    if match is None:
         raise ValueError(f"{value!r} is no time: a number and ms or s")
-    return float(found[1]) / (1000 if found[2] == "ms" else 1)
+    number, unit = match.groups()
+    return float(number) / (MS_PER_S if unit == "ms" else 1)
+
 
+def parse_address(value: object) -> tuple[str, int]:
+    """Parse `10.1.0.13:8381`.
 
-def address(value: object) -> tuple[str, int]:
-    """`10.1.0.13:8381` as host and port.  Raises ValueError for anything else."""
+    Returns:
+        Host and port.
+
+    Raises:
+        ValueError: The value is anything else, or the port is 0 or above 65535.
+    """
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"{value!r} is no address: host:port")
     return host, int(port)
 
 
-Seconds = Annotated[float, BeforeValidator(seconds)]
-Place = Annotated[tuple[str, int], BeforeValidator(address)]
+Seconds = Annotated[float, BeforeValidator(parse_duration)]
+Address = Annotated[tuple[str, int], BeforeValidator(parse_address)]
+
 
+class SettingsSection(BaseModel):
+    """Base of the file's sections: immutable, unknown keys ignored."""
 
-class _Part(BaseModel):
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
-class Listen(_Part):
-    """Where this role listens; what it doesn't serve is None."""
+class Listen(SettingsSection):
+    """The addresses that this process listens on; None for what it does not serve."""
+
+    front_addr: Address | None = None
+    ready_addr: Address | None = None
+    control_addr: Address | None = None
+    directory_addr: Address | None = None
 
-    front_addr: Place | None = None
-    ready_addr: Place | None = None
-    control_addr: Place | None = None
-    directory_addr: Place | None = None
 
+class Limits(SettingsSection):
+    """Resources of the machine: memory and disk in MB (2^20 bytes), file descriptors by count."""
 
-class Limits(_Part):
     memory_mb: int = 300
     max_file_descriptors: int = 4100
     disk_mb: int = 64
 
 
-class Tolerance(_Part):
+class Tolerance(SettingsSection):
+    """Simultaneous losses that the control replicas have to survive: machines, and whole zones."""
+
     machine_losses: int = 1
     zones: int = 0
 
 
-class Cloud(_Part):
-    address: Place
+class Cloud(SettingsSection):
+    """The platform's API: its address, requests a second for all nodes together, and how stale a list may be (s)."""
+
+    address: Address
     rate_per_s: float = Field(gt=0)
     max_lag: Seconds = 0.8
 
 
-class Bounds(_Part):
-    """The figures of the rules in force, in seconds, counts and shares."""
+class Bounds(SettingsSection):
+    """The bounds of the rules in force (PROTOCOL.md, bounds).
+
+    Durations are in seconds, `*_ratio` and `*_overshoot` are factors, `*_slack` counts requests.
+    """
 
     contact_window: Seconds = 4.0
     ack_timeout: Seconds = 6.0
@@ -90,8 +128,8 @@
     ttl_max: Seconds = 5.0
 
 
-class Settings(_Part):
-    """A whole settings file."""
+class Settings(SettingsSection):
+    """A complete settings file; `zones` maps each zone to its region, `heartbeat_interval` is in seconds."""
 
     node_name: str
     ip_address: str
@@ -100,7 +138,7 @@
     zones: dict[str, str]
     listen_addresses: Listen
     internal_port_range: tuple[int, int]
-    seed_nodes: list[Place] = []
+    seed_nodes: list[Address] = []
     initial_start: bool = False
     loss_counted: bool = False
     data_directory: str | None = None
@@ -111,35 +149,54 @@
     cloud_api: Cloud
 
 
-def tree(text: str) -> dict[str, Any]:
-    """The lines as nested tables; lists are split at commas, `protocol_bounds` becomes a table."""
-    found: dict[str, Any] = {}
-    for number, line in enumerate(text.splitlines(), 1):
-        line = line.strip()
-        if not line or line.startswith("#"):
-            continue
-        key, is_pair, value = line.partition("=")
-        if not is_pair:
-            raise SettingsError(f"line {number}: no '=' in {line!r}")
-        leaf: Any = value
-        if key in LISTS:
-            leaf = [part for part in value.split(",") if part]
-        if key == "protocol_bounds":
-            leaf = dict(part.partition("=")[::2] for part in leaf)
-        table, *rest = found, *key.split(".")
-        for name in rest[:-1]:
-            table = table.setdefault(name, {})
-            if not isinstance(table, dict):
-                raise SettingsError(f"line {number}: {key}: {name} has a value already")
-        table[rest[-1]] = leaf
-    return found
-
-
-def read(text: str) -> Settings:
-    """The checked settings.  Raises SettingsFault with the key at fault."""
+def parse_settings(text: str) -> Settings:
+    """Parse and validate a settings file.
+
+    Raises:
+        SettingsError: The text breaks a rule; only the first fault is reported.
+    """
     try:
-        return Settings.model_validate(tree(text))
+        return Settings.model_validate(parse_lines(text))
     except ValidationError as err:
         first = err.errors()[0]
         key = ".".join(str(part) for part in first["loc"])
-        raise SettingsError(f"{key}: {first['msg']}") from None
+        raise SettingsError(key, first["msg"]) from None
+
+
+def parse_lines(text: str) -> dict[str, Any]:
+    """Return the lines of a settings file as nested tables of strings, lists of strings and tables.
+
+    Blank lines and lines that begin with `#` are skipped; a key that comes again replaces the earlier value.
+
+    Raises:
+        SettingsError: A line has no `=`, or a key lies under one that has a value.
+    """
+    settings: dict[str, Any] = {}
+    for number, raw_line in enumerate(text.splitlines(), 1):
+        line = raw_line.strip()
+        if not line or line.startswith("#"):
+            continue
+        key, separator, value = line.partition("=")
+        if not separator:
+            raise SettingsError(f"line {number}", f"no '=' in {line!r}")
+        _insert(settings, key, _parse_value(key, value), number)
+    return settings
+
+
+def _parse_value(key: str, value: str) -> str | list[str] | dict[str, str]:
+    if key not in LIST_KEYS:
+        return value
+    entries = [entry for entry in value.split(",") if entry]
+    if key != TABLE_KEY:
+        return entries
+    return {name: entry_value for name, _, entry_value in (entry.partition("=") for entry in entries)}
+
+
+def _insert(settings: dict[str, Any], key: str, value: object, line_number: int) -> None:
+    *parents, name = key.split(".")
+    table = settings
+    for parent in parents:
+        table = table.setdefault(parent, {})
+        if not isinstance(table, dict):
+            raise SettingsError(f"line {line_number}", f"{key}: {parent} has a value already")
+    table[name] = value
--- a/mapleline/policy/window.py
+++ b/mapleline/policy/window.py
@@ -9,6 +9,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from .estimate import weighted
 
@@ -64,10 +65,18 @@
         return self.window * room_after(previous, left, before, self.limit)
 
 
+class WindowUsage(NamedTuple):
+    """A tenant's units in the current window before a request, in the previous one, and the share of it left."""
+
+    current: float
+    previous: float
+    remaining_share: float
+
+
 @dataclass(slots=True)
 class Ask:
-    """A consultation: `done` gets (before, previous, share left), or None; it says whether the units stay."""
+    """A consultation: `done` gets the usage, or None; it returns whether the request's units stay counted."""
 
     tenancy: Tenancy
     homes: list[str]
-    done: Callable[[tuple[float, float, float] | None], bool]
+    done: Callable[[WindowUsage | None], bool]
--- a/mapleline/simulation/operators.py
+++ b/mapleline/simulation/operators.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from ..balancer.configuration import read as read_config
+from ..balancer.configuration import parse_configuration
 from .invariants import FOR_GOOD, READ, REPLACE, SILENCE_S, Answer, Order
 from .world import Machine, configuration_digest
 
@@ -218,7 +218,7 @@
         body = json.dumps(configuration(version, self.keys, self.marks)).encode()
         content = f"{crc32(body):08x}"
         self.bodies[content] = body
-        self.known[configuration_digest(read_config(body))] = content
+        self.known[configuration_digest(parse_configuration(body))] = content
         kept = {key for keys in self.keys.values() for key in keys}
         self.without[content] = {key for keys in KEYS.values() for key in keys} - kept
         self.sent.setdefault(version, []).append(body)
--- a/mapleline/simulation/world.py
+++ b/mapleline/simulation/world.py
@@ -19,7 +19,7 @@
 from twisted.python.failure import Failure
 
 from ..balancer import settings
-from ..balancer.configuration import Config
+from ..balancer.configuration import Configuration
 from ..balancer.control.consensus import Record
 from ..balancer.control.snapshot import named
 from ..balancer.discovery.endpoints import ListedInstance
@@ -161,7 +161,7 @@
         return None
 
 
-def configuration_digest(config: Config) -> str:
+def configuration_digest(config: Configuration) -> str:
     """Of what a configuration says, however it was written down."""
     return f"{crc32(config.model_dump_json().encode()):08x}"
 
@@ -204,7 +204,7 @@
             disk=f"data_directory=/data/{self.name}" if self.disk is not None else "",
         )
         if self._boot[0] != text:
-            self._boot = text, settings.read(text)
+            self._boot = text, settings.parse_settings(text)
         return self._boot[1]
 
     # -- a look into its node: the only place where the laboratory knows the parts of one ----------------------
@@ -416,7 +416,7 @@
 
         def come(found: list) -> None:
             self.busy = False
-            self.listed(self.endpoints.take_list(began, found))
+            self.listed(self.endpoints.update_from_platform(began, found))
 
         way = 2 * world.way(machine.zone, world.zone_names[0])
         world.after(way, lambda: life.run(come, world.listing()))
@@ -824,7 +824,7 @@
         take = {
             "proxy": node.proxy.handle_request,
             "control": node.control.handle_request,
-            "directory": node.directory.take,
+            "directory": node.directory.handle_request,
         }[of]
         machine.reactor.run(take, client_conn, request)
         return client_conn
--- a/tests/balancer/golden_samples.py
+++ b/tests/balancer/golden_samples.py
@@ -305,8 +305,8 @@
 def server_catalogue() -> EndpointList:
     """A catalogue that fetched that list twice, the second time with a cold server whose cold time began anew."""
     catalogue = EndpointList(0.8)
-    catalogue.take_list(100.0, sample_servers())
-    catalogue.take_list(105.0, sample_servers())
+    catalogue.update_from_platform(100.0, sample_servers())
+    catalogue.update_from_platform(105.0, sample_servers())
     return catalogue
 
 
--- a/tests/balancer/proxy/proxy_harness.py
+++ b/tests/balancer/proxy/proxy_harness.py
@@ -5,7 +5,7 @@
 
 from twisted.internet.task import Clock
 
-from mapleline.balancer import configuration, settings
+from mapleline.balancer import configuration, routing_table, settings
 from mapleline.balancer.discovery.endpoints import EndpointList, ListedInstance
 from mapleline.balancer.membership.member import Member, MemberFlags
 from mapleline.balancer.membership.table import MembershipTable
@@ -75,7 +75,7 @@
         leases = SlowStartLeases(self.clock, 1, random.Random(5), lambda *_: None, lambda: [1], self.cold_numbers, True)
         self.clock.advance(100.0)
         self.serving = True
-        boot = settings.read(boot)
+        boot = settings.parse_settings(boot)
         self.membership = MembershipTable(Member(1, 0, MemberFlags.READY, last_heartbeat=100.0), 1e6)
         self.endpoints = EndpointList()
         self.servers = Lines(self)
@@ -90,7 +90,7 @@
             self.asks.append,
             random.Random(7),
         )
-        self.proxy.table = configuration.Table(configuration.read(whole))
+        self.proxy.table = routing_table.RoutingTable(configuration.parse_configuration(whole))
         self.proxy.slow_start_leases = leases
         self.list(servers)
 
@@ -107,7 +107,7 @@
             for n, (id, service, zone, more) in enumerate(servers, 1)
         ]
         self.lists += 1
-        self.endpoints.take_list(self.clock.seconds() + 1e-6 * self.lists, found)
+        self.endpoints.update_from_platform(self.clock.seconds() + 1e-6 * self.lists, found)
         self.proxy.update_endpoints()
 
     def ask(self, name, method=b"GET", path=b"/one/x", key=b"k1", long=0, **fields):
--- a/tests/balancer/proxy/test_proxy.py
+++ b/tests/balancer/proxy/test_proxy.py
@@ -166,12 +166,12 @@
         self.approve("quota")
 
     def test_a_key_taken_away_while_the_tally_is_asked(self):
-        from mapleline.balancer import configuration
+        from mapleline.balancer import configuration, routing_table
 
         w = self.world
         w.ask("q1", key=b"k2")
         later = {**WHOLE, "config_version": 8, "tenant_table": {"t1": {"api_keys": ["k1"]}}}
-        w.proxy.table = configuration.Table(configuration.read(json.dumps(later).encode()))
+        w.proxy.table = routing_table.RoutingTable(configuration.parse_configuration(json.dumps(later).encode()))
         w.count(before=0.0)
         self.approve("key_taken_away")
 
--- a/tests/balancer/test_golden_bytes.py
+++ b/tests/balancer/test_golden_bytes.py
@@ -147,18 +147,18 @@
 
     def test_a_golden_list_is_taken_and_has_the_golden_digest(self):
         catalogue = EndpointList(0.8)
-        self.assertTrue(catalogue.take_body(105.0, self.golden["server_list"]))
+        self.assertTrue(catalogue.update_from_peer(105.0, self.golden["server_list"]))
         self.assertEqual(catalogue.digest.to_bytes(4, "big"), self.golden["server_list_digest"])
         ready, cold = catalogue.instances.values()
         self.assertEqual(
-            (ready.id, ready.service, ready.address, ready.zone, ready.slots, ready.ready, ready.turn),
+            (ready.id, ready.service, ready.address, ready.zone, ready.slots, ready.ready, ready.warm_up_count),
             ("i-1", "slots", ("10.128.0.1", 8080), "a1", 1, True, 0),
         )
         self.assertEqual(
-            (cold.id, cold.service, cold.address, cold.zone, cold.slots, cold.ready, cold.turn),
+            (cold.id, cold.service, cold.address, cold.zone, cold.slots, cold.ready, cold.warm_up_count),
             ("i-2", "records", ("10.128.1.2", 8081), "a2", 4, False, 1),
         )
-        self.assertAlmostEqual(cold.cold_until, 105.0 + 1.5 + 0.8)
+        self.assertAlmostEqual(cold.warming_until, 105.0 + 1.5 + 0.8)
 
 
 class GoldenFolders(unittest.TestCase):
--- a/tests/balancer/test_parts.py
+++ b/tests/balancer/test_parts.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from mapleline.balancer import configuration, settings
+from mapleline.balancer import configuration, routing_table, settings
 from mapleline.balancer.cli import data_folder
 from mapleline.balancer.control.commands import RemoveReplica, ReplaceConfiguration, SetEvacuation, batch
 from mapleline.balancer.control.read_lease import ReadLease
@@ -12,7 +12,8 @@
 from mapleline.balancer.control.state import PAST_MOST, Replica, State, genesis, reformed, settled
 from mapleline.balancer.proxy import outcome
 from mapleline.balancer.proxy.outcome import Outcome
-from mapleline.balancer.quota.counters import CounterTable, holders
+from mapleline.balancer.quota.counters import CounterTable
+from mapleline.balancer.quota.placement import Candidate, choose_replicas
 from mapleline.policy.estimate import weighted
 from mapleline.policy.placing import Target, choose
 from mapleline.policy.window import Tenancy
@@ -59,7 +60,7 @@
 
 class TestSettings(unittest.TestCase):
     def test_a_file_is_read_and_a_fault_names_the_key(self):
-        boot = settings.read(BOOT)
+        boot = settings.parse_settings(BOOT)
         self.assertEqual((boot.protocol_bounds.contact_window, boot.protocol_bounds.revocation_strict), (4.0, True))
         self.assertEqual(boot.seed_nodes, [("10.1.0.13", 8381), ("10.2.0.13", 8381)])
         for line, key in (
@@ -69,13 +70,13 @@
             ("seed_nodes=10.1.0.13", "seed_nodes"),
         ):
             with self.assertRaises(settings.SettingsError) as caught:
-                settings.read(BOOT + line + "\n")
+                settings.parse_settings(BOOT + line + "\n")
             self.assertIn(key, str(caught.exception))
 
 
 class TestConfig(unittest.TestCase):
     def test_the_longest_prefix_of_the_host_and_the_keys_owner(self):
-        table = configuration.Table(configuration.read(operators()))
+        table = routing_table.RoutingTable(configuration.parse_configuration(operators()))
         for host, path, prefix in (
             ("a.example", "/one/x", "/one/"),
             ("a.example:80", "/one/two/x", "/one/two/"),
@@ -98,7 +99,7 @@
             (operators()[:-9], "the configuration"),
         ):
             with self.assertRaises(configuration.ConfigurationError) as caught:
-                configuration.read(text)
+                configuration.parse_configuration(text)
             self.assertIn(key, str(caught.exception))
 
     def test_homes_that_have_nothing_in_common_are_warned_of(self):
@@ -235,41 +236,47 @@
         self.assertEqual(names.add(2, 1, "t", 8, 1.0), (1.0, 0.0))
         self.assertEqual(names.add(2, 1, "t", 8, 1.0), (1.0, 0.0))
         for _ in range(2):  # once, however often it comes
-            names.take_off(2, 1, "t", 8)
+            names.revert(2, 1, "t", 8)
         self.assertEqual(names.add(1, 2, "t", 9, 1.0), (0.0, 1.0))
-        names.take_off(2, 3, "t", 9)  # what it takes off comes later, or never
+        names.revert(2, 3, "t", 9)  # what it takes off comes later, or never
         self.assertEqual(names.add(2, 3, "t", 9, 1.0), (1.0, 1.0))
         self.assertEqual(names.add(2, 4, "t", 9, 1.0), (1.0, 1.0))
 
     def test_two_holders_as_far_apart_as_there_are(self):
         regions = {0: "east", 1: "east", 2: "west"}
         for shard in range(5):
-            first, second = holders(shard, "", [(ip, ip % 3, regions[ip % 3], False) for ip in range(1, 10)])
+            first, second = choose_replicas(
+                shard, "", [Candidate(ip, ip % 3, regions[ip % 3], False) for ip in range(1, 10)]
+            )
             self.assertNotEqual(regions[first % 3], regions[second % 3])
-            first, second = holders(shard, "east", [(ip, ip % 2, "east", ip < 3) for ip in range(1, 10)])
+            first, second = choose_replicas(
+                shard, "east", [Candidate(ip, ip % 2, "east", ip < 3) for ip in range(1, 10)]
+            )
             self.assertNotEqual(first % 2, second % 2)
             self.assertGreater(min(first, second), 2)  # the core last
-        self.assertEqual(len(holders(0, "", [(1, 0, "east", True), (2, 0, "east", False)])), 1)
+        self.assertEqual(
+            len(choose_replicas(0, "", [Candidate(1, 0, "east", True), Candidate(2, 0, "east", False)])), 1
+        )
 
     def test_holders_tell_each_other_and_a_new_one_gets_what_the_lost_one_had(self):
         a, b, c = CounterTable(1), CounterTable(2), CounterTable(3)
         for nonce in range(4):
             a.add(9, nonce, "t", 8, 1.0)
         b.add(9, 9, "t", 8, 1.0)
-        b.take(a.parts(0.0, 2, {"t"}))
-        a.take(b.parts(0.0, 1, {"t"}))
+        b.merge(a.updates_for(0.0, 2, {"t"}))
+        a.merge(b.updates_for(0.0, 1, {"t"}))
         self.assertEqual((a.add(9, 10, "t", 8, 0), b.add(9, 10, "t", 8, 0)), ((5, 0), (5, 0)))
-        c.take(b.parts(1.0, 3, {"t"}))  # the first is lost, the third in its place
+        c.merge(b.updates_for(1.0, 3, {"t"}))  # the first is lost, the third in its place
         self.assertEqual(c.add(9, 11, "t", 8, 1.0), (5.0, 0.0))
         for _ in range(5):  # told round and round, nothing counts twice
-            b.take(c.parts(1.0, 2, {"t"}, all=True))
-            a.take(b.parts(1.0, 1, {"t"}, all=True))
-            c.take(a.parts(1.0, 3, {"t"}, all=True))
+            b.merge(c.updates_for(1.0, 2, {"t"}, complete=True))
+            a.merge(b.updates_for(1.0, 1, {"t"}, complete=True))
+            c.merge(a.updates_for(1.0, 3, {"t"}, complete=True))
         self.assertEqual([names.add(9, 12, "t", 8, 0) for names in (a, b, c)], [(6.0, 0.0)] * 3)
         again = CounterTable(1)  # the first is back, empty, and has counted one since
         again.add(9, 13, "t", 8, 1.0)
-        again.take(b.parts(2.0, 1, {"t"}, all=True))
-        b.take(again.parts(2.0, 2, {"t"}))
+        again.merge(b.updates_for(2.0, 1, {"t"}, complete=True))
+        b.merge(again.updates_for(2.0, 2, {"t"}))
         self.assertEqual([names.add(9, 14, "t", 8, 0) for names in (again, b)], [(7.0, 0.0)] * 2)
 
 
--- a/tests/balancer/transport/test_fencing.py
+++ b/tests/balancer/transport/test_fencing.py
@@ -232,7 +232,7 @@
                 names.add(self.ASKS, 1, "t", 8, 1.0)
                 for step in order:
                     if step == "off":
-                        names.take_off(self.ASKS, 2, "t", 8)
+                        names.revert(self.ASKS, 2, "t", 8)
                     else:
                         names.add(self.ASKS, 2 if step == "add" else 3, "t", 8, 1.0)
                 found.add(names.add(self.ASKS, 4, "t", 8, 0.0)[0])
@@ -242,7 +242,7 @@
             names.add(sender, nonce + 1000, tenant, window, -1.0)
 
         self.assertEqual(totals(), {2.0})
-        with mock.patch.object(CounterTable, "take_off", blindly):
+        with mock.patch.object(CounterTable, "revert", blindly):
             self.assertGreater(len(totals()), 1)
 
     def test_parts_doubled_and_out_of_order_count_once_also_those_of_a_holder_that_began_anew(self):
@@ -251,19 +251,21 @@
             holders, sent, nonce = {1: CounterTable(lives[0]), 2: CounterTable(self.B)}, [], 0
             for step in range(40):
                 if step == 20:
-                    sent += [(2, holders[1].parts(0.0, 2, {"t"}, all=True))]  # it told the other all before its end
+                    sent += [
+                        (2, holders[1].updates_for(0.0, 2, {"t"}, complete=True))
+                    ]  # it told the other all before its end
                     holders[1] = CounterTable(lives[1])
                 nonce += 1
                 holders[rng.choice((1, 2))].add(self.ASKS, nonce, "t", 8, 1.0)
                 to = rng.choice((1, 2))
-                sent.append((to, holders[3 - to].parts(0.0, to, {"t"}, all=True)))
+                sent.append((to, holders[3 - to].updates_for(0.0, to, {"t"}, complete=True)))
                 for _ in range(rng.randrange(3)):
                     to, parts = rng.choice(sent)
-                    holders[to].take(parts)
+                    holders[to].merge(parts)
             for to, parts in rng.sample(sent, len(sent)):
-                holders[to].take(parts)
+                holders[to].merge(parts)
             for to in (2, 1, 2):
-                holders[to].take(holders[3 - to].parts(0.0, to, {"t"}, all=True))
+                holders[to].merge(holders[3 - to].updates_for(0.0, to, {"t"}, complete=True))
             return {names.add(self.ASKS, nonce + 1, "t", 8, 0.0)[0] for names in holders.values()}
 
         for seed in range(20):
@@ -284,8 +286,8 @@
                 )
                 for sender in (a, a, fence(1, 11)):
                     message, _ = b.receive_datagram(1, sender.stamp_datagram(2, TALLY))
-                    quota_client.told(1, message)
-                return quota_client.names.own("t", 8)
+                    quota_client.receive(1, message)
+                return quota_client.replica.table.own_count("t", 8)
 
         self.assertEqual(total(MembershipTable.session_key), 2.0)
         self.assertEqual(total(lambda self, ip: ip), 1.0)
@@ -295,7 +297,7 @@
         a.add(self.ASKS, 1, "t", 8, 1.0)
         a.add(self.ASKS, 2, "t", 8, 1.0)
         for now, to in ((0.0, self.B), (0.01, self.B), (0.02, self.B + 1), (0.03, self.B + 1)):
-            told.append(len(a.parts(now, to, {"t"})))
+            told.append(len(a.updates_for(now, to, {"t"})))
         self.assertEqual(told, [1, 0, 1, 0])
 
     def test_only_who_was_asked_tells_a_total(self):
@@ -309,15 +311,15 @@
         got, tenancy = [], mock.Mock(limit=5.0, place=lambda _: (8, 0.5))
         tenancy.name = "t"
         ask = mock.Mock(tenancy=tenancy, homes=[], done=lambda answer: got.append(answer) or True)
-        quota_client._holders = lambda *_: [2]
-        quota_client.ask(ask)
+        quota_client.placement.replicas_of = lambda *_: [2]
+        quota_client.consult(ask)
         for ip, nonce in (
             (3, quota_client.nonce),
             (2, quota_client.nonce - 1),
             (2, quota_client.nonce),
             (2, quota_client.nonce),
         ):
-            quota_client.told(ip, CounterValue(nonce, 1.0, 2.0))
+            quota_client.receive(ip, CounterValue(nonce, 1.0, 2.0))
         self.assertEqual(got, [(1.0, 2.0, 0.5)])
 
 
@@ -342,9 +344,9 @@
         world.run(3.0)
 
         def fetched():
-            before = other.node.endpoints.fetched
+            before = other.node.endpoints.fetched_at
             other.node.dispatcher.receive(one.ip, late)
-            return other.node.endpoints.fetched - before
+            return other.node.endpoints.fetched_at - before
 
         self.assertEqual(fetched(), 0.0)
 
@@ -400,24 +402,24 @@
             """Of names that are held, those that do not count what stands."""
             stands = {}
 
-            def decide(self, one, answer, by=0):
-                done = one.ask.done
+            def complete(self, consultation, usage, answered_by=0):
+                done = consultation.ask.done
 
                 def judged(answer):
-                    name = one.message.tenant, one.message.window
+                    name = consultation.increment.tenant, consultation.increment.window
                     stays = done(answer)
                     stands[name] = stands.get(name, 0) + bool(stays)
                     return stays
 
-                one.ask.done = judged
-                return real(self, one, answer, by)
+                consultation.ask.done = judged
+                return real(self, consultation, usage, answered_by)
 
-            real = QuotaClient._decide
-            with mock.patch.object(QuotaClient, "_decide", decide):
+            real = QuotaClient._complete
+            with mock.patch.object(QuotaClient, "_complete", complete):
                 found, day = play(3, troubles, 8.0, "none", 2.0)
             held = {}
             for machine in day.world.machines.values():
-                for name, one in machine.node.quota_client.names._names.items():
+                for name, one in machine.node.quota_client.replica.table.counters.items():
                     if one.rows:
                         held.setdefault(name, set()).add(one.total)
             self.assertGreater(sum(stands[name] for name in held), 20)
--- a/tests/simulation/test_directed_scenarios.py
+++ b/tests/simulation/test_directed_scenarios.py
@@ -143,7 +143,7 @@
     def version(body):
         return mock.Mock(config_version=int(re.search(rb'"config_version": (\d+)', body)[1]))
 
-    return mock.patch(CONTROL + "api.read_config", version)
+    return mock.patch(CONTROL + "api.parse_configuration", version)
 
 
 #: the day, the rule that it is about, and the defence to be taken out
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -204,7 +204,9 @@
             holders.append(holder)
             day.cut([holder], world.control_replicas, 5.0)
             day.look = lambda: (
-                ages.extend(world.now - m.node.endpoints.fetched for m in world.machines.values() if m is not holder),
+                ages.extend(
+                    world.now - m.node.endpoints.fetched_at for m in world.machines.values() if m is not holder
+                ),
                 world.after(0.1, day.look),
             )
             day.look()
--- a/tests/simulation/test_slow_start_scenarios.py
+++ b/tests/simulation/test_slow_start_scenarios.py
@@ -12,7 +12,7 @@
 from mapleline.balancer.node import Node
 from mapleline.balancer.proxy import proxy, slow_start_leases
 from mapleline.balancer.proxy.proxy import Proxy
-from mapleline.balancer.proxy.slow_start_leases import LEASE_S, SlowStartLeases, Voter
+from mapleline.balancer.proxy.slow_start_leases import LEASE_S, LeaseHolder, LeaseVoter, SlowStartLeases
 from mapleline.balancer.proxy.upstream import CONNECT_TIMEOUT_S
 from mapleline.simulation import slow_start_scenarios
 from mapleline.simulation.world import EventLoop
@@ -25,7 +25,7 @@
 
 def for_a_time(self, one, now):
     """A zone that is taken back counts as cold for a while, whatever the list knows by then."""
-    return now < max(one.cold_until, self.cooling.get(one.zone, -1e9) + 2.0)
+    return now < max(one.warming_until, self.cooling.get(one.zone, -1e9) + 2.0)
 
 
 def where_begun(self, before, apply=Node.apply):
@@ -84,7 +84,9 @@
             )
 
     def test_who_turns_cold_while_cold_is_told_to_all(self):
-        self.breaks(slow_start_scenarios.cold_again, mock.patch.object(EndpointList, "_turn", lambda *_: 0), length=6.0)
+        self.breaks(
+            slow_start_scenarios.cold_again, mock.patch.object(EndpointList, "_warm_up_count", lambda *_: 0), length=6.0
+        )
 
     def test_a_span_that_begins_while_it_is_cold_counts_whole(self):
         """All that wait for a server come as soon as it is warm, in the same second."""
@@ -144,11 +146,11 @@
         if self.clock.now < self.stopped[to]:
             self.clock.callLater(self.stopped[to] - self.clock.now, self.come, ip, to, message)
         elif isinstance(message, slow_start_leases.LeaseRequest):
-            answer = self.all[to].answer(ip, message)
+            answer = self.all[to].handle_request(ip, message)
             if answer is not None:
                 self.send(to, ip, answer)
         else:
-            self.all[to].told(ip, message)
+            self.all[to].handle_grant(ip, message)
 
     def run(self, rounds=200):
         """The most that held at once, and the least time between the beginnings of two in a row."""
@@ -171,11 +173,11 @@
                 self.eager = set(self.rng.sample(list(self.all), self.rng.choice([1, 1, 1, 2])))
             for ip, one in self.all.items():
                 if self.clock.now >= self.stopped[ip] and self.rng.random() < 0.5:
-                    one.tend()
+                    one.request_leases()
             for _ in range(5):
                 self.clock.run(self.clock.now + 0.02)
                 now = self.clock.now
-                holders = [one for one in self.all.values() if one.holds(7, now)]
+                holders = [one for one in self.all.values() if one.is_held(7, now)]
                 most = max(most, len(holders))
                 if holders and holders[0] is not last:
                     last = holders[0]
@@ -199,28 +201,29 @@
         )  # the span of the rule and the way to a connection meet two
 
     def test_what_makes_it_so(self):
-        def at_once(self, now, ip, life, numbers):
-            self.started = -1e9
-            return ask(self, now, ip, life, numbers)
+        def at_once(self, now, owner, lease_ids):
+            self.started_at = -1e9
+            return grant(self, now, owner, lease_ids)
 
-        def to_all(self, now, ip, life, numbers):
-            return numbers
+        def to_all(self, now, owner, lease_ids):
+            return lease_ids
 
         def from_the_answer(self, ip, answer):
-            if answer.nonce in self.asked:
-                self.asked[answer.nonce] = self.reactor.seconds()
-            told(self, ip, answer)
+            requested_at = self.holder.requested_at
+            if answer.nonce in requested_at:
+                requested_at[answer.nonce] = self.clock.seconds()
+            handle_grant(self, ip, answer)
 
-        def half(self, number, now):
-            rows = self.grants.get(number, {})
-            return sum(now - at < LEASE_S for at in rows.values()) >= 2
+        def half(self, lease_id, now, voters):
+            granted_at = self.granted_at.get(lease_id, {})
+            return sum(now - at < LEASE_S for at in granted_at.values()) >= 2
 
-        ask, told = Voter.ask, SlowStartLeases.told
+        grant, handle_grant = LeaseVoter.grant, SlowStartLeases.handle_grant
         for mutant in (
-            mock.patch.object(Voter, "ask", at_once),
-            mock.patch.object(Voter, "ask", to_all),
-            mock.patch.object(SlowStartLeases, "told", from_the_answer),
-            mock.patch.object(SlowStartLeases, "holds", half),
+            mock.patch.object(LeaseVoter, "grant", at_once),
+            mock.patch.object(LeaseVoter, "grant", to_all),
+            mock.patch.object(SlowStartLeases, "handle_grant", from_the_answer),
+            mock.patch.object(LeaseHolder, "is_held", half),
         ):
             with mutant:
                 self.assertGreater(self.most()[0], 1)
@@ -236,12 +239,12 @@
             lambda now: [7],
             False,
         )
-        one.tend()
+        one.request_leases()
         for ip, core in ((1, 3), (2, 5)):
-            one.told(ip, slow_start_leases.LeaseGrant(1, core, [7]))
-        self.assertFalse(one.holds(7, 1000.0))
-        one.told(3, slow_start_leases.LeaseGrant(1, 5, [7]))
-        self.assertTrue(one.holds(7, 1000.0))
+            one.handle_grant(ip, slow_start_leases.LeaseGrant(1, core, [7]))
+        self.assertFalse(one.is_held(7, 1000.0))
+        one.handle_grant(3, slow_start_leases.LeaseGrant(1, 5, [7]))
+        self.assertTrue(one.is_held(7, 1000.0))
 
 
 class TestCatalogue(unittest.TestCase):
@@ -266,19 +269,19 @@
         asks, hears = EndpointList(), EndpointList()
 
         def fetch(at, left):
-            asks.take_list(at, listed(left))
+            asks.update_from_platform(at, listed(left))
             if asks.digest == hears.digest:
-                return hears.same_at(at, asks.digest)
-            hears.take_body(at, asks.body)
+                return hears.confirm(at, asks.digest)
+            hears.update_from_peer(at, asks.body)
 
         fetch(100.0, 3.0)
         fetch(100.8, 2.2)
-        self.assertEqual(hears.instances["i-a"].cold_until, 103.0)
+        self.assertEqual(hears.instances["i-a"].warming_until, 103.0)
         fetch(101.6, 4.0)
-        self.assertGreaterEqual(hears.instances["i-a"].cold_until, 105.6)
+        self.assertGreaterEqual(hears.instances["i-a"].warming_until, 105.6)
         heard = hears.body
         for at in (102.4, 103.2):
             fetch(at, 105.6 + 0.7 - at)  # told late: no news
         self.assertIs(hears.body, heard)
         fetch(104.0, 0.0)
-        self.assertLess(hears.instances["i-a"].cold_until, 104.0)
+        self.assertLess(hears.instances["i-a"].warming_until, 104.0)
