--- a/mapleline/handoff/__init__.py
+++ b/mapleline/handoff/__init__.py
@@ -1,6 +1,15 @@
-"""Work in hand on record, and what becomes of it when its ingress is lost (pure)."""
+"""Requests in flight on record, and what becomes of them when their ingress is lost (pure, but for `store`)."""
 
-from .book import Book, Entry, Fate
-from .record import HEADER, frame, header, scan
+from .in_flight import InFlightRequest, InFlightTable, Op, TakeoverAction
+from .log_format import LogFormatError, encode_record, log_header, read_log
 
-__all__ = ["HEADER", "Book", "Entry", "Fate", "frame", "header", "scan"]
+__all__ = [
+    "InFlightRequest",
+    "InFlightTable",
+    "LogFormatError",
+    "Op",
+    "TakeoverAction",
+    "encode_record",
+    "log_header",
+    "read_log",
+]
--- a/mapleline/handoff/store.py
+++ b/mapleline/handoff/store.py
@@ -1,7 +1,8 @@
-"""The fleet's store as a directory: logs, leases, claims, ids, outcomes (files; no reactor, no clock).
+"""The fleet's store as a directory: logs, leases, claims, request ids, outcomes (files; no reactor, no clock).
 
-Every operation is one of three: create if absent (`claim`, `hold`), replace (`lease`, `move`, `publish`),
-append to what one process alone writes (`Log`).  Raises OSError; what cannot be read as ours is passed over.
+Every operation is one of three: create if absent (`claim_log`, `claim_id`), replace (`write_lease`, `move_id`,
+`publish`), append to what one process alone writes (`write_ahead_log`).  Operations raise OSError; what cannot be read
+as ours is passed over.
 """
 
 from __future__ import annotations
@@ -15,166 +16,188 @@
 import orjson
 
 from ..membership import Lease
-from .record import frame, header, scan
+from .log_format import Record, read_log
 
-NAME = re.compile(r"[A-Za-z0-9_-]{1,64}")
-LOG = re.compile(r"([A-Za-z0-9_-]{1,64})\.([0-9]{1,18})\.(log|taken)")
+MEMBER_NAME = re.compile(r"[A-Za-z0-9_-]{1,64}")
+LOG_FILE = re.compile(r"([A-Za-z0-9_-]{1,64})\.([0-9]{1,18})\.(log|taken)")
+ID_DIGEST_BYTES = 16
 
-
-def log_of(name: str, epoch: int) -> str:
-    return f"{name}.{epoch}"
+#: What a client that comes with a request's id is answered: `status`, `lines`, `body`; or `paid`.
+Outcome = dict[str, Any]
 
 
 class Store:
-    """The directory; made if it is not there."""
-
-    def __init__(self, at: str) -> None:
-        self.at = Path(at)
-        self.ids, self.outcomes = self.at / "ids", self.at / "outcomes"
-        for folder in (self.at, self.ids, self.outcomes):
-            folder.mkdir(parents=True, exist_ok=True)
-
-    def logs(self, name: str) -> dict[int, bool]:
-        """Epochs of `name` that the store knows, and whether each is taken."""
-        out: dict[int, bool] = {}
-        for entry in os.listdir(self.at):
-            match = LOG.fullmatch(entry)
-            if match and match[1] == name:
-                epoch = int(match[2])
-                out[epoch] = out.get(epoch, False) or match[3] == "taken"
-        return out
+    """The directory of one fleet; made if it is not there."""
+
+    def __init__(self, folder: str) -> None:
+        """Open the store, creating its folders."""
+        self.folder = Path(folder)
+        self.ids = self.folder / "ids"
+        self.outcomes = self.folder / "outcomes"
+        for path in (self.folder, self.ids, self.outcomes):
+            path.mkdir(parents=True, exist_ok=True)
 
-    def lease(self, lease: Lease) -> None:
-        told = {"name": lease.name, "epoch": lease.epoch, "until": lease.until}
-        self._replace(self.at / f"{lease.name}.lease", orjson.dumps(told))
+    # -- leases ------------------------------------------------------------------------------------------------
+
+    def write_lease(self, lease: Lease) -> None:
+        """Write or renew a member's lease."""
+        content = {"name": lease.name, "epoch": lease.epoch, "until": lease.until}
+        self._replace(self.folder / f"{lease.name}.lease", orjson.dumps(content))
 
     def leases(self) -> list[Lease]:
-        out = []
-        for entry in os.listdir(self.at):
-            if entry.endswith(".lease"):
-                try:
-                    told = orjson.loads((self.at / entry).read_bytes())
-                    out.append(Lease(told["name"], int(told["epoch"]), float(told["until"])))
-                except (OSError, orjson.JSONDecodeError, KeyError, TypeError, ValueError):
-                    continue  # not ours, or just going
-        return out
+        """Return the leases of all members."""
+        leases = []
+        for entry in os.listdir(self.folder):
+            if not entry.endswith(".lease"):
+                continue
+            try:
+                content = orjson.loads((self.folder / entry).read_bytes())
+                leases.append(Lease(content["name"], int(content["epoch"]), float(content["until"])))
+            except (OSError, orjson.JSONDecodeError, KeyError, TypeError, ValueError):
+                continue  # not ours, or being removed
+        return leases
 
     def drop_lease(self, lease: Lease) -> None:
-        """Take the lease of a process that is gone away, unless another of its name has begun."""
+        """Remove the lease of a process that is gone, unless another one of its name has begun."""
         if any(known.name == lease.name and known.epoch == lease.epoch for known in self.leases()):
-            (self.at / f"{lease.name}.lease").unlink(missing_ok=True)
+            (self.folder / f"{lease.name}.lease").unlink(missing_ok=True)
 
-    def claim(self, log: str, by: str) -> bool:
-        """Be the one that takes `log`; False if somebody is."""
-        near = self.at / f"{log}.taken.{os.getpid()}"
-        near.write_bytes(by.encode())
+    # -- logs --------------------------------------------------------------------------------------------------
+
+    def log_epochs(self, name: str) -> dict[int, bool]:
+        """Return the epochs of a member that the store knows, and whether the log of each was taken over."""
+        epochs: dict[int, bool] = {}
+        for entry in os.listdir(self.folder):
+            match = LOG_FILE.fullmatch(entry)
+            if match and match[1] == name:
+                epoch = int(match[2])
+                epochs[epoch] = epochs.get(epoch, False) or match[3] == "taken"
+        return epochs
+
+    def claim_log(self, log: str, by: str) -> bool:
+        """Claim a log's takeover; False if another has it."""
+        beside = self.folder / f"{log}.taken.{os.getpid()}"
+        beside.write_bytes(by.encode())
         try:
-            os.link(near, self.at / f"{log}.taken")  # there with its content, or not at all
+            os.link(beside, self.folder / f"{log}.taken")  # there with its content, or not at all
         except FileExistsError:
             return False
         finally:
-            near.unlink()
+            beside.unlink()
         return True
 
     def claimed_by(self, log: str) -> str | None:
+        """Return who has claimed a log, or None."""
         try:
-            return (self.at / f"{log}.taken").read_text()
+            return (self.folder / f"{log}.taken").read_text()
         except FileNotFoundError:
             return None
 
-    def inherit(self, log: str, by: str) -> None:
-        """The claim of a taker that died, by the one that has claimed that taker's own log."""
-        self._replace(self.at / f"{log}.taken", by.encode())
+    def inherit_claim(self, log: str, by: str) -> None:
+        """Move the claim of a successor that died to the member that has claimed that successor's own log."""
+        self._replace(self.folder / f"{log}.taken", by.encode())
+
+    def read_log(self, log: str) -> list[Record]:
+        """Return the records of a log; none of one that is gone.
 
-    def read(self, log: str) -> list[dict[str, Any]]:
-        """The records of a log; none of one that is gone.  Raises ValueError if it is foreign."""
+        Raises:
+            LogFormatError: it is foreign.
+        """
         name, _, epoch = log.rpartition(".")
         try:
-            data = (self.at / f"{log}.log").read_bytes()
+            data = (self.folder / f"{log}.log").read_bytes()
         except FileNotFoundError:
             return []
-        return scan(data, name, int(epoch))[0]
+        return read_log(data, name, int(epoch))[0]
 
-    def drop(self, log: str) -> None:
-        """The log has been taken over: it goes, its claim stays, so that it cannot be taken again."""
-        (self.at / f"{log}.log").unlink(missing_ok=True)
+    def drop_log(self, log: str) -> None:
+        """Remove a log that was taken over; its claim stays, so that it cannot be claimed again."""
+        (self.folder / f"{log}.log").unlink(missing_ok=True)
 
-    # ids in hand: links from an id's hash to the log of its owner
+    # -- ids of requests in flight: links from the hash of an id to the log of its owner ----------------------
 
     @staticmethod
     def key(request_id: bytes) -> str:
-        return blake2b(request_id, digest_size=16).hexdigest()
+        """Return the name of a request id's files."""
+        return blake2b(request_id, digest_size=ID_DIGEST_BYTES).hexdigest()
 
-    def hold(self, request_id: bytes, log: str) -> bool:
+    def claim_id(self, request_id: bytes, log: str) -> bool:
+        """Make a log the owner of an id; False if it has one."""
         try:
             os.symlink(log, self.ids / self.key(request_id))
         except FileExistsError:
             return False
         return True
 
-    def owner(self, request_id: bytes) -> str | None:
+    def owner_of_id(self, request_id: bytes) -> str | None:
+        """Return the log that owns an id, or None."""
         try:
             return os.readlink(self.ids / self.key(request_id))
         except OSError:
             return None
 
-    def move(self, request_id: bytes, log: str) -> None:
-        near = self.ids / f"{self.key(request_id)}.{log}"
-        near.unlink(missing_ok=True)
-        os.symlink(log, near)
-        os.replace(near, self.ids / self.key(request_id))
+    def move_id(self, request_id: bytes, log: str) -> None:
+        """Make a log the owner of an id in place of another."""
+        beside = self.ids / f"{self.key(request_id)}.{log}"
+        beside.unlink(missing_ok=True)
+        os.symlink(log, beside)
+        os.replace(beside, self.ids / self.key(request_id))
 
-    def free(self, request_id: bytes) -> None:
+    def release_id(self, request_id: bytes) -> None:
+        """Remove an id's owner."""
         (self.ids / self.key(request_id)).unlink(missing_ok=True)
 
-    def free_all_of(self, log: str) -> int:
-        """Links whose owner never came to write a record of them; returns how many.
+    def release_unrecorded_ids(self, log: str) -> int:
+        """Release the ids of an owner that never came to write a record of them; return how many.
 
-        Not those with an outcome: whoever could claim such an id would have it run again in place of hearing that.
+        Not those with an outcome: whoever could claim such an id would have it executed again instead of hearing that.
         """
-        freed = 0
+        released = 0
         for entry in os.listdir(self.ids):
             try:
                 if os.readlink(self.ids / entry) == log and not (self.outcomes / entry).exists():
                     os.unlink(self.ids / entry)
-                    freed += 1
+                    released += 1
             except OSError:
                 continue
-        return freed
+        return released
 
-    def doubt_all_of(self, log: str, outcome: dict[str, Any]) -> int:
-        """That outcome for every id of an owner whose record cannot be read; returns how many."""
-        doubted = 0
+    def publish_for_all_ids(self, log: str, outcome: Outcome) -> int:
+        """Publish an outcome for every id of an owner whose log cannot be read; return how many."""
+        published = 0
         for entry in os.listdir(self.ids):
             try:
                 if os.readlink(self.ids / entry) == log:
                     self._replace(self.outcomes / entry, orjson.dumps(outcome))
-                    doubted += 1
+                    published += 1
             except OSError:
                 continue
-        return doubted
+        return published
 
-    # outcomes that no client has heard
+    # -- outcomes that no client has been answered with --------------------------------------------------------
 
-    def publish(self, request_id: bytes, outcome: dict[str, Any]) -> None:
+    def publish(self, request_id: bytes, outcome: Outcome) -> None:
+        """Keep an outcome for the client that comes with that id."""
         self._replace(self.outcomes / self.key(request_id), orjson.dumps(outcome))
 
-    def outcome(self, request_id: bytes) -> dict[str, Any] | None:
+    def outcome(self, request_id: bytes) -> Outcome | None:
+        """Return the outcome kept for an id, or None."""
         try:
-            return orjson.loads((self.outcomes / self.key(request_id)).read_bytes())
+            outcome: Outcome = orjson.loads((self.outcomes / self.key(request_id)).read_bytes())
         except (OSError, orjson.JSONDecodeError):
             return None
+        return outcome
 
-    def spend(self, request_id: bytes) -> bool:
-        """Take an outcome away; of several that try, one does."""
+    def take_outcome(self, request_id: bytes) -> bool:
+        """Remove an outcome; of several that try, one succeeds."""
         try:
             (self.outcomes / self.key(request_id)).unlink()
         except FileNotFoundError:
             return False
         return True
 
-    def forget(self, before: float) -> None:
-        """Drop the outcomes published before then (Unix seconds), and their ids."""
+    def forget_outcomes(self, before: float) -> None:
+        """Drop the outcomes published before that time (Unix seconds), and their ids."""
         for entry in os.listdir(self.outcomes):
             path = self.outcomes / entry
             try:
@@ -186,57 +209,6 @@
 
     @staticmethod
     def _replace(path: Path, data: bytes) -> None:
-        near = path.with_name(f"{path.name}.{os.getpid()}")
-        near.write_bytes(data)
-        os.replace(near, path)
-
-
-class Log:
-    """The log that this process alone writes; each record is with the kernel when `write` returns."""
-
-    def __init__(self, store: Store, name: str, epoch: int, records: list[dict[str, Any]]) -> None:
-        """A new log that begins with `records`.  Raises FileExistsError if there is one of that epoch."""
-        self.path = store.at / f"{log_of(name, epoch)}.log"
-        self.name, self.epoch = name, epoch
-        self.fd = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND, 0o600)
-        self.bytes = self.fresh = 0  #: in all, and since the snapshot that it began with
-        self.waiting = b""
-        self._write(header(name, epoch) + b"".join(frame(record) for record in records))
-        self.fresh = 0
-
-    def write(self, record: dict[str, Any], wait: bool = False) -> None:
-        """`wait`: it goes with the next one that does not, or with `flush`."""
-        self.waiting += frame(record)
-        if not wait:
-            self.flush()
-
-    def flush(self) -> None:
-        if self.waiting:
-            data, self.waiting = self.waiting, b""
-            self._write(data)
-
-    def _write(self, data: bytes) -> None:
-        view = memoryview(data)
-        while view:
-            view = view[os.write(self.fd, view) :]
-        self.bytes += len(data)
-        self.fresh += len(data)
-
-    def sync(self) -> None:
-        """With the disk; from any thread."""
-        os.fdatasync(self.fd)
-
-    def snapshot(self, records: list[dict[str, Any]]) -> None:
-        """The same log, as short as it can be: written beside it, synced, put in its place."""
-        near = self.path.with_suffix(".new")
-        data = header(self.name, self.epoch) + b"".join(frame(record) for record in records)
-        fd = os.open(near, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
-        old, self.fd, self.bytes, self.waiting = self.fd, fd, 0, b""  # what waits is in `records`
-        self._write(data)
-        os.fdatasync(fd)
-        os.replace(near, self.path)
-        os.close(old)
-        self.fresh = 0
-
-    def close(self) -> None:
-        os.close(self.fd)
+        beside = path.with_name(f"{path.name}.{os.getpid()}")
+        beside.write_bytes(data)
+        os.replace(beside, path)
--- a/mapleline/net/fleet.py
+++ b/mapleline/net/fleet.py
@@ -20,11 +20,11 @@
 
 
 def _keep(ingress: Ingress, own: Own) -> None:
-    from ..handoff.store import NAME
+    from ..handoff.store import MEMBER_NAME
     from .handoff import Handoff
 
     config = ingress.config
-    if not NAME.fullmatch(config.name):
+    if not MEMBER_NAME.fullmatch(config.name):
         raise ConfigError("name: handoff needs 1 to 64 letters, digits, '-' or '_'")
     try:
         handoff = Handoff(
--- a/mapleline/net/handoff.py
+++ b/mapleline/net/handoff.py
@@ -11,8 +11,9 @@
 from typing import Any
 
 from ..engine import Attempt, Engine, Open
-from ..handoff.book import Book, Entry, Fate
-from ..handoff.store import Log, Store, log_of
+from ..handoff.in_flight import InFlightRequest, InFlightTable, Op, TakeoverAction
+from ..handoff.store import Store
+from ..handoff.write_ahead_log import WriteAheadLog, log_name
 from ..http1.messages import MOST_WHOLE, Request, Response
 from ..http1.server import Wish
 from ..membership import Lease, LeaseTable
@@ -34,11 +35,11 @@
         handoff = self.handoff
         if request_id in self.held:
             return False
-        if not handoff.store.hold(request_id, handoff.log_name):
+        if not handoff.store.claim_id(request_id, handoff.log_name):
             known = handoff.store.outcome(request_id)
-            if not known or not known.get("paid") or not handoff.store.spend(request_id):
+            if not known or not known.get("paid") or not handoff.store.take_outcome(request_id):
                 return False
-            handoff.store.move(request_id, handoff.log_name)
+            handoff.store.move_id(request_id, handoff.log_name)
             handoff.paid.add(request_id)
         self.held.add(request_id)
         return True
@@ -95,44 +96,44 @@
         self.ids = FleetIds(self)
         self.kept: set[bytes] = set()  #: ids that stay held when the client's connection lets them go
         self.paid: set[bytes] = set()  #: claimed ids whose units an earlier try has put on the count
-        self.work: deque[tuple[str, Entry | None]] = deque()  #: to be adopted, by log; None: the log's end
+        self.work: deque[tuple[str, InFlightRequest | None]] = deque()  #: to be adopted, by log; None: the log's end
         self.renewed = self.synced = 0.0
-        self.epoch = max(self.store.logs(name), default=0)
-        self._begin(Book())
-        for epoch, taken in sorted(self.store.logs(name).items()):
+        self.epoch = max(self.store.log_epochs(name), default=0)
+        self._begin(InFlightTable())
+        for epoch, taken in sorted(self.store.log_epochs(name).items()):
             if epoch < self.epoch and not taken:  # of this name before its restart
-                self._take(log_of(name, epoch))
+                self._take(log_name(name, epoch))
 
     @property
     def log_name(self) -> str:
-        return log_of(self.name, self.epoch)
+        return log_name(self.name, self.epoch)
 
-    def _begin(self, book: Book) -> None:
+    def _begin(self, table: InFlightTable) -> None:
         """A new epoch, with what is carried over."""
         while True:
             self.epoch += 1
             try:
-                self.log = Log(self.store, self.name, self.epoch, book.records())
+                self.log = WriteAheadLog(self.store.folder, self.name, self.epoch, table.snapshot())
                 break
             except FileExistsError:
                 continue  # another process of this name
-        self.book = book
+        self.in_flight = table
         self._renew(time.time())
-        log("handoff begun", name=self.name, epoch=self.epoch, open=len(book.entries))
+        log("handoff begun", name=self.name, epoch=self.epoch, open=len(table.requests))
 
     def _carry(self) -> None:
         """Go on in a new epoch: the ids of what is open, and what is being taken over, become its log's."""
-        for entry in self.book.entries.values():
-            entry.accepted["from"] = self.log_name  # until its id is moved, a taker finds it by this
-        self._begin(self.book)
-        for rid in self.book.entries:
-            self.store.move(rid.encode("latin-1"), self.log_name)
-        for older in self.book.taking:
-            self.store.inherit(older, self.log_name)
+        for request in self.in_flight.requests.values():
+            request.accepted["from"] = self.log_name  # until its id is moved, a taker finds it by this
+        self._begin(self.in_flight)
+        for rid in self.in_flight.requests:
+            self.store.move_id(rid.encode("latin-1"), self.log_name)
+        for older in self.in_flight.takeovers:
+            self.store.inherit_claim(older, self.log_name)
 
     def _renew(self, now: float) -> None:
         self.renewed, self.until = now, now + self.told.lease_s
-        self.store.lease(Lease(self.name, self.epoch, self.until))
+        self.store.write_lease(Lease(self.name, self.epoch, self.until))
 
     def start(self) -> None:
         from twisted.internet import task
@@ -146,12 +147,12 @@
         if time.time() < self.until:
             return True
         # A stall: unless somebody has its work already, it goes on in a new epoch.
-        old, mine = self.log, self.store.claim(self.log_name, f"{self.name} itself")
-        log("lease lost", epoch=self.epoch, taken=not mine, open=len(self.book.entries))
+        old, mine = self.log, self.store.claim_log(self.log_name, f"{self.name} itself")
+        log("lease lost", epoch=self.epoch, taken=not mine, open=len(self.in_flight.requests))
         if mine:
             self._carry()
         else:
-            self._begin(Book())
+            self._begin(InFlightTable())
         old.close()
         if not mine:
             COUNTS["handoff.fenced"] += 1
@@ -162,10 +163,10 @@
             self.engine.abandon()
         return mine
 
-    def _note(self, record: dict[str, Any], wait: bool = False) -> None:
-        """`wait`: with the next record, or the next tick; what is lost with it may be done again."""
-        self.book.apply(record)
-        self.log.write(record, wait)
+    def _note(self, record: dict[str, Any], is_deferred: bool = False) -> None:
+        """`is_deferred`: with the next record, or the next tick; what is lost with it may be done again."""
+        self.in_flight.apply(record)
+        self.log.write(record, is_deferred)
 
     # what the engine says
 
@@ -174,13 +175,13 @@
         if wish.id in self.paid:
             self.paid.discard(wish.id)
             arrival.paid = True
-        if rid in self.book.entries or not self.good():
+        if rid in self.in_flight.requests or not self.good():
             return
         request = wish.request
         whole = not request.more and len(request.body) <= MOST_WHOLE
         self._note(
             {
-                "op": "a",
+                "op": Op.ACCEPTED.value,
                 "id": rid,
                 "at": time.time(),
                 "cls": self.classes[arrival.cls],
@@ -202,20 +203,20 @@
         if not self.good():
             return False
         rid = attempt.wish.id.decode("latin-1")
-        self._note({"op": "s", "id": rid, "n": attempt.number, "at": time.time()})
+        self._note({"op": Op.SENT.value, "id": rid, "n": attempt.number, "at": time.time()})
         return True
 
     def never_ran(self, attempt: Attempt) -> None:
         if not attempt.open.answered:
-            self._note({"op": "n", "id": attempt.wish.id.decode("latin-1"), "n": attempt.number})
+            self._note({"op": Op.NOT_EXECUTED.value, "id": attempt.wish.id.decode("latin-1"), "n": attempt.number})
 
     def answering(self, opened: Open, how: str, what: tuple[Any, ...]) -> bool:
         if not self.good():
             return False
-        record: dict[str, Any] = {"op": "d", "id": opened.wish.id.decode("latin-1"), "how": how}
+        record: dict[str, Any] = {"op": Op.DONE.value, "id": opened.wish.id.decode("latin-1"), "how": how}
         if how == "served" and opened.cls.effect != Effect.SAFE:
             record |= {"body": what[0].body.decode("latin-1")}
-        self._note(record, wait=opened.cls.effect == Effect.SAFE)
+        self._note(record, is_deferred=opened.cls.effect == Effect.SAFE)
         return True
 
     def left(self, opened: Open) -> None:
@@ -235,12 +236,12 @@
     def over(self, request_id: bytes) -> None:
         """Nothing is to be kept of it."""
         self._finish(request_id)
-        self.store.free(request_id)
+        self.store.release_id(request_id)
 
     def _finish(self, request_id: bytes) -> None:
         rid = request_id.decode("latin-1")
-        if rid in self.book.entries:
-            self._note({"op": "f", "id": rid}, wait=True)
+        if rid in self.in_flight.requests:
+            self._note({"op": Op.FORGOTTEN.value, "id": rid}, is_deferred=True)
 
     def outcome(self, request_id: bytes) -> tuple[int, bytes, bytes] | None:
         """Status, body and header lines for whoever comes with an id whose outcome is known."""
@@ -269,18 +270,18 @@
         if self.told.sync_ms and now - self.synced >= self.told.sync_ms / 1000:
             self.synced = now
             self.reactor.callInThread(self.log.sync)
-        if self.log.fresh > self.told.snapshot_kb * 1024:
-            self.log.snapshot(self.book.records())
+        if self.log.grown_bytes > self.told.snapshot_kb * 1024:
+            self.log.replace_with_snapshot(self.in_flight.snapshot())
         if now - self.renewed >= self.told.lease_s / 3:
             self._renew(now)
             self._look(now)
-            self.store.forget(now - self.told.keep_s)
+            self.store.forget_outcomes(now - self.told.keep_s)
 
     def _look(self, now: float) -> None:
         self.leases.replace_all(self.store.leases())
         for lease in self.leases.expired(now):
             if lease.name != self.name and self.leases.successor_of(lease.name, now) == self.name:
-                self._take(log_of(lease.name, lease.epoch))
+                self._take(log_name(lease.name, lease.epoch))
                 self.store.drop_lease(lease)
 
     def leave(self) -> None:
@@ -288,65 +289,67 @@
         while self.freed:
             self.over(self.freed.popleft()[1])
         self.log.flush()
-        if not self.book.entries and not self.work and self.store.claim(self.log_name, "left"):
-            self.store.drop(self.log_name)
+        if not self.in_flight.requests and not self.work and self.store.claim_log(self.log_name, "left"):
+            self.store.drop_log(self.log_name)
             self.store.drop_lease(Lease(self.name, self.epoch, self.until))
 
     # taking over
 
     def _take(self, name: str) -> None:
-        self._note({"op": "t", "log": name})  # first, so that whoever reads this log can finish the claim
-        if self.store.claim(name, self.log_name):
+        self._note(
+            {"op": Op.TAKEOVER_BEGUN.value, "log": name}
+        )  # first, so that whoever reads this log can finish the claim
+        if self.store.claim_log(name, self.log_name):
             self._read(name)
         else:
-            self._note({"op": "e", "log": name})
+            self._note({"op": Op.TAKEOVER_ENDED.value, "log": name})
 
     def _read(self, name: str) -> None:
         """Queue what a log holds: first what its owner had adopted itself, then what that had not come to."""
         try:
-            book = Book().read(self.store.read(name))
-        except ValueError as fault:
+            table = InFlightTable().replay(self.store.read_log(name))
+        except ValueError as fault:  # also for a name without an epoch
             # Which of its requests ran nobody can tell: none may run again.
-            doubted = self.store.doubt_all_of(name, UNKNOWN)
+            doubted = self.store.publish_for_all_ids(name, UNKNOWN)
             COUNTS["handoff.unknown"] += doubted
             log("foreign log", log=name, fault=str(fault), unknown=doubted)
-            return self._note({"op": "e", "log": name})
-        log("taking over", log=name, by=self.log_name, open=len(book.entries), ids=sorted(book.entries))
+            return self._note({"op": Op.TAKEOVER_ENDED.value, "log": name})
+        log("taking over", log=name, by=self.log_name, open=len(table.requests), ids=sorted(table.requests))
         COUNTS["handoff.taken_logs"] += 1
-        self.work += [(name, entry) for entry in book.entries.values()]
+        self.work += [(name, request) for request in table.requests.values()]
         self.work.append((name, None))
-        for older in book.taking:
+        for older in table.takeovers:
             if self.store.claimed_by(older) == name:  # begun by the one whose log this is
-                self._note({"op": "t", "log": older})
-                self.store.inherit(older, self.log_name)
+                self._note({"op": Op.TAKEOVER_BEGUN.value, "log": older})
+                self.store.inherit_claim(older, self.log_name)
                 self._read(older)
             else:
                 self._take(older)  # meant to, at most
 
-    def _adopt(self, name: str, entry: Entry | None) -> None:
-        if entry is None:
-            freed = self.store.free_all_of(name)
-            self.store.drop(name)
-            self._note({"op": "e", "log": name})
+    def _adopt(self, name: str, request: InFlightRequest | None) -> None:
+        if request is None:
+            freed = self.store.release_unrecorded_ids(name)
+            self.store.drop_log(name)
+            self._note({"op": Op.TAKEOVER_ENDED.value, "log": name})
             return log("taken over", log=name, by=self.log_name, orphans=freed)
-        record = entry.accepted
+        record = request.accepted
         rid = record["id"].encode("latin-1")
-        if self.store.owner(rid) not in (name, record.get("from", name)):
+        if self.store.owner_of_id(rid) not in (name, record.get("from", name)):
             return None  # over, or another's
-        self._note({**record, "out": sorted(entry.out), "first": entry.first_sent, "from": name})
-        self.store.move(rid, self.log_name)
+        self._note({**record, "out": sorted(request.unresolved), "first": request.first_sent, "from": name})
+        self.store.move_id(rid, self.log_name)
         known = record["cls"] in self.classes and record["plan"] in self.plans
         cls = self.engine.classes[self.classes.index(record["cls"])] if known else None
-        fate = entry.fate(cls, time.time()) if cls is not None else Fate.UNKNOWN
-        COUNTS[f"handoff.{fate.value}"] += 1
-        if fate is Fate.DROP:
+        action = request.takeover_action(cls, time.time()) if cls is not None else TakeoverAction.UNKNOWN
+        COUNTS[f"handoff.{action.value}"] += 1
+        if action is TakeoverAction.DROP:
             self.over(rid)
-        elif fate is Fate.UNKNOWN:
+        elif action is TakeoverAction.UNKNOWN:
             self.publish(rid, UNKNOWN)
-        elif fate is Fate.TOLD:
-            served = entry.over.get("how") == "served"
-            outcome = {"status": 200, "lines": "", "body": entry.over.get("body", "")}
-            self.publish(rid, outcome if served else UNKNOWN) if served or entry.out else self.over(rid)
+        elif action is TakeoverAction.PUBLISH:
+            served = request.done.get("how") == "served"
+            outcome = {"status": 200, "lines": "", "body": request.done.get("body", "")}
+            self.publish(rid, outcome if served else UNKNOWN) if served or request.unresolved else self.over(rid)
         else:
             self._send(rid, record, cls)
         return None
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -11,8 +11,9 @@
 from rig import block, fault, fleet, when
 
 from mapleline.faults import checker, schedule
-from mapleline.handoff import Book, Fate, frame, header, scan
-from mapleline.handoff.store import Log, Store
+from mapleline.handoff import InFlightTable, TakeoverAction, encode_record, log_header, read_log
+from mapleline.handoff.store import Store
+from mapleline.handoff.write_ahead_log import WriteAheadLog
 from mapleline.net import handoff as driver
 from mapleline.policy import interface as i
 from mapleline.settings import own
@@ -37,50 +38,52 @@
 
 @pytest.mark.parametrize("flip", [False, True], ids=["cut off", "spoilt"])
 def test_a_log_cut_or_spoilt_at_any_byte_holds_what_was_whole_before_and_nothing_else(flip):
-    ends, data = [len(header("n", 3))], header("n", 3)
+    ends, data = [len(log_header("n", 3))], log_header("n", 3)
     for record in RECORDS:
-        data += frame(record)
+        data += encode_record(record)
         ends.append(len(data))
-    assert scan(data, "n", 3) == (RECORDS, len(data))
+    assert read_log(data, "n", 3) == (RECORDS, len(data))
     for at in range(len(data)):
         torn = data[:at] + bytes([data[at] ^ 0x40]) + data[at + 1 :] if flip else data[:at]
         whole = sum(end <= at for end in ends)
         if whole == 0:  # not even the header
             with pytest.raises(ValueError, match="not the log of n, epoch 3"):
-                scan(torn, "n", 3)
+                read_log(torn, "n", 3)
         else:
-            records, good = scan(torn, "n", 3)
+            records, good = read_log(torn, "n", 3)
             assert records == RECORDS[: max(0, whole - 1)] and good <= at
 
 
-@pytest.mark.parametrize("data", [b"", b"#!/bin/sh\n", header("m", 3), header("n", 4), b"\0" * 64])
+@pytest.mark.parametrize("data", [b"", b"#!/bin/sh\n", log_header("m", 3), log_header("n", 4), b"\0" * 64])
 def test_a_foreign_file_is_no_log(data):
     with pytest.raises(ValueError, match="not the log"):
-        scan(data, "n", 3)
+        read_log(data, "n", 3)
 
 
 @pytest.mark.parametrize(
     "records, cls, now, fate",
     [
-        ([], ONCE, 100, Fate.SEND),
-        ([sent("x")], ONCE, 100, Fate.UNKNOWN),
-        ([sent("x"), {"op": "n", "id": "x", "n": 0}], ONCE, 100, Fate.SEND),  # proven never to have run
-        ([sent("x"), {"op": "n", "id": "x", "n": 0}, sent("x", 1)], ONCE, 100, Fate.UNKNOWN),
-        ([sent("x")], SAFE, 100, Fate.SEND),
-        ([sent("x")], KEYED, 150, Fate.SEND),
-        ([sent("x")], KEYED, 155, Fate.UNKNOWN),  # nine tenths of the key's life are over
-        ([sent("x"), sent("x", 1, 150)], KEYED, 155, Fate.UNKNOWN),  # since the first sending
-        ([sent("x")], NEAR, 101, Fate.UNKNOWN),  # other servers do not know the key
-        ([sent("x"), {"op": "d", "id": "x", "how": "served"}], ONCE, 100, Fate.TOLD),
-        ([sent("x"), {"op": "d", "id": "x", "how": "served"}], SAFE, 100, Fate.DROP),
+        ([], ONCE, 100, TakeoverAction.SEND),
+        ([sent("x")], ONCE, 100, TakeoverAction.UNKNOWN),
+        ([sent("x"), {"op": "n", "id": "x", "n": 0}], ONCE, 100, TakeoverAction.SEND),  # proven never to have run
+        ([sent("x"), {"op": "n", "id": "x", "n": 0}, sent("x", 1)], ONCE, 100, TakeoverAction.UNKNOWN),
+        ([sent("x")], SAFE, 100, TakeoverAction.SEND),
+        ([sent("x")], KEYED, 150, TakeoverAction.SEND),
+        ([sent("x")], KEYED, 155, TakeoverAction.UNKNOWN),  # nine tenths of the key's life are over
+        ([sent("x"), sent("x", 1, 150)], KEYED, 155, TakeoverAction.UNKNOWN),  # since the first sending
+        ([sent("x")], NEAR, 101, TakeoverAction.UNKNOWN),  # other servers do not know the key
+        ([sent("x"), {"op": "d", "id": "x", "how": "served"}], ONCE, 100, TakeoverAction.PUBLISH),
+        ([sent("x"), {"op": "d", "id": "x", "how": "served"}], SAFE, 100, TakeoverAction.DROP),
     ],
 )
 def test_the_fate_of_a_request_follows_from_its_record_and_its_class(records, cls, now, fate):
-    book = Book().read([accepted("x"), *records])
-    assert book.entries["x"].fate(cls, now) is fate
-    assert Book().read(book.records()).entries["x"].fate(cls, now) is fate  # from a snapshot as well
-    part = Book().read([accepted("x", whole=False), *records]).entries["x"].fate(cls, now)
-    assert part is (Fate.UNKNOWN if fate is Fate.SEND else fate)  # its body is not on record
+    table = InFlightTable().replay([accepted("x"), *records])
+    assert table.requests["x"].takeover_action(cls, now) is fate
+    assert (
+        InFlightTable().replay(table.snapshot()).requests["x"].takeover_action(cls, now) is fate
+    )  # from a snapshot as well
+    part = InFlightTable().replay([accepted("x", whole=False), *records]).requests["x"].takeover_action(cls, now)
+    assert part is (TakeoverAction.UNKNOWN if fate is TakeoverAction.SEND else fate)  # its body is not on record
 
 
 OPS = st.lists(st.tuples(st.sampled_from("asnndfte"), st.sampled_from("xyz"), st.integers(0, 2)), max_size=40)
@@ -89,60 +92,68 @@
 @trials(max_examples=200, derandomize=True, deadline=None)
 @given(OPS)
 def test_a_snapshot_says_what_the_log_said(ops):
-    book = Book()
+    table = InFlightTable()
     for op, rid, n in ops:
-        book.apply({"op": op, "id": rid, "log": f"{rid}.1", "n": n, "at": 1.0 + n, "how": "failed"})
-    again = Book().read(book.records())
-    assert (again.taking, again.records()) == (book.taking, book.records())
-    for rid, entry in book.entries.items():
-        assert again.entries[rid].fate(KEYED, 30) is entry.fate(KEYED, 30)
+        table.apply({"op": op, "id": rid, "log": f"{rid}.1", "n": n, "at": 1.0 + n, "how": "failed"})
+    again = InFlightTable().replay(table.snapshot())
+    assert (again.takeovers, again.snapshot()) == (table.takeovers, table.snapshot())
+    for rid, entry in table.requests.items():
+        assert again.requests[rid].takeover_action(KEYED, 30) is entry.takeover_action(KEYED, 30)
 
 
 def test_the_store_gives_each_claim_and_each_id_to_one(tmp_path):
     store, other = Store(str(tmp_path)), Store(str(tmp_path))
-    assert [store.claim("a.1", "b"), other.claim("a.1", "c"), other.claim("a.2", "c")] == [True, False, True]
-    other.inherit("a.1", "c")
+    assert [store.claim_log("a.1", "b"), other.claim_log("a.1", "c"), other.claim_log("a.2", "c")] == [
+        True,
+        False,
+        True,
+    ]
+    other.inherit_claim("a.1", "c")
     assert [store.claimed_by(log) for log in ("a.1", "a.2", "a.3")] == ["c", "c", None]
-    assert [store.hold(b"x", "a.1"), other.hold(b"x", "b.1"), other.owner(b"x")] == [True, False, "a.1"]
-    other.move(b"x", "b.1")
-    store.hold(b"y", "a.1")
-    assert store.owner(b"x") == "b.1" and store.free_all_of("a.1") == 1 and store.owner(b"y") is None
+    assert [store.claim_id(b"x", "a.1"), other.claim_id(b"x", "b.1"), other.owner_of_id(b"x")] == [True, False, "a.1"]
+    other.move_id(b"x", "b.1")
+    store.claim_id(b"y", "a.1")
+    assert (
+        store.owner_of_id(b"x") == "b.1"
+        and store.release_unrecorded_ids("a.1") == 1
+        and store.owner_of_id(b"y") is None
+    )
     store.publish(b"x", {"status": 200})
     assert other.outcome(b"x") == {"status": 200} and other.outcome(b"y") is None
     store.publish(b"z", {"paid": True})
-    assert [store.spend(b"z"), other.spend(b"z")] == [True, False]
-    other.forget(before=1e12)
-    assert store.outcome(b"x") is None and store.hold(b"x", "c.1")
+    assert [store.take_outcome(b"z"), other.take_outcome(b"z")] == [True, False]
+    other.forget_outcomes(before=1e12)
+    assert store.outcome(b"x") is None and store.claim_id(b"x", "c.1")
 
 
 def test_an_id_whose_outcome_is_kept_stays_held_when_its_owner_is_taken_over_in_turn(tmp_path):
     """Else the client that comes for the outcome claims the id, and what must not run twice does."""
     store = Store(str(tmp_path))
-    assert store.hold(b"x", "a.1") and store.hold(b"y", "a.1")
+    assert store.claim_id(b"x", "a.1") and store.claim_id(b"y", "a.1")
     store.publish(b"x", {"status": 502})
-    assert store.free_all_of("a.1") == 1 and not store.hold(b"x", "b.1") and store.hold(b"y", "b.1")
-    store.forget(before=1e12)
-    assert store.hold(b"x", "c.1")
+    assert store.release_unrecorded_ids("a.1") == 1 and not store.claim_id(b"x", "b.1") and store.claim_id(b"y", "b.1")
+    store.forget_outcomes(before=1e12)
+    assert store.claim_id(b"x", "c.1")
 
 
 def test_a_log_is_read_back_and_a_snapshot_takes_its_place(tmp_path):
     store = Store(str(tmp_path))
-    log = Log(store, "n", 1, RECORDS[:1])
-    log.write(RECORDS[1], wait=True)
-    assert store.read("n.1") == RECORDS[:1]
+    log = WriteAheadLog(store.folder, "n", 1, RECORDS[:1])
+    log.write(RECORDS[1], is_deferred=True)
+    assert store.read_log("n.1") == RECORDS[:1]
     log.flush()
-    assert store.read("n.1") == RECORDS[:2] and store.logs("n") == {1: False}
+    assert store.read_log("n.1") == RECORDS[:2] and store.log_epochs("n") == {1: False}
     with pytest.raises(FileExistsError):
-        Log(store, "n", 1, [])
-    log.snapshot(RECORDS[2:3])
+        WriteAheadLog(store.folder, "n", 1, [])
+    log.replace_with_snapshot(RECORDS[2:3])
     log.write(RECORDS[3])
     log.sync()
-    assert store.read("n.1") == RECORDS[2:]
+    assert store.read_log("n.1") == RECORDS[2:]
     log.close()
     (tmp_path / "m.1.log").write_bytes(b"something else")
     with pytest.raises(ValueError, match="m, epoch 1"):
-        store.read("m.1")
-    assert store.read("gone.1") == []
+        store.read_log("m.1")
+    assert store.read_log("gone.1") == []
 
 
 @pytest.mark.parametrize(
@@ -177,9 +188,9 @@
     monkeypatch.setattr(driver.time, "time", lambda: now[0])
     told = own.Handoff(enabled=True, dir=str(tmp_path), lease_s=3, margin_s=0.5)
     a, b = (driver.Handoff(None, told, Silent(), name, ["look", "book"], ["wide"]) for name in "ab")
-    a.store.claim("c.1", a.log_name)  # it was taking over c's work as well
+    a.store.claim_log("c.1", a.log_name)  # it was taking over c's work as well
     a._note({"op": "t", "log": "c.1"})
-    assert a.store.hold(b"x", a.log_name)
+    assert a.store.claim_id(b"x", a.log_name)
     a._note(
         {
             "op": "a",
@@ -197,15 +208,15 @@
         }
     )
     now[0] += 3.2
-    assert a.good() and a.epoch == 2 and a.store.owner(b"x") == "a.2"
+    assert a.good() and a.epoch == 2 and a.store.owner_of_id(b"x") == "a.2"
     assert a.store.claimed_by("c.1") == "a.2"
     b._renew(now[0])
     now[0] += 3.6
     b._renew(now[0])  # a is dead now
     b._look(now[0])
     b.tick()
-    assert b.engine.came == [(b"x", True)] and b.store.owner(b"x") == "b.1"
-    assert "c.1" not in b.book.taking and b.store.claimed_by("c.1") == "b.1"  # nothing was left of c's
+    assert b.engine.came == [(b"x", True)] and b.store.owner_of_id(b"x") == "b.1"
+    assert "c.1" not in b.table.takeovers and b.store.claimed_by("c.1") == "b.1"  # nothing was left of c's
 
 
 # --- fleets of processes
