--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -216,7 +216,7 @@
     b._look(now[0])
     b.tick()
     assert b.engine.came == [(b"x", True)] and b.store.owner_of_id(b"x") == "b.1"
-    assert "c.1" not in b.table.takeovers and b.store.claimed_by("c.1") == "b.1"  # nothing was left of c's
+    assert "c.1" not in b.in_flight.takeovers and b.store.claimed_by("c.1") == "b.1"  # nothing was left of c's
 
 
 # --- fleets of processes
