--- a/mapleline/cli/commands.py
+++ b/mapleline/cli/commands.py
@@ -172,9 +172,9 @@
 @click.option("--grown", is_flag=True, help="Eight machines with a disk, and two losses to be borne at once.")
 def lab_days(seeds: int, first: int, jobs: int, grown: bool) -> None:
     """Play days of a whole small system by lot, on a clock of its own; status 1 if one breaks a rule."""
-    from ..simulation.scenarios import sweep
+    from ..simulation.runner import run_many
 
-    broken = sweep(range(first, first + seeds), jobs, click.echo, grown)
+    broken = run_many(range(first, first + seeds), jobs, click.echo, grown)
     click.echo(f"{seeds} days, {broken} with a rule broken")
     raise SystemExit(1 if broken else 0)
 
--- a/mapleline/simulation/behaviour_digest.py
+++ b/mapleline/simulation/behaviour_digest.py
@@ -15,7 +15,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from .scenarios import play
+from .runner import RunOptions, run_scenario, site_size
 
 DIGEST_BYTES = 16
 
@@ -51,12 +51,12 @@
 
 
 def measure(seed: int, grown: bool = False) -> Behaviour:
-    """Play the day of a seed and return its digest.  `grown`: the large system of `days.Day`."""
+    """Play the day of a seed and return its digest.  `grown`: the large site."""
     previous = logging.root.manager.disable
     logging.disable(logging.CRITICAL)
     try:
         digest = BehaviourDigest()
-        play(seed, grown=grown, observer=digest)
+        run_scenario(seed, options=RunOptions(size=site_size(grown)), observer=digest)
     finally:
         logging.disable(previous)
     return Behaviour(seed, grown, digest.hexdigest(), dict(sorted(digest.events.items())))
--- /dev/null
+++ b/mapleline/simulation/invariants/catch_up.py
@@ -0,0 +1,67 @@
+"""The invariant on control replicas that come back or are new."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from ..history import NO_VERSION, History, ReplicaEvent
+from .rules import Rule, Violation
+
+LONGEST_START_S = 0.7
+"""A start of a machine takes no longer than that."""
+
+
+def check_catch_up(history: History) -> Iterator[Violation]:
+    """WHOLE: a replica that was started is a voter and serves by the newest configuration within `catch_up`.
+
+    Nothing else may have befallen it, and it must have been connected all the while.  Twice the time is allowed where
+    most of the replicas were started at once.
+    """
+    for event in history.replica_events:
+        if event.kind != "start":
+            continue
+        due_at = event.at + _allowed_s(history, event)
+        if due_at <= history.ended_at and not _is_disturbed(history, event, due_at):
+            yield from _check_replica(history, event, due_at)
+
+
+def _allowed_s(history: History, start: ReplicaEvent) -> float:
+    """Return how long the replica may take."""
+    catch_up_s = history.bounds.catch_up
+    started_beside = {
+        event.machine
+        for event in history.replica_events
+        if event.kind == "start" and abs(event.at - start.at) <= catch_up_s
+    }
+    samples = (sample for sample in reversed(history.replicas) if sample.at <= start.at + catch_up_s)
+    sample = next(samples, None)
+    connected = sample.connected if sample is not None else set()
+    is_majority = 2 * len(started_beside) > len(connected)
+    return catch_up_s * (2 if is_majority else 1)
+
+
+def _is_disturbed(history: History, start: ReplicaEvent, due_at: float) -> bool:
+    """Return whether anything befell the replica after its start."""
+    return any(event.machine == start.machine and start.at < event.at <= due_at for event in history.replica_events)
+
+
+def _check_replica(history: History, start: ReplicaEvent, due_at: float) -> Iterator[Violation]:
+    """WHOLE for one start."""
+    machine = start.machine
+    samples = [sample for sample in history.replicas if start.at + LONGEST_START_S <= sample.at <= due_at]
+    if not samples or not all(machine in sample.connected for sample in samples):
+        return
+    is_voter = machine in samples[-1].voters
+    due = max((ack.version for ack in history.acknowledged_configurations() if ack.at < start.at), default=NO_VERSION)
+    in_force = max(
+        (
+            sample.version
+            for sample in history.configurations
+            if sample.machine == machine and start.at < sample.at <= due_at
+        ),
+        default=NO_VERSION,
+    )
+    if not is_voter or in_force < due:
+        counts = "counts" if is_voter else "does not count"
+        detail = f"{machine}, started at {start.at:.2f}, {counts}, and serves by {in_force}; {due} is due"
+        yield Violation(Rule.CATCH_UP, due_at, detail)
--- /dev/null
+++ b/mapleline/simulation/scenario.py
@@ -0,0 +1,157 @@
+"""One simulated run: a world with its operators, clients and faults, and the history that comes of it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ..balancer import settings
+from .clients import ClientTraffic
+from .faults import FaultInjector
+from .history import (
+    STATUS_OK,
+    ConfigurationSample,
+    ContactSample,
+    DeliveredRequest,
+    FinalEvacuations,
+    History,
+    ReplicaEvent,
+    ReplicaSample,
+)
+from .operators import SimulatedOperators
+from .workload import QUOTAS, ROUTES, SLOW_START_RATE_S
+from .world import PROTOCOL_BOUNDS, Arrived, Server, World
+
+ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
+"""The region of each zone."""
+SERVERS_PER_ZONE = {"slots": 4, "records": 2}
+WARM_UP_S = 6.0
+"""From the start of the machines to the start of the traffic."""
+SAMPLE_PERIOD_S = 0.1
+PROBE_PERIOD_S = 0.25
+"""Between two reads and lookups at any machine, also at one that is cut off."""
+
+
+@dataclass(frozen=True, slots=True)
+class SiteSize:
+    """The machines of the simulated site, and how many losses of control replicas at once it has to tolerate."""
+
+    machines_without_disk: int = 1
+    """In each zone."""
+    machines_with_disk: int = 1
+    """In each zone."""
+    tolerated_losses: int = 1
+
+
+SMALL_SITE = SiteSize()
+LARGE_SITE = SiteSize(machines_with_disk=2, tolerated_losses=2)
+
+
+class Scenario:
+    """One run of a site; `load` is a factor on the clients' request rates."""
+
+    def __init__(self, seed: int, load: float = 1.0, size: SiteSize = SMALL_SITE) -> None:
+        """Create the site; nothing runs yet."""
+        self.world = World(
+            seed,
+            ZONES,
+            others=size.machines_without_disk,
+            losses=size.tolerated_losses,
+            servers=SERVERS_PER_ZONE,
+            disks=size.machines_with_disk,
+        )
+        self.world.service_time_s = {name: route.service_time_s for name, route in ROUTES.items()}
+        self.rng = self.world.rng
+        self.history = _new_history()
+        self.operators = SimulatedOperators(self.world, self.history)
+        self.faults = FaultInjector(self.world, self.history, self.operators)
+        self.clients = ClientTraffic(self.world, self.history, load)
+
+    def begin(self) -> None:
+        """Start the machines, send the first configuration and, once that is in force, start the traffic."""
+        self.world.start()
+        self._sample()
+        self.operators.replace_configuration()
+        self.world.run(WARM_UP_S)
+        self.clients.start(ZONES)
+        self._probe()
+
+    def _sample(self) -> None:
+        """Sample periodically what is in force where, who has contact to a majority, and the control replicas."""
+        world = self.world
+        world.after(SAMPLE_PERIOD_S, self._sample)
+        now = world.now
+        machines = list(world.machines.values())
+        for machine in machines:
+            active = machine.active_configuration()
+            if active is None:
+                continue
+            version, digest = active
+            content = self.operators.content_by_configuration.get(digest, "unknown")
+            sample = ConfigurationSample(now, machine.name, machine.incarnation, version, content)
+            self.history.configurations.append(sample)
+        self.history.contacts.append(ContactSample(now, world.machines_with_majority()))
+        voters = {machine.name for machine in machines if machine.is_voter()}
+        self.history.replicas.append(ReplicaSample(now, world.operational_majority(), voters))
+
+    def _probe(self) -> None:
+        """Read the configuration and look up the directory periodically, at any machine that is known."""
+        self.world.after(PROBE_PERIOD_S, self._probe)
+        self.operators.read()
+        self.clients.look_up(self.rng.choice(self.world.known_machines))
+
+    def served_share(self, since: float, until: float) -> float:
+        """Return the share of the requests of that time that were served, be it by a retry."""
+        attempts = self.history.attempts.values()
+        sent = {_request_id(attempt.id) for attempt in attempts if since <= attempt.sent_at < until}
+        served = {_request_id(attempt.id) for attempt in attempts if attempt.status == STATUS_OK}
+        return len(sent & served) / max(1, len(sent))
+
+    def finish(self) -> None:
+        """Record the state at the end of the run, and what the servers saw in it."""
+        now = self.world.now
+        self.history.ended_at = now
+        for machine in self.world.machines.values():
+            if machine.is_operational and self.history.is_undisturbed(machine.name, now):
+                final = FinalEvacuations(now, machine.name, machine.evacuated_zones())
+                self.history.final_evacuations.append(final)
+        self.collect_world_records()
+
+    def collect_world_records(self) -> None:
+        """Take what servers and control replicas saw over into the history."""
+        world, history = self.world, self.history
+        history.arrivals = [_delivered(*row) for row in world.arrivals]
+        history.runs = [_delivered(*row) for row in world.runs]
+        history.replica_events = [ReplicaEvent(at, name, kind) for at, name, kind in world.events]
+
+
+def _new_history() -> History:
+    bounds = settings.Bounds.model_validate(dict(part.split("=") for part in PROTOCOL_BOUNDS.split(",")))
+    history = History(
+        bounds,
+        ZONES,
+        limits={tenant: (quota.rate_s, quota.burst) for tenant, quota in QUOTAS.items()},
+        slow_start_rate_s=SLOW_START_RATE_S,
+    )
+    for route in ROUTES.values():
+        history.services.setdefault(route.kind, set()).add(route.service)
+        if route.home_regions:
+            history.homes[route.kind] = set(route.home_regions)
+    return history
+
+
+def _delivered(sent_at: float, at: float, server: Server, arrived: Arrived) -> DeliveredRequest:
+    return DeliveredRequest(
+        sent_at=sent_at,
+        arrived_at=at,
+        request_id=arrived.fields["request-id"],
+        tenant=arrived.fields.get("tenant"),
+        sender=arrived.by.name,
+        server_id=server.id,
+        service=server.service,
+        zone=server.zone,
+    )
+
+
+def _request_id(attempt_id: str) -> str:
+    """Return the id of the first attempt of a client's request."""
+    return attempt_id.partition(".")[0]
--- /dev/null
+++ b/mapleline/simulation/workload.py
@@ -0,0 +1,117 @@
+"""What the simulated site serves: its routes, tenants and API keys, and the configurations that say so."""
+
+from __future__ import annotations
+
+import json
+from dataclasses import dataclass
+from typing import Any
+from zlib import crc32
+
+HOST = "day.example"
+IDEMPOTENT = "idempotent"
+SLOW_START_RATE_S = 2.0
+KEYS_PER_TENANT = 3
+BASE_IDLE_TIMEOUT_MS = 15000
+
+
+@dataclass(frozen=True)
+class Route:
+    """One route: its kind, its service, and the load and time limits of its requests."""
+
+    kind: str
+    service: str
+    requests_per_s: float
+    """From each zone."""
+    service_time_s: float
+    latency_target_s: float
+    deadline_s: float
+    home_regions: tuple[str, ...] = ()
+
+
+@dataclass(frozen=True)
+class Quota:
+    """A tenant's rate limit; rate 0 is none."""
+
+    rate_s: float
+    burst: float
+
+
+ROUTES = {
+    "see": Route("idempotent", "slots", 4.0, 0.22, 0.8, 3.0),
+    "book": Route("non_idempotent", "slots", 2.0, 0.29, 1.0, 4.0, ("a",)),
+    "scan": Route("upload", "records", 0.7, 0.26, 1.0, 4.0),
+    "past": Route("idempotent", "records", 0.8, 0.88, 3.0, 12.0),
+}
+QUOTAS = {
+    "t1": Quota(20.0, 20.0),
+    "t2": Quota(8.0, 8.0),
+    "t3": Quota(4.0, 4.0),
+    "t4": Quota(0.0, 0.0),
+}
+TENANTS = tuple(QUOTAS)
+
+
+def api_keys(tenant: str) -> list[str]:
+    """Return the API keys that a tenant has at first."""
+    return [f"{tenant}-k{index}" for index in range(KEYS_PER_TENANT)]
+
+
+def all_api_keys() -> dict[str, list[str]]:
+    """Return the first API keys of each tenant."""
+    return {tenant: api_keys(tenant) for tenant in TENANTS}
+
+
+def content_digest(body: bytes) -> str:
+    """Return a short digest of a configuration as it was sent."""
+    return f"{crc32(body):08x}"
+
+
+def configuration(version: int, keys: dict[str, list[str]], serial: int = 0) -> dict[str, Any]:
+    """Return a whole configuration; `serial` tells it from others of the same version."""
+    return {
+        "config_version": version,
+        "route_table": {name: _route_row(name, route) for name, route in ROUTES.items()},
+        "service_table": {route.service: _service_row() for route in ROUTES.values()},
+        "tenant_table": {tenant: _tenant_row(quota, keys[tenant]) for tenant, quota in QUOTAS.items()},
+        "limits": {"idle_timeout": f"{BASE_IDLE_TIMEOUT_MS + serial}ms"},
+    }
+
+
+def _route_row(name: str, route: Route) -> dict[str, Any]:
+    return {
+        "host_name": HOST,
+        "path_prefix": f"/{name}/",
+        "route_kind": route.kind,
+        "target_service": route.service,
+        "timeout": f"{route.deadline_s:g}s",
+        "target_latency": f"{route.latency_target_s:g}s",
+        "max_attempts": 2,
+        "home_regions": list(route.home_regions),
+    }
+
+
+def _service_row() -> dict[str, Any]:
+    return {"max_connections": 130, "cold_start": "3s", "cold_rate_s": SLOW_START_RATE_S}
+
+
+def _tenant_row(quota: Quota, keys: list[str]) -> dict[str, Any]:
+    return {"api_keys": keys, "rate_per_s": quota.rate_s, "burst_size": quota.burst}
+
+
+INVALID_VARIANTS = 5
+
+
+def invalid_configuration(version: int, keys: dict[str, list[str]], variant: int) -> bytes:
+    """Return the body of a configuration that is invalid in one of `INVALID_VARIANTS` ways."""
+    content = configuration(version, keys, serial=-1)
+    if variant == 0:
+        content["route_table"]["see"]["target_service"] = "nobody"
+    elif variant == 1:
+        content["route_table"]["see"]["timeout"] = "0ms"
+    elif variant == 2:
+        content["route_table"]["see"]["target_latency"] = "64s"
+    elif variant == 3:
+        content["tenant_table"]["t2"]["api_keys"] = ["t1-k2", "t2-k2"]
+    body = json.dumps(content).encode()
+    is_truncated = variant == INVALID_VARIANTS - 1
+    return body[: len(body) // 2] if is_truncated else body
--- a/tests/balancer/control/test_recovery.py
+++ b/tests/balancer/control/test_recovery.py
@@ -17,8 +17,8 @@
 from mapleline.balancer.control.state import digest
 from mapleline.balancer.membership.member import MemberFlags
 from mapleline.balancer.transport.messages import Accepted, Prepare, Promised, encode
-from mapleline.simulation.operators import configuration
-from mapleline.simulation.scenarios import ZONES
+from mapleline.simulation.scenario import ZONES
+from mapleline.simulation.workload import configuration
 from mapleline.simulation.world import World
 
 SIZE = 20_000  # of a configuration
--- a/tests/balancer/transport/test_fencing.py
+++ b/tests/balancer/transport/test_fencing.py
@@ -28,7 +28,10 @@
     Promised,
 )
 from mapleline.balancer.transport.stamps import CALL_STAMPS_BYTES, CallStamps, DatagramStamps
-from mapleline.simulation.scenarios import AFTER_S, ZONES, Day, play
+from mapleline.simulation.final_fault import RESTART_S, FinalFault, check_read_back
+from mapleline.simulation.invariants import Rule
+from mapleline.simulation.runner import RunOptions, run_scenario
+from mapleline.simulation.scenario import ZONES, Scenario
 from mapleline.simulation.world import World
 
 BEAT = Heartbeat(b"", 0, 0, 0)
@@ -392,11 +395,11 @@
             self.assertFalse(newest())  # only later, by who asks the missing now and then
 
     def test_each_tally_counts_once_on_a_day_of_doubles_and_delays(self):
-        def troubles(day):
-            world = day.world
+        def troubles(scenario):
+            world = scenario.world
             world.loss, world.doubles, world.lates, world.late_s = 0.0, 0.4, 0.1, 1.0
-            day.hot["t1"] = 4.0
-            day.open_until = world.now + 4.0
+            scenario.clients.load_factors["t1"] = 4.0
+            scenario.clients.stops_at = world.now + 4.0
 
         def apart():
             """Of names that are held, those that do not count what stands."""
@@ -416,9 +419,10 @@
 
             real = QuotaClient._complete
             with mock.patch.object(QuotaClient, "_complete", complete):
-                found, day = play(3, troubles, 8.0, "none", 2.0)
+                result = run_scenario(3, troubles, RunOptions(8.0, FinalFault.NONE, load=2.0))
+            found, scenario = result.violations, result.scenario
             held = {}
-            for machine in day.world.machines.values():
+            for machine in scenario.world.machines.values():
                 for name, one in machine.node.quota_client.replica.table.counters.items():
                     if one.rows:
                         held.setdefault(name, set()).add(one.total)
@@ -434,26 +438,27 @@
             self.assertTrue(apart()[1])
 
     def test_days_of_doubles_delays_and_mixed_up_answers_break_no_rule(self):
-        def troubles(day):
-            world = day.world
+        def troubles(scenario):
+            world = scenario.world
             world.doubles, world.lates, world.strays = 0.2, 0.03, 0.3
-            day.hot["t1"] = 6.0
+            scenario.clients.load_factors["t1"] = 6.0
             one = next(m for m in world.machines.values() if m.disk is None)
             for n in range(4):
-                world.after(0.5 + 1.5 * n, day.race)
-            world.after(2.0, day.kill, [one], 0.5)
-
-        for closing in ("kill", "wipe"):
-            found, day = play(3, troubles, 9.0, closing)
-            self.assertEqual(found, [], closing)
-            why = sum((m.node.fence.dropped for m in day.world.machines.values() if m.is_running), Counter())
+                world.after(0.5 + 1.5 * n, scenario.operators.replace_at_two_machines)
+            world.after(2.0, scenario.faults.kill, [one], 0.5)
+
+        for final_fault in (FinalFault.KILL, FinalFault.WIPE):
+            result = run_scenario(3, troubles, RunOptions(9.0, final_fault))
+            scenario = result.scenario
+            self.assertEqual(result.violations, [], final_fault)
+            why = sum((m.node.fence.dropped for m in scenario.world.machines.values() if m.is_running), Counter())
             self.assertTrue({DropReason.OTHER_CALL, DropReason.SURPLUS_REPLY, DropReason.OUT_OF_ORDER} <= set(why), why)
 
     def test_an_answer_to_another_call_acknowledges_nothing(self):
         def lost():
-            day = Day(3)
-            world = day.world
-            day.begin()
+            scenario = Scenario(3)
+            world = scenario.world
+            scenario.begin()
             replicas = world.control_replicas
             first = next(m for m in replicas if m.node.control_plane.monitor.coordinator(world.now) == m.ip)
             earlier, others = {}, [m for m in replicas if m is not first]
@@ -467,22 +472,22 @@
                 return earlier.setdefault(kind, data) if reply.ok else earlier.get(kind, data)
 
             world.astray = astray
-            day.operator.config(at=first)
+            scenario.operators.replace_configuration(at=first)
             world.run(1.0)
             for machine in others:
                 machine.disk.refuses_writes = True
-            day.operator.config(at=first)
+            scenario.operators.replace_configuration(at=first)
             world.run(1.5)
-            day.kill(list(world.machines.values()), 0.5)
+            scenario.faults.kill(list(world.machines.values()), 0.5)
             first.wipe_disk()
             for machine in others:
                 machine.disk.refuses_writes = False
-            world.run(AFTER_S)
-            return day.read_back()
+            world.run(RESTART_S)
+            return check_read_back(scenario)
 
         self.assertEqual(lost(), [])
         with (
             mock.patch.object(Fence, "_check_reply", lambda *_: None),
             mock.patch.object(ReplicaMonitor, "record_turn", lambda *_: True),
         ):  # either is enough
-            self.assertTrue(lost()[0].startswith("LOST"))
+            self.assertIs(lost()[0].rule, Rule.LOST)
--- /dev/null
+++ b/tests/simulation/history_builder.py
@@ -0,0 +1,83 @@
+"""Histories made by hand, and assertions on the rules that they break."""
+
+import unittest
+
+from mapleline.balancer.settings import Bounds
+from mapleline.simulation.history import (
+    REPLACE_PATH,
+    Acknowledged,
+    Acknowledgement,
+    ConfigurationSample,
+    ContactSample,
+    History,
+    OperatorCommand,
+    OperatorResponse,
+    ReplicaEvent,
+    ReplicaSample,
+)
+from mapleline.simulation.invariants import check
+
+END_S = 60.0
+SAMPLES_PER_S = 10
+MACHINES = {"m1", "m2", "m3", "m4", "m5"}
+REPLICAS = {"m1", "m2", "m3", "m4"}
+
+
+class HistoryBuilder:
+    """A history of 60 s with five machines, of which m1 to m4 are control replicas."""
+
+    def __init__(self, isolated=(), since=0.0, until=END_S, connected=None, voters=None):
+        """`isolated`: machines without contact in that time; `connected`, `voters`: instead of all replicas."""
+        self.history = History(Bounds(), {"z1": "r"}, ended_at=END_S)
+        connected = REPLICAS if connected is None else connected
+        for index in range(int(END_S * SAMPLES_PER_S)):
+            at = index / SAMPLES_PER_S
+            away = set(isolated) if since <= at < until else set()
+            self.history.contacts.append(ContactSample(at, MACHINES - away))
+            sample = ReplicaSample(at, connected - away, connected if voters is None else voters)
+            self.history.replicas.append(sample)
+
+    def command(self, version, content, at, took_s=0.1, status=200, path=REPLACE_PATH, is_valid=True, by="m1"):
+        """Add a command with its one response; status None is no response at all."""
+        command = OperatorCommand(path, version, content, at, is_valid)
+        end = at + took_s
+        if status is not None:
+            self.history.responses.append(OperatorResponse(command, by, at, end, status))
+        command.closed_at = end
+        if status == 200:
+            command.acknowledged_at = end
+            if path == REPLACE_PATH and is_valid:
+                acknowledgement = Acknowledgement(end, Acknowledged.CONFIGURATION, version)
+                self.history.acknowledgements.append(acknowledgement)
+        elif status is not None and status < 500:
+            command.rejected_status = status
+        self.history.commands.append(command)
+        return self
+
+    def read(self, version, content, at, status=200, by="m2"):
+        """Add a read that took 0.1 s."""
+        self.history.responses.append(OperatorResponse(None, by, at, at + 0.1, status, version, content))
+        return self
+
+    def active(self, version, content, at, by="m3", incarnation=1):
+        """Add a sample of the configuration in force."""
+        self.history.configurations.append(ConfigurationSample(at, by, incarnation, version, content))
+        return self
+
+    def event(self, at, kind, name="m4"):
+        """Add something that befell a replica."""
+        self.history.replica_events.append(ReplicaEvent(at, name, kind))
+        return self
+
+
+class InvariantTestCase(unittest.TestCase):
+    def rules_broken(self, builder):
+        return sorted({violation.rule for violation in check(builder.history)})
+
+    def assert_holds(self, *builders):
+        for builder in builders:
+            self.assertEqual(check(builder.history), [])
+
+    def assert_breaks(self, rule, *builders):
+        for builder in builders:
+            self.assertEqual(self.rules_broken(builder), [rule])
--- /dev/null
+++ b/tests/simulation/test_scenario.py
@@ -0,0 +1,259 @@
+"""Scenarios of a whole site: each holds, and breaks its rule once the defence that it is about is taken out."""
+
+import logging
+import unittest
+from unittest import mock
+
+from twisted.internet.defer import succeed
+
+from mapleline.balancer.control import commands, state
+from mapleline.balancer.control.consensus import Acceptor
+from mapleline.balancer.control.replica import LocalReplica
+from mapleline.balancer.membership.table import MembershipTable
+from mapleline.balancer.node import Node
+from mapleline.balancer.proxy import proxy
+from mapleline.balancer.proxy.proxy import Proxy
+from mapleline.policy.window import Tenancy
+from mapleline.simulation.final_fault import RESTART_S, FinalFault, check_read_back
+from mapleline.simulation.history import Acknowledged
+from mapleline.simulation.invariants import Rule
+from mapleline.simulation.runner import RunOptions, run_scenario
+from mapleline.simulation.scenario import LARGE_SITE, SMALL_SITE, ZONES, Scenario
+
+
+def no_faults(scenario):
+    """Traffic alone."""
+
+
+def revoked_behind_a_cut(scenario):
+    """Isolate one ingress; keys are revoked, and its clients go on with them."""
+    others = list(scenario.world.machines.values())
+    one = next(m for m in others if m.disk is None)
+    scenario.faults.partition([one], others, 9.0)
+    for n, tenant in enumerate(("t1", "t2")):
+        scenario.world.after(
+            0.5 + n,
+            lambda tenant=tenant: scenario.operators.replace_configuration(
+                revoke=tenant, at=scenario.world.control_replicas[0]
+            ),
+        )
+
+
+def restarted_zone(scenario):
+    """Restart a zone's servers under many short requests."""
+    scenario.world.service_time_s = dict.fromkeys(scenario.world.service_time_s, 0.05)
+    scenario.clients.load_factors["t4"] = 40.0  # it has no limit
+    scenario.faults.restart_servers([s for s in scenario.world.servers.values() if s.zone == "a1"])
+
+
+def slow_disks(scenario):
+    """Let no disk answer until well after the last change was sent."""
+    for machine in scenario.world.control_replicas:
+        machine.disk.hangs_until = scenario.world.now + 5.0
+
+
+def evacuated_zone(scenario):
+    """Evacuate a zone."""
+    scenario.operators.evacuate("a1", 9.0)
+
+
+def overloading_tenant(scenario):
+    """Let a tenant send many times its usual load."""
+    scenario.clients.load_factors["t1"] = 8.0
+
+
+def lost_server_responses(scenario):
+    """Lose responses of servers to requests that have run."""
+    for server in scenario.world.servers.values():
+        server.response_loss_rate = 0.1
+
+
+def overloaded_servers(scenario):
+    """Send twice what the servers can serve."""
+    lost_server_responses(scenario)
+    scenario.clients.load_factors["t4"] = 30.0
+
+
+def concurrent_configurations(scenario):
+    """Let two operators change the configuration at once, and repeat older changes."""
+    for n in range(6):
+        scenario.world.after(0.3 + n, scenario.operators.replace_at_two_machines)
+        scenario.world.after(0.9 + n, scenario.operators.repeat_older)
+
+
+SEED = 3
+
+
+class TestScenarios(unittest.TestCase):
+    def setUp(self):
+        logging.disable(logging.CRITICAL)
+        self.addCleanup(logging.disable, logging.NOTSET)
+
+    def holds(self, schedule, duration_s=6.0, final_fault=FinalFault.NONE, load=1.0):
+        result = run_scenario(SEED, schedule, RunOptions(duration_s, final_fault, load))
+        self.assertEqual(result.violations, [])
+        return result.scenario
+
+    def breaks(self, rule, schedule, mutant, duration_s=6.0, final_fault=FinalFault.NONE, load=1.0):
+        """Check that the rule holds, and is found broken with the defence taken out."""
+        self.holds(schedule, duration_s, final_fault, load)
+        with mutant:
+            violations = run_scenario(SEED, schedule, RunOptions(duration_s, final_fault, load)).violations
+        self.assertIn(rule, {violation.rule for violation in violations}, violations[:3])
+
+    def test_random_faults_break_no_rule(self):
+        for seed, size in ((11, SMALL_SITE), (12, SMALL_SITE), (13, LARGE_SITE)):
+            result = run_scenario(seed, options=RunOptions(size=size))
+            self.assertEqual(result.violations, [], f"seed {seed}")
+
+    def test_all_requests_are_served_without_faults(self):
+        scenario = self.holds(no_faults, 10.0)
+        attempts = [a for a in scenario.history.attempts.values() if 1007.0 < a.sent_at < 1013.0]
+        ended = [attempt.status for attempt in attempts if attempt.status not in (401, 429)]
+        self.assertGreater(ended.count(200) / len(ended), 0.99)
+        asked = [at for at, _ in scenario.world.list_calls if 1006.0 < at < 1016.0]
+        self.assertLess(len(asked), 14)  # one asks the platform, each 0.8 s
+        self.assertEqual(len(ZONES), len({m.zone for m in scenario.world.control_replicas}))
+
+    def test_a_revoked_key_is_rejected_by_an_isolated_ingress(self):
+        certain = mock.patch.object(Node, "has_read_lease", lambda self: True)
+        self.breaks(Rule.CONFIGURATION, revoked_behind_a_cut, certain, 10.0, load=3.0)
+
+    def test_acknowledged_changes_survive_the_power_loss_of_all_and_a_wiped_disk(self):
+        def sync(self, acceptor):
+            self.environment.run_in_thread(self.store.save, acceptor.record, dict(self.committed.contents)).addErrback(
+                lambda _: None
+            )
+            acceptor.synced(acceptor.record)
+            return succeed(None)
+
+        self.breaks(Rule.LOST, slow_disks, mock.patch.object(LocalReplica, "_sync", sync), 1.0, FinalFault.KILL)
+
+    def test_a_change_on_a_single_disk_is_not_acknowledged(self):
+        def lost():
+            scenario = Scenario(3)
+            world = scenario.world
+            scenario.begin()
+            first = next(
+                m for m in world.control_replicas if m.node.control_plane.monitor.coordinator(world.now) == m.ip
+            )
+            for machine in world.control_replicas:
+                machine.disk.hangs_until = 0.0 if machine is first else world.now + 9.0
+            scenario.operators.replace_configuration(at=first)
+            world.run(1.5)
+            scenario.faults.kill(list(world.machines.values()), 0.5)
+            first.wipe_disk()
+            world.run(RESTART_S)
+            return check_read_back(scenario)
+
+        self.assertEqual(lost(), [])
+        with mock.patch.object(state, "majority", lambda voters, heard: bool(heard)):
+            self.assertIs(lost()[0].rule, Rule.LOST)
+
+    def test_the_configuration_in_force_never_goes_back(self):
+        def replaced(held, version, content):
+            return state._numbered(held, version, content, (version, content)), True
+
+        self.breaks(Rule.CONFIGURATION, concurrent_configurations, mock.patch.object(commands, "replaced", replaced))
+
+    def test_the_others_tolerate_a_loss_again_after_a_replica_was_removed(self):
+        def schedule(scenario):
+            world = scenario.world
+            gone, second, *_ = world.control_replicas
+            scenario.faults.kill([gone], 60.0)
+            world.after(3.0, scenario.operators.remove_replica, gone)
+            world.after(5.0, scenario.faults.kill, [second], 4.0)
+            world.after(
+                6.0,
+                lambda: seen.extend(
+                    m.node.control_plane.committed.voters() for m in world.machines.values() if m.is_running
+                ),
+            )
+            world.after(6.0, scenario.operators.replace_configuration, None, world.control_replicas[2])
+
+        seen = []
+        scenario = self.holds(schedule, 8.0)
+        acknowledged = [(round(ack.at), ack.subject) for ack in scenario.history.acknowledgements]
+        self.assertIn((1012, Acknowledged.CONFIGURATION), acknowledged)  # of four, two would be too few
+        self.assertEqual({len(core) for core in seen}, {3})
+
+    def test_a_full_disk_catches_up_once_it_has_room(self):
+        def schedule(scenario):
+            disk = scenario.world.control_replicas[0].disk
+            disk.refuses_writes = True
+            scenario.world.after(1.0, scenario.operators.replace_configuration)
+            scenario.world.after(3.0, setattr, disk, "refuses_writes", False)
+
+        scenario = self.holds(schedule, 10.0)
+        kept = [Acceptor(m.disk.record).decided for m in scenario.world.control_replicas]
+        self.assertEqual({state.config[0] for state in kept}, {scenario.operators.version})
+
+    def test_every_machine_fetches_a_configuration_from_control_replicas(self):
+        def schedule(scenario):
+            taker = next(m for m in scenario.world.machines.values() if m.disk is None)
+            scenario.world.after(
+                2.2, scenario.operators.replace_configuration, None, taker
+            )  # between two beats: one might bring the news first
+
+        scenario = self.holds(schedule, 5.0, load=0.3)
+        pulls = [(by, to) for at, by, to, kind in scenario.world.calls if kind == "FetchState" and at > 1008.1]
+        others = {m.name for m in scenario.world.machines.values() if m.disk is None}
+        self.assertEqual({to.partition("-")[0] for _, to in pulls if to not in others}, set(ZONES))
+        self.assertFalse([to for _, to in pulls if to in others])
+        [acknowledgement] = [ack for ack in scenario.history.acknowledgements if ack.at > 1007.0]
+        first = {
+            name: min(
+                sample.at
+                for sample in scenario.history.configurations
+                if sample.machine == name and sample.version >= acknowledgement.version
+            )
+            for name in scenario.world.machines
+        }
+        self.assertLess(max(first.values()) - 1008.2, 0.4)
+
+    def test_the_endpoint_list_is_fresh_though_its_leader_is_cut_off_from_the_replicas(self):
+        def schedule(scenario):
+            world = scenario.world
+            holder = next(m for m in world.machines.values() if m.node.leadership.is_leader)
+            holders.append(holder)
+            scenario.faults.partition([holder], world.control_replicas, 5.0)
+
+            def sample_list_ages():
+                ages.extend(world.now - m.node.endpoints.fetched_at for m in world.machines.values() if m is not holder)
+                world.after(0.1, sample_list_ages)
+
+            sample_list_ages()
+
+        ages, holders = [], []
+        self.holds(schedule, 6.0, load=0.3)
+        self.assertIsNotNone(holders[0].disk)
+        self.assertLess(max(ages), 2.6)  # and a way to all: under `drain_timeout`
+
+    def test_slow_start_evacuation_and_home_regions(self):
+        self.breaks(
+            Rule.FAILBACK, restarted_zone, mock.patch.object(Proxy, "is_warming_up", lambda *_: False), 4.0, load=2.0
+        )
+        self.breaks(
+            Rule.EVACUATION, evacuated_zone, mock.patch.object(commands, "emptied", lambda held, zone, begin: held), 9.0
+        )
+        self.breaks(Rule.HOME, no_faults, mock.patch.object(Proxy, "_allowed_regions", lambda *_: None), 1.0)
+
+    def test_an_isolated_ingress_admits_no_more_than_its_quota_share(self):
+        def cut_off(scenario):
+            scenario.clients.load_factors["t1"] = 8.0
+            others = list(scenario.world.machines.values())
+            scenario.faults.partition([others[-1]], others, 9.0)
+            scenario.clients.sticky_machines["b2"] = [others[-1]]
+
+        self.breaks(
+            Rule.QUOTA, cut_off, mock.patch.object(MembershipTable, "isolation_factor", lambda *_: 1.0), 9.0, load=3.0
+        )
+
+    def test_quotas_and_requests_that_may_have_run(self):
+        self.breaks(Rule.QUOTA, overloading_tenant, mock.patch.object(Tenancy, "over", lambda *_: None))
+        self.breaks(
+            Rule.TWICE, lost_server_responses, mock.patch.object(proxy.outcome, "may_repeat", lambda *_: True), 10.0
+        )
+        self.breaks(
+            Rule.REFUSED, lost_server_responses, mock.patch.object(proxy.outcome, "final_status", lambda *_: 503)
+        )
--- a/tests/simulation/test_slow_start_scenarios.py
+++ b/tests/simulation/test_slow_start_scenarios.py
@@ -1,4 +1,4 @@
-"""Cold servers: each cause by which too much went to one, brought about, and found again with its remedy taken out."""
+"""Slow start: each cause of too many requests to a server, brought about, and found with its defence taken out."""
 
 import logging
 import random
@@ -6,6 +6,7 @@
 from unittest import mock
 from zlib import crc32
 
+from mapleline.balancer.configuration_applier import ConfigurationApplier
 from mapleline.balancer.discovery.endpoints import EndpointList, ListedInstance
 from mapleline.balancer.membership.member import Member
 from mapleline.balancer.membership.table import MembershipTable
@@ -15,6 +16,8 @@
 from mapleline.balancer.proxy.slow_start_leases import LEASE_S, LeaseHolder, LeaseVoter, SlowStartLeases
 from mapleline.balancer.proxy.upstream import CONNECT_TIMEOUT_S
 from mapleline.simulation import slow_start_scenarios
+from mapleline.simulation.invariants import Rule
+from mapleline.simulation.slow_start_scenarios import SlowStartOptions, run_slow_start
 from mapleline.simulation.world import EventLoop
 
 
@@ -28,89 +31,100 @@
     return now < max(one.warming_until, self.cooling.get(one.zone, -1e9) + 2.0)
 
 
-def where_begun(self, before, apply=Node.apply):
+def where_begun(self, before, apply=ConfigurationApplier.apply):
     """A zone is taken back where its evacuation was known."""
-    emptied = set(self.proxy.evacuated_zones)
+    emptied = set(self._proxy.evacuated_zones)
     apply(self, before)
-    for zone, _ in self.control_plane.state.changed:
+    for zone, _ in self._control_plane.state.changed:
         if zone not in emptied:
-            self.proxy.cooling.pop(zone, None)
+            self._proxy.cooling.pop(zone, None)
 
 
-class TestCold(unittest.TestCase):
+def restart_zone(scenario, zone):
+    scenario.faults.restart_servers(slow_start_scenarios.servers_in(scenario, zone))
+
+
+class TestSlowStartScenarios(unittest.TestCase):
     def setUp(self):
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def found(self, troubles, seed=3, **how):
-        return [line for line in slow_start_scenarios.play(seed, troubles, **how)[0] if line.startswith("FAILBACK")]
+    def found(self, schedule, seed=3, **options):
+        result = run_slow_start(seed, schedule, SlowStartOptions(**options))
+        return [violation for violation in result.violations if violation.rule is Rule.FAILBACK]
 
-    def breaks(self, troubles, mutant, **how):
-        self.assertEqual(self.found(troubles, **how), [])
+    def breaks(self, schedule, mutant, **options):
+        """Check that the rule holds, and is found broken with the defence taken out."""
+        self.assertEqual(self.found(schedule, **options), [])
         with mutant:
-            self.assertTrue(any(self.found(troubles, seed, **how) for seed in range(3, 7)))  # it hangs on moments
+            self.assertTrue(any(self.found(schedule, seed, **options) for seed in range(3, 7)))  # depends on timing
 
-    def test_ingresses_that_are_each_alone_are_not_each_the_one(self):
+    def test_isolated_ingresses_do_not_each_send_to_a_warming_server(self):
         self.breaks(
-            slow_start_scenarios.each_alone,
+            slow_start_scenarios.isolated_machines,
             mock.patch.object(Proxy, "has_lease", by_view),
-            length=5.0,
+            duration_s=5.0,
             load=8.0,
-            others=9,
+            machines_without_disk=9,
         )
 
-    def test_a_zone_taken_back_is_cold_until_a_list_could_show_it(self):
+    def test_a_zone_after_its_evacuation_warms_up_until_a_list_could_show_it(self):
         self.breaks(
-            slow_start_scenarios.list_is_late, mock.patch.object(Proxy, "is_warming_up", for_a_time), length=10.0
+            slow_start_scenarios.late_endpoint_list,
+            mock.patch.object(Proxy, "is_warming_up", for_a_time),
+            duration_s=10.0,
         )
 
-    def test_the_end_of_an_evacuation_counts_where_its_beginning_was_not_heard_of(self):
+    def test_the_end_of_an_evacuation_counts_where_its_beginning_was_missed(self):
         self.breaks(
-            slow_start_scenarios.evacuated_over_a_release,
-            mock.patch.object(Node, "apply", where_begun),
-            length=8.0,
+            slow_start_scenarios.withdrawal_during_restart,
+            mock.patch.object(ConfigurationApplier, "apply", where_begun),
+            duration_s=8.0,
             load=8.0,
         )
 
-    def test_who_hears_nothing_stops_before_an_unheard_evacuation_can_end(self):
+    def test_an_isolated_ingress_stops_before_a_missed_evacuation_can_end(self):
         certain = mock.patch.object(Node, "can_serve", lambda self: self.proxy.table is not None)
-        self.breaks(slow_start_scenarios.evacuated_behind_a_cut, certain, length=8.0, load=4.0)
-        with mock.patch.object(Node, "apply", where_begun):  # and once it hears, it hears of the end alone
+        self.breaks(slow_start_scenarios.evacuation_behind_a_partition, certain, duration_s=8.0, load=4.0)
+        with mock.patch.object(
+            ConfigurationApplier, "apply", where_begun
+        ):  # and once it hears, it hears of the end alone
             self.assertTrue(
                 any(
-                    self.found(slow_start_scenarios.evacuated_behind_a_cut, seed, length=8.0, load=4.0)
+                    self.found(slow_start_scenarios.evacuation_behind_a_partition, seed, duration_s=8.0, load=4.0)
                     for seed in range(3, 9)
                 )
             )
 
-    def test_who_turns_cold_while_cold_is_told_to_all(self):
+    def test_a_repeated_slow_start_reaches_all(self):
         self.breaks(
-            slow_start_scenarios.cold_again, mock.patch.object(EndpointList, "_warm_up_count", lambda *_: 0), length=6.0
+            slow_start_scenarios.repeated_slow_start,
+            mock.patch.object(EndpointList, "_warm_up_count", lambda *_: 0),
+            duration_s=6.0,
         )
 
-    def test_a_span_that_begins_while_it_is_cold_counts_whole(self):
-        """All that wait for a server come as soon as it is warm, in the same second."""
+    def test_a_window_that_begins_in_a_slow_start_counts_whole(self):
+        """Check that not all waiting requests come in the second after the slow start."""
 
-        def back(day):
-            slow_start_scenarios.press(day, times=30.0)
-            day.world.after(1.0, lambda: day.restart(slow_start_scenarios.servers_of(day, "a1")))
+        def restart_under_load(scenario):
+            slow_start_scenarios.overload(scenario, load_factor=30.0)
+            scenario.world.after(1.0, lambda: restart_zone(scenario, "a1"))
 
-        self.breaks(back, mock.patch.object(proxy, "WARM_UP_MARGIN_S", 0.0), length=7.0, load=3.0)
+        self.breaks(restart_under_load, mock.patch.object(proxy, "WARM_UP_MARGIN_S", 0.0), duration_s=7.0, load=3.0)
 
-    def test_stacked_troubles_by_lot(self):
+    def test_stacked_random_faults(self):
         for seed in (103, 201, 323):  # broken before: by unheard evacuations, and by beats that had waited (the others)
-            self.assertEqual(
-                [x for x in slow_start_scenarios.play(seed)[0] if x.startswith("FAILBACK")], [], f"seed {seed}"
-            )
+            self.assertEqual(self.found(slow_start_scenarios.stacked_faults, seed), [], f"seed {seed}")
 
-    def test_in_calm_a_cold_server_gets_its_rate(self):
-        def back(day):
-            slow_start_scenarios.press(day, times=20.0)
-            day.world.after(2.0, lambda: day.restart(slow_start_scenarios.servers_of(day, "a1")))
+    def test_without_faults_a_warming_server_gets_its_rate(self):
+        def restart_under_load(scenario):
+            slow_start_scenarios.overload(scenario, load_factor=20.0)
+            scenario.world.after(2.0, lambda: restart_zone(scenario, "a1"))
 
-        _, day = slow_start_scenarios.play(3, back, 8.0)
-        got = [server for _, server, _ in slow_start_scenarios.to_cold(day) if "slots" in server]
-        self.assertGreaterEqual(len(got), 3)  # of 2 a second, for 3 s less what the list lags
+        result = run_slow_start(3, restart_under_load, SlowStartOptions(8.0))
+        arrivals = slow_start_scenarios.arrivals_in_slow_start(result.scenario)
+        served = [arrival for arrival in arrivals if "slots" in arrival.server_id]
+        self.assertGreaterEqual(len(served), 3)  # of 2 a second, for 3 s less what the list lags
 
 
 class Ring:
