--- a/mapleline/balancer/control/control_plane.py
+++ b/mapleline/balancer/control/control_plane.py
@@ -127,7 +127,7 @@
     def handle_state_query(self, ip: int, probe: StateQuery) -> None:
         """Another one asks what is held here."""
         replica, number = self.replica, self.committed.number
-        replica.check_rollback(ip, probe.disk, probe.seen)
+        replica.check_rollback(ip, probe.receiver_disk_id, probe.receiver_record_version)
         age = self.reactor.seconds() - self.current_as_of()
         age_ms = int(age * 1000) + 1 if age < 60 else -1
         known = self.monitor.known(ip)
@@ -155,20 +155,23 @@
         out = self.probes.pop(said.nonce, None)
         if out is None or out[0] != ip:
             return
-        self.replica.check_rollback(ip, said.theirs, said.seen)
-        if said.disk and not (said.sure and self.monitor.record_report(ip, said.disk, said.turn, said.kept, out[1])):
+        self.replica.check_rollback(ip, said.receiver_disk_id, said.receiver_record_version)
+        if said.disk_id and not (
+            said.is_verified
+            and self.monitor.record_report(ip, said.disk_id, said.record_version, said.durable_number, out[1])
+        ):
             return
-        if said.number > self.committed.number:
+        if said.committed_number > self.committed.number:
             self.fetch(ip, then=lambda: self._agree(ip, said, out[1]))
         else:
             self._agree(ip, said, out[1])
 
     def _agree(self, ip: int, said: StateReport, asked: float) -> None:
         number = self.committed.number
-        if said.disk and said.accepted <= number:
-            self.read_lease.agree(ip, said.disk, asked)
-        if said.age_ms >= 0 and said.number <= number:
-            self.read_lease.relay(asked, said.age_ms / 1000)
+        if said.disk_id and said.accepted_number <= number:
+            self.read_lease.agree(ip, said.disk_id, asked)
+        if said.staleness_ms >= 0 and said.committed_number <= number:
+            self.read_lease.relay(asked, said.staleness_ms / 1000)
         self._confirmed()
 
     def _confirmed(self) -> None:
@@ -228,9 +231,9 @@
             if not isinstance(reply, FetchedState):
                 return
             if reply.state is not None:
-                self.learn(reply.state, reply.body)
-            if reply.list_body:
-                self.take_list(asked - reply.list_age_ms / 1000, reply.list_body)
+                self.learn(reply.state, reply.configuration_body)
+            if reply.endpoints_body:
+                self.take_list(asked - reply.endpoints_age_ms / 1000, reply.endpoints_body)
             if then is not None:
                 then()
 
@@ -306,10 +309,10 @@
 
     def _give(self, call: FetchState) -> FetchedState:
         held, state, body = self.committed, None, None
-        if call.state and held.number > call.number:
-            state = held.state if call.whole else held.state.brief()
-            body = held.body if held.content != call.content else None
-        return FetchedState(state, body, *self.give_list()) if call.servers else FetchedState(state, body)
+        if call.wants_state and held.number > call.known_number:
+            state = held.state if call.wants_full_state else held.state.brief()
+            body = held.body if held.content != call.known_content else None
+        return FetchedState(state, body, *self.give_list()) if call.wants_endpoints else FetchedState(state, body)
 
     # -- orders, leaving, repair ---------------------------------------------------------------------------
 
--- a/mapleline/balancer/control/proposer.py
+++ b/mapleline/balancer/control/proposer.py
@@ -114,11 +114,11 @@
         """Another ingress passes an order on: what it is to be told, or a Deferred of that."""
         if not self.replica.is_voter:
             return Proposed(UNSURE)
-        if isinstance(call.order, ReplaceConfiguration) and (
-            call.body is None or digest(call.body) != call.order.content
+        if isinstance(call.command, ReplaceConfiguration) and (
+            call.configuration_body is None or digest(call.configuration_body) != call.command.content
         ):
             return Proposed(UNSURE)
-        asked = _Asked(call.order, call.body, self.reactor.seconds() + 3 * RELAY_S)
+        asked = _Asked(call.command, call.configuration_body, self.reactor.seconds() + 3 * RELAY_S)
         self.reactor.callLater(3 * RELAY_S, asked.answer, CommandResult(UNSURE))
         self._take(asked)
         return asked.done.addCallback(lambda outcome: Proposed(*outcome))
@@ -200,7 +200,7 @@
 
         def first(reply: Promised) -> None:
             """The ballot is on the own disk before anybody hears of it: no later life uses it again."""
-            if reply.ok and proposal is self.proposal:
+            if reply.is_granted and proposal is self.proposal:
                 self._ask(proposal)
             else:
                 self._give_up(proposal)
@@ -225,10 +225,10 @@
         known = dict(self.monitor.high)
 
         def answered(reply: Any) -> None:
-            if isinstance(reply, Promised | Accepted) and reply.ok:
-                if reply.turn < known.get((ip, reply.disk), 0):
+            if isinstance(reply, Promised | Accepted) and reply.is_granted:
+                if reply.record_version < known.get((ip, reply.disk_id), 0):
                     return  # an older folder was put back there
-                self.monitor.record_turn(ip, reply.disk, reply.turn)
+                self.monitor.record_turn(ip, reply.disk_id, reply.record_version)
             then(proposal, ip, reply)
 
         done.addCallbacks(answered, lambda _: self._call_again(ip, call, then, proposal))
@@ -247,20 +247,30 @@
         say("node", "fault", trace=reason.getTraceback())
 
     def _promised(self, proposal: Proposal, ip: int, reply: Any) -> None:
-        if not isinstance(reply, Promised) or proposal is not self.proposal or not reply.ok and not reply.disk:
+        if (
+            not isinstance(reply, Promised)
+            or proposal is not self.proposal
+            or not reply.is_granted
+            and not reply.disk_id
+        ):
             return
-        if reply.state is not None:
-            self.committed.put(reply.state, reply.body)
-        self._step(proposal, proposal.promised(ip, reply.disk, reply.ok, reply.promised, reply.ballot, reply.state))
+        if reply.accepted_state is not None:
+            self.committed.put(reply.accepted_state, reply.configuration_body)
+        self._step(
+            proposal,
+            proposal.promised(
+                ip, reply.disk_id, reply.is_granted, reply.promised_ballot, reply.accepted_ballot, reply.accepted_state
+            ),
+        )
 
     def _accepted(self, proposal: Proposal, ip: int, reply: Any) -> None:
         if not isinstance(reply, Accepted) or proposal is not self.proposal:
             return
-        if reply.lacks:
+        if reply.needs_body:
             body = self.committed.contents[proposal.state.config[1]]
             self._call(ip, Accept(proposal.ballot, proposal.state, body), self._accepted, proposal)
-        elif reply.ok or reply.disk:
-            self._step(proposal, proposal.accepted(ip, reply.disk, reply.ok, reply.promised))
+        elif reply.is_granted or reply.disk_id:
+            self._step(proposal, proposal.accepted(ip, reply.disk_id, reply.is_granted, reply.promised_ballot))
 
     def _step(self, proposal: Proposal, step: Step) -> None:
         match step:
--- a/mapleline/balancer/control/replica.py
+++ b/mapleline/balancer/control/replica.py
@@ -196,9 +196,9 @@
         acceptor = self.acceptor
         if not self.votes():
             return Promised(False, 0)
-        ok, record = acceptor.prepare(call.ballot, call.known), acceptor.record
+        ok, record = acceptor.prepare(call.ballot, call.known_number), acceptor.record
         state, body = record.state, None
-        if state is not None and state.config is not None and state.config[1] != call.content:
+        if state is not None and state.config is not None and state.config[1] != call.known_content:
             body = self.committed.contents.get(state.config[1])
         reply = Promised(ok, record.disk, record.promised, record.ballot, state, body, record.turn if ok else 0)
         return self._answer(ok, reply, Promised(False, 0))
@@ -208,10 +208,12 @@
         acceptor = self.acceptor
         if not self.votes():
             return Accepted(False, 0)
-        if not self.committed.put(call.state, call.body):
-            return Accepted(False, acceptor.disk, lacks=True)
+        if not self.committed.put(call.state, call.configuration_body):
+            return Accepted(False, acceptor.disk, needs_body=True)
         ok, record = acceptor.accept(call.ballot, call.state), acceptor.record
-        return self._answer(ok, Accepted(ok, record.disk, record.promised, turn=record.turn), Accepted(False, 0))
+        return self._answer(
+            ok, Accepted(ok, record.disk, record.promised, record_version=record.turn), Accepted(False, 0)
+        )
 
     def _answer(self, ok: bool, reply: Reply, failed: Reply) -> Any:
         if not ok:
@@ -227,7 +229,7 @@
 
     def handle_chosen(self, message: Chosen) -> None:
         """What was accepted here under that ballot is chosen."""
-        if self.acceptor is not None and self.acceptor.chosen(message.ballot, message.number):
+        if self.acceptor is not None and self.acceptor.chosen(message.ballot, message.state_number):
             self.keep()
             self.decided(self.acceptor.decided)
 
--- a/mapleline/balancer/dispatcher.py
+++ b/mapleline/balancer/dispatcher.py
@@ -78,7 +78,7 @@
         self._replica.handle_chosen(message)
 
     def _receive_load_report(self, ip: int, report: LoadReport) -> None:
-        if self._fence.accept_sequence(ip, report.turn):  # reports may overtake one another
+        if self._fence.accept_sequence(ip, report.sequence):  # reports may overtake one another
             self._proxy.receive_load_report(ip, report, self._context.now())
 
     def _handle_lease_request(self, ip: int, request: LeaseRequest) -> None:
--- a/mapleline/balancer/heartbeats.py
+++ b/mapleline/balancer/heartbeats.py
@@ -127,21 +127,21 @@
     def receive(self, ip: int, heartbeat: Heartbeat) -> None:
         """Handle a heartbeat of another node."""
         now = self._context.now()
-        has_new_member = self._membership.merge(now, heartbeat.rows)
-        if heartbeat.reply or has_new_member and self._sequence > 0:
+        has_new_member = self._membership.merge(now, heartbeat.member_rows)
+        if heartbeat.wants_reply or has_new_member and self._sequence > 0:
             self._context.send(ip, self.make_heartbeat())
-        if self._membership.is_superseded(ip, heartbeat.rows):
+        if self._membership.is_superseded(ip, heartbeat.member_rows):
             return  # a newer one of this sender is known: this one's endpoint list would seem fresher than it is
-        self._control_plane.handle_advertised_number(ip, heartbeat.number, now)
-        self._leadership.observe_leader(heartbeat.term, heartbeat.holder)
+        self._control_plane.handle_advertised_number(ip, heartbeat.state_number, now)
+        self._leadership.observe_leader(heartbeat.leader_term, heartbeat.leader_ip)
         self._compare_endpoint_list(ip, heartbeat, now)
 
     def _compare_endpoint_list(self, ip: int, heartbeat: Heartbeat, now: float) -> None:
         """Fetch the sender's endpoint list if it is newer, or date ours by it if it is the same."""
-        list_age_s = heartbeat.list_age_ms / 1000
-        if not heartbeat.list_digest or now - list_age_s <= self._endpoints.fetched_at + LIST_AGE_TOLERANCE_S:
+        list_age_s = heartbeat.endpoints_age_ms / 1000
+        if not heartbeat.endpoints_digest or now - list_age_s <= self._endpoints.fetched_at + LIST_AGE_TOLERANCE_S:
             return
-        if heartbeat.list_digest == self._endpoints.digest:
-            self._endpoints.confirm(self._membership.last_merge_sent_at - list_age_s, heartbeat.list_digest)
+        if heartbeat.endpoints_digest == self._endpoints.digest:
+            self._endpoints.confirm(self._membership.last_merge_sent_at - list_age_s, heartbeat.endpoints_digest)
         else:
             self._control_plane.fetch(ip, servers=True, state=False)
--- a/mapleline/balancer/load_reporter.py
+++ b/mapleline/balancer/load_reporter.py
@@ -31,7 +31,7 @@
         load = self._proxy.next_load_report()
         if load is None:
             return
-        report = LoadReport(load.out, load.sick, self._fence.next_sequence())
+        report = LoadReport(load.in_flight, load.failure_tenths, self._fence.next_sequence())
         membership = self._context.membership
         for member in membership.alive(self._context.now()):
             if member.ip != membership.local_member.ip and self._topology.is_local(member):
--- a/mapleline/balancer/proxy/proxy.py
+++ b/mapleline/balancer/proxy/proxy.py
@@ -192,9 +192,9 @@
         worst: dict[int, int] = {}
         for at, one in self.near.values():
             if now - at < NEAR_S:
-                for id, count in one.out.items():
+                for id, count in one.in_flight.items():
                     sums[id] = sums.get(id, 0) + count
-                for id, tenth in one.sick.items():
+                for id, tenth in one.failure_tenths.items():
                     worst[id] = max(tenth, worst.get(id, 0))
         for target in self.targets.values():
             id = crc32(target.id.encode())
--- a/mapleline/balancer/proxy/slow_start_leases.py
+++ b/mapleline/balancer/proxy/slow_start_leases.py
@@ -107,8 +107,8 @@
         requested_at = self.requested_at.get(grant.nonce)
         if requested_at is None:
             return
-        self.voter_counts[voter] = grant.core
-        for lease_id in grant.numbers:
+        self.voter_counts[voter] = grant.voter_count
+        for lease_id in grant.lease_ids:
             by_voter = self.granted_at.setdefault(lease_id, {})
             by_voter[voter] = max(requested_at, by_voter.get(voter, requested_at))
 
@@ -182,8 +182,8 @@
         """Return the grant for a node's request; None where this node is no voter."""
         if self.voter is None:
             return None
-        owner = LeaseOwner(ip, request.life)
-        granted = self.voter.grant(self.clock.seconds(), owner, request.numbers)
+        owner = LeaseOwner(ip, request.incarnation)
+        granted = self.voter.grant(self.clock.seconds(), owner, request.lease_ids)
         return LeaseGrant(request.nonce, len(self.voters()), granted)
 
     def handle_grant(self, ip: int, grant: LeaseGrant) -> None:
--- a/mapleline/balancer/quota/client.py
+++ b/mapleline/balancer/quota/client.py
@@ -112,7 +112,7 @@
             self._handle_value(ip, message)
         elif isinstance(message, CounterSync):
             self.replica.handle_sync(ip, message)
-        elif message.ask:
+        elif message.is_addition:
             self.send(ip, self.replica.increment(ip, message))
         else:
             self.replica.revert(ip, message)
@@ -154,7 +154,7 @@
         self.placement.suspects.record_answer(ip)
         consultation = self.pending.get(value.nonce)
         if consultation is not None and ip in consultation.asked:
-            usage = WindowUsage(value.before, value.previous, consultation.remaining_share)
+            usage = WindowUsage(value.units_before, value.previous_window_units, consultation.remaining_share)
             self._complete(consultation, usage, ip)
 
     def _complete(self, consultation: PendingConsultation, usage: WindowUsage | None, answered_by: int = 0) -> None:
@@ -167,7 +167,7 @@
         counting = {answered_by} if is_let_in else set()
         if consultation.asked <= counting:
             return
-        revert = replace(consultation.increment, ask=False)
+        revert = replace(consultation.increment, is_addition=False)
         for ip in consultation.asked - counting:
             if ip == self.own_ip:
                 self.replica.revert(ip, revert)
--- a/mapleline/balancer/quota/counters.py
+++ b/mapleline/balancer/quota/counters.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from ..transport.messages import CounterRows
+from ..transport.messages import CounterRows, ReplicaCount
 
 #: Windows that a counter is kept for: the estimate needs the current and the previous one.
 KEPT_WINDOWS = 2
@@ -185,7 +185,7 @@
             if key.tenant not in tenants or not (complete or counter.is_sync_due(now, self.own, peer)):
                 continue
             counter.sent[peer] = SentVersion(counter.row(self.own).version, now)
-            rows = [(replica, row.version, row.units) for replica, row in counter.rows.items()]
+            rows = [ReplicaCount(replica, row.version, row.units) for replica, row in counter.rows.items()]
             updates.append(CounterRows(key.tenant, key.window, rows))
         return updates
 
--- a/mapleline/balancer/quota/replica.py
+++ b/mapleline/balancer/quota/replica.py
@@ -51,10 +51,10 @@
 
     def increment(self, ip: int, message: CounterIncrement) -> CounterValue:
         """Apply a node's increment and return the counts before it."""
-        self.homes[message.tenant] = homes = tuple(message.homes)
+        self.homes[message.tenant] = homes = tuple(message.home_regions)
         sender = self.membership.session_key(ip)
         current, previous = self.table.add(
-            sender, message.nonce, message.tenant, message.window, message.units, message.limit
+            sender, message.nonce, message.tenant, message.window, message.units, message.window_limit
         )
         now = self.clock.seconds()
         if self._is_partitioned(message.tenant, homes, now):
@@ -66,16 +66,16 @@
 
     def revert(self, ip: int, message: CounterIncrement) -> None:
         """Take off what a node's increment of that nonce added."""
-        self.homes[message.tenant] = tuple(message.homes)
+        self.homes[message.tenant] = tuple(message.home_regions)
         self.table.revert(self.membership.session_key(ip), message.nonce, message.tenant, message.window)
 
     def handle_sync(self, ip: int, message: CounterSync) -> None:
         """Merge a peer's rows; a synchronisation that is no answer itself is answered."""
         self.unanswered_since.pop(ip, None)
-        self.table.merge(message.parts)
+        self.table.merge(message.counters)
         self.placement.suspects.trust(ip)
-        if not message.answer:
-            self.send(ip, CounterSync(self._rows_for_answer(ip, message.parts), answer=True))
+        if not message.is_answer:
+            self.send(ip, CounterSync(self._rows_for_answer(ip, message.counters), is_answer=True))
 
     def _rows_for_answer(self, ip: int, received: list[CounterRows]) -> list[CounterRows]:
         """Nothing for a peer of ours.
--- /dev/null
+++ b/mapleline/balancer/transport/messages/quota.py
@@ -0,0 +1,53 @@
+"""Messages of the quota counters: between ingresses and a counter's replicas, and among these."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+import msgspec
+
+
+class CounterIncrement(msgspec.Struct, array_like=True, tag=4):
+    """From an ingress to a replica of a counter: add to it and return its value.  A repeat, by the nonce, adds nothing.
+
+    Where `is_addition` is false: take off what was added under this nonce, or do not add it if it comes later.
+    """
+
+    nonce: int  #: 31 bits, unique among those of the sender's incarnation
+    tenant: str
+    window: int  #: the index of the window since 1970; its length follows from the tenant's limit
+    units: float
+    home_regions: list[str]  #: sorted; where the tenant may be served, empty for everywhere
+    window_limit: float  #: of units in one window: how exact the value has to be
+    is_addition: bool = True
+
+
+class CounterValue(msgspec.Struct, array_like=True, tag=5):
+    """From a replica to the ingress that has added to the counter."""
+
+    nonce: int  #: of the increment
+    units_before: float  #: in the window, without the increment
+    previous_window_units: float
+
+
+class ReplicaCount(NamedTuple):
+    """What one replica of a counter has counted itself; the counter's value is the sum over its replicas."""
+
+    replica: int  #: address and incarnation (`MembershipTable.session_key`)
+    version: int  #: of two counts of one replica the higher version wins
+    units: float
+
+
+class CounterRows(msgspec.Struct, array_like=True, frozen=True):
+    """One counter as a replica knows it."""
+
+    tenant: str
+    window: int
+    rows: list[ReplicaCount]
+
+
+class CounterSync(msgspec.Struct, array_like=True, tag=6):
+    """From one replica to another: the counters that they share.  It is answered by one that is not answered itself."""
+
+    counters: list[CounterRows]
+    is_answer: bool = False
--- a/tests/balancer/control/test_consensus_model.py
+++ b/tests/balancer/control/test_consensus_model.py
@@ -200,8 +200,8 @@
         if (
             acceptor is not None
             and self.disk is not None
-            and probe.disk == acceptor.disk
-            and probe.seen > acceptor.turn
+            and probe.receiver_disk_id == acceptor.disk
+            and probe.receiver_record_version > acceptor.turn
         ):
             assert (self.ip, acceptor.disk) in self.world.stale, f"{self.ip} gives its disk up without cause"
             self.initial = self.machine.initial = False  # what was here may have voted on the first core
@@ -220,28 +220,28 @@
         out = self.probes.pop(held.nonce, None)
         if out is None or out[0] != ip:
             return
-        if held.disk:
-            high = self.high[ip, held.disk] = max(turn, self.high.get((ip, held.disk), 0))
-            self.seen[ip] = held.disk, held.kept if turn >= high else 0, out[1]
+        if held.disk_id:
+            high = self.high[ip, held.disk_id] = max(turn, self.high.get((ip, held.disk_id), 0))
+            self.seen[ip] = held.disk_id, held.durable_number if turn >= high else 0, out[1]
             if turn < high:
                 return
-        if held.number > self.number():
+        if held.committed_number > self.number():
             self.pull(ip, lambda: self.agree(ip, held, out[1]))
         else:
             self.agree(ip, held, out[1])
 
     def agree(self, ip, held, asked):
-        if held.disk and held.accepted <= self.number():
-            self.contact.agree(ip, held.disk, asked)
-        if held.age_ms >= 0 and held.number <= self.number():
-            self.contact.relay(asked, held.age_ms / 1000)
+        if held.disk_id and held.accepted_number <= self.number():
+            self.contact.agree(ip, held.disk_id, asked)
+        if held.staleness_ms >= 0 and held.committed_number <= self.number():
+            self.contact.relay(asked, held.staleness_ms / 1000)
 
     # news
 
     def pull(self, ip, then=lambda: None):
         def pulled(reply):
             if reply.state is not None:
-                self.learn(reply.state, reply.body)
+                self.learn(reply.state, reply.configuration_body)
             then()
 
         content = self.state.config[1] if self.state is not None and self.state.config is not None else 0
@@ -289,9 +289,9 @@
 
     def give(self, call, answer):
         held, told, body = self.state, None, None
-        if held is not None and held.number > call.number:
-            told = held if call.whole else held.brief()
-            body = b"" if held.config is not None and held.config[1] != call.content else None
+        if held is not None and held.number > call.known_number:
+            told = held if call.wants_full_state else held.brief()
+            body = b"" if held.config is not None and held.config[1] != call.known_content else None
         answer(FetchedState(told, body))
 
     def votes(self):
@@ -311,7 +311,7 @@
         if (
             record.state is not None
             and record.state.config is not None
-            and record.state.config[1] != call.content
+            and record.state.config[1] != call.known_content
             and record.state.config[1] in self.contents
         ):
             body = b""
@@ -325,9 +325,9 @@
         acceptor = self.acceptor
         if not self.votes() or not self.remembers() and not call.state.is_voter(self.ip, acceptor.disk):
             return answer(Accepted(False, 0))
-        self.content(call.state, call.body)
+        self.content(call.state, call.configuration_body)
         if not whole(call.state, self.contents):
-            return answer(Accepted(False, acceptor.disk, lacks=True))
+            return answer(Accepted(False, acceptor.disk, needs_body=True))
         ok, record = acceptor.accept(call.ballot, call.state), acceptor.record
         reply = Accepted(ok, record.disk, record.promised)
         if not ok:
@@ -336,7 +336,7 @@
         self.sync(acceptor, lambda ok: answer(self.world.answered(self, reply, record) if ok else Accepted(False, 0)))
 
     def told_chosen(self, ip, told):
-        if self.acceptor is not None and self.acceptor.chosen(told.ballot, told.number):
+        if self.acceptor is not None and self.acceptor.chosen(told.ballot, told.state_number):
             self.keep()
             decided = self.acceptor.decided
             if decided.number > self.number():
@@ -421,10 +421,12 @@
     def promised(self, proposal, ip, reply):
         if proposal is not self.proposal:
             return
-        if reply.state is not None:
-            self.content(reply.state, reply.body)
-        if reply.ok or reply.disk:
-            step = proposal.promised(ip, reply.disk, reply.ok, reply.promised, reply.ballot, reply.state)
+        if reply.accepted_state is not None:
+            self.content(reply.accepted_state, reply.configuration_body)
+        if reply.is_granted or reply.disk_id:
+            step = proposal.promised(
+                ip, reply.disk_id, reply.is_granted, reply.promised_ballot, reply.accepted_ballot, reply.accepted_state
+            )
             self.step(proposal, step)
 
     def step(self, proposal, step):
@@ -451,10 +453,10 @@
     def accepted(self, proposal, ip, reply):
         if proposal is not self.proposal:
             return
-        if reply.lacks:
+        if reply.needs_body:
             return self.call(ip, Accept(proposal.ballot, proposal.state, b""), self.accepted, proposal)
-        if reply.ok or reply.disk:
-            self.step(proposal, proposal.accepted(ip, reply.disk, reply.ok, reply.promised))
+        if reply.is_granted or reply.disk_id:
+            self.step(proposal, proposal.accepted(ip, reply.disk_id, reply.is_granted, reply.promised_ballot))
 
     def won(self, proposal):
         self.proposal, told = None, proposal.state
@@ -824,9 +826,12 @@
         assert record.promised >= promised and record.ballot >= ballot, f"{life.ip} has forgotten a promise"
 
     def answered(self, life, reply, record=None):
-        key = life.ip, reply.disk
+        key = life.ip, reply.disk_id
         promised, ballot = self.said.get(key, (NONE, NONE))
-        self.said[key] = max(promised, reply.promised), max(ballot, record.ballot if record else reply.ballot)
+        self.said[key] = (
+            max(promised, reply.promised_ballot),
+            max(ballot, record.ballot if record else reply.accepted_ballot),
+        )
         return reply
 
     def check(self):
@@ -1268,9 +1273,9 @@
 
 def _gives_accepted(self, call, answer):
     held = self.acceptor.state if self.acceptor is not None else None
-    if held is None or held.number <= max(call.number, self.number()):
+    if held is None or held.number <= max(call.known_number, self.number()):
         return GIVE(self, call, answer)
-    answer(FetchedState(held if call.whole else held.brief(), b""))
+    answer(FetchedState(held if call.wants_full_state else held.brief(), b""))
 
 
 def _answers_early(self, proposal):
--- a/tests/balancer/control/test_recovery.py
+++ b/tests/balancer/control/test_recovery.py
@@ -209,7 +209,7 @@
         votes, ballots, opened, called_out = [], [], victim.listen, victim.call
 
         def watch(reply):
-            if isinstance(reply, Promised | Accepted) and reply.ok and reply.disk == old:
+            if isinstance(reply, Promised | Accepted) and reply.is_granted and reply.disk_id == old:
                 votes.append((core.world.now, reply))
             return reply
 
--- a/tests/balancer/golden_samples.py
+++ b/tests/balancer/golden_samples.py
@@ -119,42 +119,54 @@
     part = messages.CounterRows(tenant="t1", window=170, rows=[(SENDER, 3, 1.5), (RECEIVER, 4, 2.25)])
     return {
         "heartbeat": messages.Heartbeat(
-            rows=b"\x00rows\xff", number=6, list_digest=0xDEADBEEF, list_age_ms=1200, reply=True, term=5, holder=SENDER
+            member_rows=b"\x00rows\xff",
+            state_number=6,
+            endpoints_digest=0xDEADBEEF,
+            endpoints_age_ms=1200,
+            wants_reply=True,
+            leader_term=5,
+            leader_ip=SENDER,
         ),
-        "heartbeat_bare": messages.Heartbeat(rows=b"", number=0, list_digest=0, list_age_ms=0),
-        "replica_query": messages.StateQuery(nonce=0x7FFFFFFF, disk=DISKS[1], seen=12),
+        "heartbeat_bare": messages.Heartbeat(member_rows=b"", state_number=0, endpoints_digest=0, endpoints_age_ms=0),
+        "replica_query": messages.StateQuery(nonce=0x7FFFFFFF, receiver_disk_id=DISKS[1], receiver_record_version=12),
         "replica_query_bare": messages.StateQuery(nonce=1),
         "replica_status": messages.StateReport(
             nonce=0x7FFFFFFF,
-            disk=DISKS[1],
-            turn=12,
-            accepted=7,
-            number=6,
-            kept=5,
-            age_ms=250,
-            theirs=DISKS[0],
-            seen=11,
-            sure=False,
+            disk_id=DISKS[1],
+            record_version=12,
+            accepted_number=7,
+            committed_number=6,
+            durable_number=5,
+            staleness_ms=250,
+            receiver_disk_id=DISKS[0],
+            receiver_record_version=11,
+            is_verified=False,
         ),
-        "replica_status_bare": messages.StateReport(nonce=1, disk=0, turn=0, accepted=0, number=0, kept=0),
-        "chosen": messages.Chosen(ballot=(4, SENDER, DISKS[0]), number=6),
+        "replica_status_bare": messages.StateReport(
+            nonce=1, disk_id=0, record_version=0, accepted_number=0, committed_number=0, durable_number=0
+        ),
+        "chosen": messages.Chosen(ballot=(4, SENDER, DISKS[0]), state_number=6),
         "count_add": messages.CounterIncrement(
-            nonce=77, tenant="t1", window=170, units=2.5, homes=["a", "b"], limit=20.0, ask=False
+            nonce=77, tenant="t1", window=170, units=2.5, home_regions=["a", "b"], window_limit=20.0, is_addition=False
+        ),
+        "count_add_bare": messages.CounterIncrement(
+            nonce=77, tenant="t1", window=170, units=2.5, home_regions=[], window_limit=20.0
         ),
-        "count_add_bare": messages.CounterIncrement(nonce=77, tenant="t1", window=170, units=2.5, homes=[], limit=20.0),
-        "count_total": messages.CounterValue(nonce=77, before=3.5, previous=18.75),
+        "count_total": messages.CounterValue(nonce=77, units_before=3.5, previous_window_units=18.75),
         "count_rows": messages.CounterSync(
-            parts=[part, messages.CounterRows(tenant="t2", window=171, rows=[])], answer=True
+            counters=[part, messages.CounterRows(tenant="t2", window=171, rows=[])], is_answer=True
         ),
-        "count_rows_bare": messages.CounterSync(parts=[]),
-        "server_load": messages.LoadReport(out={0x01020304: 3, 0xFFFFFFFF: 1}, sick={0x01020304: 2}, turn=41),
-        "server_load_bare": messages.LoadReport(out={}, sick={}),
+        "count_rows_bare": messages.CounterSync(counters=[]),
+        "server_load": messages.LoadReport(
+            in_flight={0x01020304: 3, 0xFFFFFFFF: 1}, failure_tenths={0x01020304: 2}, sequence=41
+        ),
+        "server_load_bare": messages.LoadReport(in_flight={}, failure_tenths={}),
         "vote_request": messages.VoteRequest(term=5),
         "vote": messages.Vote(term=5),
         "lease_request": messages.LeaseRequest(
-            nonce=78, life=SENDER << 32 | SENDER_INCARNATION, numbers=[3, 300, 70000]
+            nonce=78, incarnation=SENDER << 32 | SENDER_INCARNATION, lease_ids=[3, 300, 70000]
         ),
-        "lease_grant": messages.LeaseGrant(nonce=78, core=3, numbers=[3, 70000]),
+        "lease_grant": messages.LeaseGrant(nonce=78, voter_count=3, lease_ids=[3, 70000]),
     }
 
 
@@ -162,19 +174,26 @@
     """Each call, and each order of an operator that one carries."""
     ballot = (4, SENDER, DISKS[0])
     return {
-        "prepare": messages.Prepare(ballot=ballot, known=6, content=digest(config_body(NEW_VERSION))),
-        "prepare_bare": messages.Prepare(ballot=ballot, known=6),
-        "accept": messages.Accept(ballot=ballot, state=full_state(), body=b'{"config_version": 7}'),
+        "prepare": messages.Prepare(ballot=ballot, known_number=6, known_content=digest(config_body(NEW_VERSION))),
+        "prepare_bare": messages.Prepare(ballot=ballot, known_number=6),
+        "accept": messages.Accept(ballot=ballot, state=full_state(), configuration_body=b'{"config_version": 7}'),
         "accept_bare": messages.Accept(ballot=ballot, state=bare_state()),
         "propose_replace": messages.Propose(
-            order=ReplaceConfiguration(version=7, content=0xFEDCBA9876543210), body=b'{"config_version": 7}'
+            command=ReplaceConfiguration(version=7, content=0xFEDCBA9876543210),
+            configuration_body=b'{"config_version": 7}',
+        ),
+        "propose_replace_bare": messages.Propose(command=ReplaceConfiguration(version=7, content=0xFEDCBA9876543210)),
+        "propose_evacuate": messages.Propose(
+            command=SetEvacuation(zone="a3", begin=True, known=6), configuration_body=b"body"
         ),
-        "propose_replace_bare": messages.Propose(order=ReplaceConfiguration(version=7, content=0xFEDCBA9876543210)),
-        "propose_evacuate": messages.Propose(order=SetEvacuation(zone="a3", begin=True, known=6), body=b"body"),
-        "propose_evacuate_bare": messages.Propose(order=SetEvacuation(zone="a3", begin=False)),
-        "propose_forget": messages.Propose(order=RemoveReplica(ip=RECEIVER), body=b"body"),
+        "propose_evacuate_bare": messages.Propose(command=SetEvacuation(zone="a3", begin=False)),
+        "propose_forget": messages.Propose(command=RemoveReplica(ip=RECEIVER), configuration_body=b"body"),
         "pull": messages.FetchState(
-            number=6, content=digest(config_body(NEW_VERSION)), whole=True, state=False, servers=True
+            known_number=6,
+            known_content=digest(config_body(NEW_VERSION)),
+            wants_full_state=True,
+            wants_state=False,
+            wants_endpoints=True,
         ),
         "pull_bare": messages.FetchState(),
     }
@@ -185,21 +204,26 @@
     ballot, higher = (4, SENDER, DISKS[0]), (5, RECEIVER, DISKS[1])
     return {
         "promised": messages.Promised(
-            ok=True,
-            disk=DISKS[1],
-            promised=higher,
-            ballot=ballot,
-            state=full_state(),
-            body=b'{"config_version": 7}',
-            turn=12,
+            is_granted=True,
+            disk_id=DISKS[1],
+            promised_ballot=higher,
+            accepted_ballot=ballot,
+            accepted_state=full_state(),
+            configuration_body=b'{"config_version": 7}',
+            record_version=12,
+        ),
+        "promised_bare": messages.Promised(is_granted=False, disk_id=0),
+        "accepted": messages.Accepted(
+            is_granted=True, disk_id=DISKS[1], promised_ballot=higher, needs_body=True, record_version=13
         ),
-        "promised_bare": messages.Promised(ok=False, disk=0),
-        "accepted": messages.Accepted(ok=True, disk=DISKS[1], promised=higher, lacks=True, turn=13),
-        "accepted_bare": messages.Accepted(ok=False, disk=0),
+        "accepted_bare": messages.Accepted(is_granted=False, disk_id=0),
         "proposed": messages.Proposed(status=409, text="config_version 7 stands for another configuration"),
         "proposed_bare": messages.Proposed(status=200),
         "pulled": messages.FetchedState(
-            state=full_state(), body=b'{"config_version": 7}', list_body=server_list_body(), list_age_ms=800
+            state=full_state(),
+            configuration_body=b'{"config_version": 7}',
+            endpoints_body=server_list_body(),
+            endpoints_age_ms=800,
         ),
         "pulled_bare": messages.FetchedState(),
     }
--- a/tests/balancer/transport/test_fencing.py
+++ b/tests/balancer/transport/test_fencing.py
@@ -368,7 +368,7 @@
             one, other = [m for m in self.world().machines.values() if m.zone == "a1"]
             for told in (LoadReport({7: 3}, {}, 1), LoadReport({7: 5}, {}, 2), LoadReport({7: 3}, {}, 1)):
                 other.node.dispatcher.receive(one.ip, told)
-            return other.node.proxy.near[one.ip][1].out
+            return other.node.proxy.near[one.ip][1].in_flight
 
         self.assertEqual(out(), {7: 5})
         with mock.patch.object(Fence, "accept_sequence", lambda *_: True):
@@ -469,7 +469,7 @@
                 kind = CallStamps.decode(data).sender_ip, type(reply)
                 if to is not first or not isinstance(reply, Promised | Accepted):
                     return data
-                return earlier.setdefault(kind, data) if reply.ok else earlier.get(kind, data)
+                return earlier.setdefault(kind, data) if reply.is_granted else earlier.get(kind, data)
 
             world.astray = astray
             scenario.operators.replace_configuration(at=first)
