--- a/mapleline/balancer/cli/commands.py
+++ b/mapleline/balancer/cli/commands.py
@@ -1,258 +1,310 @@
-"""The system's commands: roles, the operator's calls, and work on a stopped machine's folder.  They decide nothing."""
+"""The balancer's commands: its role, the operator's calls, and work on a stopped machine's folder.
+
+Each class is a command for `cappa`: its fields are the arguments, and calling it runs the command.  What takes long to
+import is imported when the command runs.
+"""
 
 from __future__ import annotations
 
 import json
 import sys
 from dataclasses import dataclass
-from datetime import UTC, datetime
 from pathlib import Path
 from typing import Annotated
 
 import cappa
 from expression import Error, Ok, Result
 
-from . import data_folder
+from . import data_folder, file_checks
 from .operator_client import ask, rollback
 
-AT = cappa.Arg(long="--at", help="control addresses, host:port, tried in order; commas between them")
+ACKNOWLEDGED = "acknowledged"
+EXIT_FAULT = 1
+
+Addresses = Annotated[
+    str, cappa.Arg(long="--at", help="control addresses, host:port, tried in order; commas between them")
+]
+AsJson = Annotated[bool, cappa.Arg(long="--json", help="as JSON, whole")]
+
 
+def print_result(result: Result[str, str], end: str = "\n") -> None:
+    """Print a result on standard output, or its fault in one line on standard error.
 
-def tell(result: Result[str, str], end: str = "\n") -> None:
-    """The answer on standard output, or the fault in one line and status 1.  A configuration goes out as it was sent,
-    to the byte: only so is it the same when it is sent again.
+    A configuration goes out as it was sent, to the byte (`end` empty): only so is it the same when it is sent again.
+
+    Raises:
+        cappa.Exit: with status 1, for a fault.
     """
     match result:
         case Result(tag="ok", ok=text):
             print(text, end=end)
         case Result(error=fault):
             sys.stderr.write(f"mapleline: {fault}\n")
-            raise cappa.Exit(code=1)
+            raise cappa.Exit(code=EXIT_FAULT)
 
 
 def read_file(path: Path) -> Result[bytes, str]:
+    """Return a file's content, or why it cannot be read."""
     try:
         return Ok(path.read_bytes())
-    except OSError as err:
-        return Error(f"{path}: {err.strerror}")
+    except OSError as error:
+        return Error(f"{path}: {error.strerror}")
+
 
+def send_order(addresses: str, path: str, body: bytes = b"") -> Result[str, str]:
+    """Send an order of the operator; return that it was acknowledged, or why it was not."""
+    return ask(addresses, "POST", path, body).map(lambda _: ACKNOWLEDGED)
 
-@cappa.command(help="The role of every machine: data plane, and a part of the core where there is a disk")
+
+@cappa.command(
+    name="balancer",
+    aliases=[cappa.Alias("desk", hidden=True)],  # the role's first name, which start scripts may still have
+    help="The role of every machine: data plane, and a part of the core where there is a disk",
+)
 @dataclass
-class Balancer:
+class BalancerCommand:
+    """Run one node."""
+
     def __call__(self) -> None:
+        """Run until told to stop."""
         from ..process import main
 
         raise cappa.Exit(code=main())
 
 
-@cappa.command(help="Read a settings file (lines a.b=value) as a process would; names the key at fault")
+@cappa.command(
+    name="settings", help="Read a settings file (lines a.b=value) as a process would; names the key at fault"
+)
 @dataclass
-class Settings:
+class SettingsCommand:
+    """Check a settings file."""
+
     file: Path
 
     def __call__(self) -> None:
-        tell(read_file(self.file).bind(data_folder.check_settings))
+        """Print a summary of the settings."""
+        print_result(read_file(self.file).bind(file_checks.check_settings))
 
 
 @cappa.command(name="check", help="Check a configuration as an ingress would; names the key at fault")
 @dataclass
-class ConfigCheck:
+class ConfigCheckCommand:
+    """Check a configuration."""
+
     file: Path
 
     def __call__(self) -> None:
-        tell(read_file(self.file).bind(data_folder.check_config))
+        """Print a summary of the configuration."""
+        print_result(read_file(self.file).bind(file_checks.check_config))
 
 
 @cappa.command(name="put", help="Send a whole configuration; done once the core has it on disk")
 @dataclass
-class ConfigPut:
+class ConfigPutCommand:
+    """Put a configuration in force."""
+
     file: Path
-    at: Annotated[str, AT]
+    at: Addresses
 
     def __call__(self) -> None:
+        """Check the configuration, and send it."""
         body = read_file(self.file)
-        tell(body.bind(data_folder.check_config))
-        tell(body.bind(lambda text: ask(self.at, "POST", "/config/replace", text)).map(lambda _: "acknowledged"))
+        print_result(body.bind(file_checks.check_config))
+        print_result(body.bind(lambda content: send_order(self.at, "/config/replace", content)))
 
 
 @cappa.command(name="read", help="The newest configuration, whole, or an earlier one")
 @dataclass
-class ConfigRead:
-    at: Annotated[str, AT]
+class ConfigReadCommand:
+    """Read a configuration."""
+
+    at: Addresses
     version: Annotated[int | None, cappa.Arg(long="--version", help="one that a machine's history still has")] = None
 
     def __call__(self) -> None:
+        """Print the configuration as it was sent."""
         path = "/config/read" if self.version is None else f"/config/history/{self.version}"
-        tell(ask(self.at, "GET", path), end="")
+        print_result(ask(self.at, "GET", path), end="")
 
 
 @cappa.command(name="history", help="What came into force, and which orders were answered, newest first")
 @dataclass
-class ConfigHistory:
-    at: Annotated[str, AT]
-    json: Annotated[bool, cappa.Arg(long="--json", help="as JSON, whole")] = False
-
-    def __call__(self) -> None:
-        found = ask(self.at, "GET", "/config/history")
-        tell(found if self.json else found.map(history_tables))
+class ConfigHistoryCommand:
+    """Read the history of configurations and orders."""
 
+    at: Addresses
+    json: AsJson = False
 
-def history_tables(text: str) -> str:
-    """A history's rows for people."""
-    from boltons.tableutils import Table
-
-    def when(row: dict) -> dict:
-        return {**row, "at": datetime.fromtimestamp(row["at"], UTC).isoformat(" ", "milliseconds")}
+    def __call__(self) -> None:
+        """Print the history."""
+        from .tables import history_tables
 
-    parts = json.loads(text).items()
-    return "\n\n".join(f"{name}\n{Table.from_data([when(row) for row in rows]).to_text()}" for name, rows in parts)
+        history = ask(self.at, "GET", "/config/history")
+        print_result(history if self.json else history.map(history_tables))
 
 
 @cappa.command(name="rollback", help="Put an earlier configuration in force again, as the version after the newest")
 @dataclass
-class ConfigRollback:
+class ConfigRollbackCommand:
+    """Put an earlier configuration in force again."""
+
     version: int
-    at: Annotated[str, AT]
+    at: Addresses
 
     def __call__(self) -> None:
-        tell(rollback(self.at, self.version))
+        """Send the earlier configuration under a new version."""
+        print_result(rollback(self.at, self.version))
 
 
-@cappa.command(help="The operator's configuration")
+@cappa.command(name="config", help="The operator's configuration")
 @dataclass
-class Config:
-    what: cappa.Subcommands[ConfigCheck | ConfigPut | ConfigRead | ConfigHistory | ConfigRollback]
+class ConfigCommand:
+    """The group of commands on configurations."""
+
+    command: cappa.Subcommands[
+        ConfigCheckCommand | ConfigPutCommand | ConfigReadCommand | ConfigHistoryCommand | ConfigRollbackCommand
+    ]
 
 
-@cappa.command(help="Send nothing more to a zone's servers (begin), or take it back (finish)")
+@cappa.command(name="evacuate", help="Send nothing more to a zone's servers (begin), or take it back (finish)")
 @dataclass
-class Evacuate:
+class EvacuateCommand:
+    """Begin or finish an evacuation."""
+
     zone: str
     order: Annotated[str, cappa.Arg(choices=["begin", "finish"])]
-    at: Annotated[str, AT]
+    at: Addresses
 
     def __call__(self) -> None:
-        tell(ask(self.at, "POST", f"/evacuations/{self.zone}/{self.order}").map(lambda _: "acknowledged"))
+        """Send the order."""
+        print_result(send_order(self.at, f"/evacuations/{self.zone}/{self.order}"))
 
 
 @cappa.command(name="forget", help="Take a machine with a disk away for good; it must be stopped")
 @dataclass
-class CoreForget:
+class CoreForgetCommand:
+    """Remove a replica."""
+
     address: str
-    at: Annotated[str, AT]
+    at: Addresses
 
     def __call__(self) -> None:
-        tell(ask(self.at, "POST", f"/core/{self.address}/forget").map(lambda _: "acknowledged"))
+        """Send the order."""
+        print_result(send_order(self.at, f"/core/{self.address}/forget"))
 
 
-@cappa.command(help="The machines that keep the operator's word")
+@cappa.command(name="core", help="The machines that keep the operator's word")
 @dataclass
-class Core:
-    what: cappa.Subcommands[CoreForget]
-
-
-COLUMNS = ["address", "part", "kept"]
-
-
-def status_tables(text: str) -> str:
-    """What an ingress says of itself and of the core, for people."""
-    from boltons.tableutils import Table
-
-    said = json.loads(text)
-    age, ballot = said["contact_age_s"], said["ballot"]
-    rows = {
-        "node": said["node"],
-        "ready": "yes" if said["ready"] else "no",
-        "votes": "yes" if said["formed"] else "no",
-        "system": said["system"],
-        "epoch": said["epoch"],
-        "number": said["number"],
-        "config": said["config_version"],
-        "evacuated": ", ".join(said["evacuated"]) or "none",
-        "ballot": ".".join(map(str, ballot)) if ballot else "none",
-        "contact": f"{age:.1f} s ago" if age is not None else "none yet",
-        "disk": said["disk"],
-        "ingresses": said["ingresses"],
-        "servers": said["servers"],
-        "asks for the list": said["list"]["holder"],
-    }
-    own = Table.from_data([[name, "none" if value is None else value] for name, value in rows.items()], headers=None)
-    told = [[row[name] for name in COLUMNS] for row in said["members"]]
-    members = Table.from_data(told, headers=COLUMNS).to_text() if told else "none known"
-    return f"{own.to_text(with_headers=False)}\n\nmembers\n{members}"
-
-
-@cappa.command(help="What an ingress knows: its contact with the core, who votes, what is in force")
+class CoreCommand:
+    """The group of commands on the replicas."""
+
+    command: cappa.Subcommands[CoreForgetCommand]
+
+
+@cappa.command(name="status", help="What an ingress knows: its contact with the core, who votes, what is in force")
 @dataclass
-class Status:
-    at: Annotated[str, AT]
-    json: Annotated[bool, cappa.Arg(long="--json", help="as JSON, whole")] = False
+class StatusCommand:
+    """Read an ingress's status."""
+
+    at: Addresses
+    json: AsJson = False
 
     def __call__(self) -> None:
-        found = ask(self.at, "GET", "/status")
-        tell(found.map(lambda text: json.dumps(json.loads(text), indent=2) if self.json else status_tables(text)))
+        """Print the status."""
+        from .tables import status_tables
+
+        status = ask(self.at, "GET", "/status")
+        print_result(status.map(_indent_json if self.json else status_tables))
+
+
+def _indent_json(text: str) -> str:
+    return json.dumps(json.loads(text), indent=2)
 
 
 @cappa.command(name="check", help="Read every file of the folder; status 1 names those that can't be believed")
 @dataclass
-class ArchiveCheck:
+class ArchiveCheckCommand:
+    """Check a stopped machine's data folder."""
+
     folder: Path
 
     def __call__(self) -> None:
-        tell(data_folder.check_archive(self.folder))
+        """Print a summary of the folder."""
+        print_result(data_folder.check_archive(self.folder))
 
 
 @cappa.command(name="dump", help="The whole word as JSON on standard output; of the earlier format too")
 @dataclass
-class ArchiveDump:
+class ArchiveDumpCommand:
+    """Dump a stopped machine's control state."""
+
     folder: Path
     config: Annotated[bool, cappa.Arg(long="--config", help="the configuration alone, for `config put`")] = False
 
     def __call__(self) -> None:
+        """Print the state, or the configuration as it was sent."""
         if self.config:
-            tell(data_folder.dump_config(self.folder), end="")
+            print_result(data_folder.dump_config(self.folder), end="")
         else:
-            tell(data_folder.dump_archive(self.folder))
+            print_result(data_folder.dump_archive(self.folder))
 
 
 @cappa.command(name="restore", help="Write a dump into an empty folder; the machine believes it once the core agrees")
 @dataclass
-class ArchiveRestore:
+class ArchiveRestoreCommand:
+    """Restore a dump."""
+
     folder: Path
     dump: Path
 
     def __call__(self) -> None:
-        tell(read_file(self.dump).bind(lambda text: data_folder.restore_archive(self.folder, text)))
+        """Write the dump."""
+        print_result(read_file(self.dump).bind(lambda content: data_folder.restore_archive(self.folder, content)))
 
 
-@cappa.command(help="The operator's word in a stopped machine's data folder")
+@cappa.command(name="archive", help="The operator's word in a stopped machine's data folder")
 @dataclass
-class Archive:
-    what: cappa.Subcommands[ArchiveCheck | ArchiveDump | ArchiveRestore]
+class ArchiveCommand:
+    """The group of commands on data folders."""
+
+    command: cappa.Subcommands[ArchiveCheckCommand | ArchiveDumpCommand | ArchiveRestoreCommand]
 
 
 @cappa.command(name="try", help="A small system on loopback: three ingresses, stand-in servers and platform")
 @dataclass
-class Try:
+class TryCommand:
+    """Run a trial cluster."""
+
     check: Annotated[bool, cappa.Arg(long="--check", help="see orders, rivals, losses and leaving go through")] = False
 
     def __call__(self) -> None:
+        """Run until interrupted, or through the check."""
         from .trial.command import run
 
-        tell(run(self.check))
+        print_result(run(self.check))
 
 
 @cappa.command(name="mapleline", help="The global load balancer.  For the ingress alone: mapleline --help")
 @dataclass
-class System:
-    what: cappa.Subcommands[Balancer | Settings | Config | Evacuate | Core | Status | Archive | Try]
-
-
-def main(words: list[str]) -> int:
-    """Status 0 done, 1 a fault that is told in one line, 2 wrong use."""
+class BalancerCli:
+    """The command line of the balancer."""
+
+    command: cappa.Subcommands[
+        BalancerCommand
+        | SettingsCommand
+        | ConfigCommand
+        | EvacuateCommand
+        | CoreCommand
+        | StatusCommand
+        | ArchiveCommand
+        | TryCommand
+    ]
+
+
+def main(arguments: list[str]) -> int:
+    """Run a command; return 0 (done), 1 (a fault, told in one line) or 2 (wrong use)."""
     try:
-        cappa.invoke(System, argv=words)
+        cappa.invoke(BalancerCli, argv=arguments)
     except SystemExit as end:
         return end.code if isinstance(end.code, int) else 1
     return 0
--- a/mapleline/balancer/cli/data_folder.py
+++ b/mapleline/balancer/cli/data_folder.py
@@ -1,187 +1,220 @@
-"""Work on files of a process that doesn't run: settings, configurations, the archive's folder."""
+"""The control state in a stopped machine's data folder: check, dump and restore.
+
+Folders of the earlier format are read as well, for what they hold has to be sent anew (docs/system/control.md).
+"""
 
 from __future__ import annotations
 
 import base64
 import json
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 import msgspec
 from expression import Error, Ok, Result
 
-from .. import configuration, settings
 from ..control import migration
 from ..control.consensus import Acceptor, Record
 from ..control.migration import LegacyFolder
 from ..control.snapshot import FOLDER, Snapshot, make
 from ..control.state import State, digest
 
+DUMP_FORMAT = 2
+LEGACY_DUMP_FORMAT = 1
 
-def check_settings(text: bytes) -> Result[str, str]:
-    try:
-        boot = settings.parse_settings(text.decode())
-    except (settings.SettingsError, UnicodeDecodeError) as err:
-        return Error(str(err))
-    return Ok(
-        f"{boot.node_name}: {boot.zone}, {'disk' if boot.data_directory else 'no disk'}, {len(boot.seed_nodes)} seeds"
-    )
 
+class DumpError(Exception):
+    """A dump that cannot be restored; the text says why."""
 
-def check_config(text: bytes) -> Result[str, str]:
-    try:
-        read = configuration.parse_configuration(text)
-    except configuration.ConfigurationError as err:
-        return Error(str(err))
-    lines = [
-        f"version {read.config_version}: {len(read.route_table)} routes, {len(read.service_table)} services, "
-        f"{len(read.tenant_table)} tenants"
-    ]
-    for tenant, of in read.tenant_table.items():
-        homes = set(of.home_regions)
-        homed = ((name, set(route.home_regions)) for name, route in read.route_table.items())
-        apart = [name for name, others in homed if others and not homes & others]
-        if homes and apart:
-            lines.append(
-                f"warning: tenant_table.{tenant} has no home in common with {', '.join(apart)}: both bind, "
-                "so nothing can be served there"
+
+@dataclass(frozen=True, slots=True)
+class StoredReplica:
+    """What a replica's folder holds: its record, and the configurations it names by digest."""
+
+    record: Record
+    contents: dict[int, bytes]
+
+    def committed_state(self) -> State | None:
+        """Return the state that the replica knows to be chosen."""
+        return Acceptor(self.record).decided
+
+    def summary(self) -> str:
+        """Return one line on what it holds."""
+        state = self.committed_state()
+        if state is None:
+            return "a replica that knows of no state yet"
+        vote = "a voter" if state.is_voter(self.record.ip, self.record.disk) else "no voter"
+        has_only_committed = self.record.state in (None, state)
+        uncommitted = "" if has_only_committed else "; accepted beyond it, and not known to be chosen"
+        version = state.config[0] if state.config is not None else None
+        return (
+            f"state {state.number} of system {state.system}, epoch {state.epoch}: {vote} of {len(state.voters)}; "
+            f"config {version}, evacuated: {', '.join(state.evacuated) or 'none'}{uncommitted}"
+        )
+
+
+def check_archive(folder: Path) -> Result[str, str]:
+    """Read every file of a data folder; return a summary, or which files cannot be used."""
+
+    def check(legacy: LegacyFolder | None) -> Result[str, str]:
+        if legacy is None:
+            return _load(folder).map(StoredReplica.summary)
+        if _is_legacy_in_use(folder):
+            return Error(
+                f"{folder}: {_legacy_summary(legacy)}; it is no part of the present one: `config put` what "
+                "`archive dump --config` gives"
             )
-    return Ok("\n".join(lines))
+        put_aside = f"beside it {migration.FOLDER}, {_legacy_summary(legacy)}"
+        return _load(folder).map(lambda stored: f"{stored.summary()}; {put_aside}")
 
+    return _load_legacy(folder).bind(check)
 
-def _load(folder: Path) -> Result[tuple[Record, dict[int, bytes]], str]:
-    """What a folder holds; nothing in it is changed."""
-    if not (folder / FOLDER).is_dir():
-        return Error(f"{folder}: holds no word")
-    try:
-        record, contents, bad = Snapshot(str(folder)).load()
-    except OSError as err:
-        return Error(f"{folder}: {err.strerror}")
-    if bad:
-        return Error(f"{folder}: {'; '.join(bad)}")
-    if record is None:
-        return Error(f"{folder}: holds no record of a replica")
-    return Ok((record, contents))
 
+def dump_archive(folder: Path) -> Result[str, str]:
+    """Return the committed state and its configuration as JSON."""
+    return _read_either(folder, _dump_state, _dump_legacy)
+
+
+def dump_config(folder: Path) -> Result[str, str]:
+    """Return the configuration as it was sent, for `config put`."""
+
+    def current(state: State, contents: dict[int, bytes]) -> str | None:
+        return contents[state.config[1]].decode() if state.config is not None else None
+
+    def legacy(entries: LegacyFolder) -> str | None:
+        return entries.config.body.decode() if entries.config is not None else None
+
+    return _read_either(folder, current, legacy)
 
-def _old(folder: Path) -> Result[LegacyFolder | None, str]:
-    """What it holds of the earlier format, in use or put aside."""
+
+def restore_archive(folder: Path, dump: bytes) -> Result[str, str]:
+    """Write a dump into a data folder that holds nothing.
+
+    The disk gets an identity of its own and no vote: the machine asks the others first, and is let in like any that
+    came back empty.
+    """
+    try:
+        state, contents = _parse_dump(dump)
+    except DumpError as error:
+        return Error(str(error))
+    store = Snapshot(str(folder))
     try:
-        old = migration.load(folder)
-    except OSError as err:
-        return Error(f"{folder}: {err.strerror}")
-    return Error(old) if isinstance(old, str) else Ok(old)
+        if store.folder.exists() and any(store.folder.iterdir()):
+            return Error(f"{folder}: holds a word already; nothing was changed")
+        if state.config is not None and state.config[1] not in contents:
+            return Error(f"no dump of a word: content {state.config[1]:016x} is missing")
+        make(store.folder)
+        store.save(Record(0, 0, decided=state, turn=1), contents)
+    except OSError as error:
+        return Error(f"{folder}: {error.strerror}")
+    return Ok(f"state {state.number} written")
 
 
-def _in_use(folder: Path) -> bool:
-    word = folder / FOLDER
-    return word.is_dir() and any(migration.is_of(path.name) for path in word.iterdir())
+# -- reading a folder --------------------------------------------------------------------------------------------------
 
 
-def _version(state: State | None) -> int | None:
-    return state.config[0] if state is not None and state.config is not None else None
+def _load(folder: Path) -> Result[StoredReplica, str]:
+    """Read what a folder holds; nothing in it is changed."""
+    if not (folder / FOLDER).is_dir():
+        return Error(f"{folder}: holds no word")
+    try:
+        record, contents, faults = Snapshot(str(folder)).load()
+    except OSError as error:
+        return Error(f"{folder}: {error.strerror}")
+    if faults:
+        return Error(f"{folder}: {'; '.join(faults)}")
+    if record is None:
+        return Error(f"{folder}: holds no record of a replica")
+    return Ok(StoredReplica(record, contents))
 
 
-def _brief(old: LegacyFolder) -> str:
-    version = old.config.version if old.config is not None else None
-    return f"of the earlier format: config {version}, evacuated: {', '.join(old.evacuated) or 'none'}"
+def _load_legacy(folder: Path) -> Result[LegacyFolder | None, str]:
+    """Read what a folder holds of the earlier format, in use or put aside."""
+    try:
+        legacy = migration.load(folder)
+    except OSError as error:
+        return Error(f"{folder}: {error.strerror}")
+    return Error(legacy) if isinstance(legacy, str) else Ok(legacy)
 
 
-def check_archive(folder: Path) -> Result[str, str]:
-    def line(held: tuple[Record, dict[int, bytes]]) -> str:
-        state = Acceptor(held[0]).decided
-        if state is None:
-            return "a replica that knows of no state yet"
-        vote = "a voter" if state.is_voter(held[0].ip, held[0].disk) else "no voter"
-        open_ = "" if held[0].state in (None, state) else "; accepted beyond it, and not known to be chosen"
-        return (
-            f"state {state.number} of system {state.system}, epoch {state.epoch}: {vote} of {len(state.voters)}; "
-            f"config {_version(state)}, evacuated: {', '.join(state.evacuated) or 'none'}{open_}"
-        )
+def _is_legacy_in_use(folder: Path) -> bool:
+    state_folder = folder / FOLDER
+    return state_folder.is_dir() and any(migration.is_of(path.name) for path in state_folder.iterdir())
 
-    def beside(old: LegacyFolder | None) -> Result[str, str]:
-        if old is not None and _in_use(folder):
-            return Error(
-                f"{folder}: {_brief(old)}; it is no part of the present one: `config put` what `archive dump "
-                "--config` gives"
-            )
-        found = _load(folder).map(line)
-        return found if old is None else found.map(lambda text: f"{text}; beside it {migration.FOLDER}, {_brief(old)}")
 
-    return _old(folder).bind(beside)
+def _legacy_summary(legacy: LegacyFolder) -> str:
+    version = legacy.config.version if legacy.config is not None else None
+    return f"of the earlier format: config {version}, evacuated: {', '.join(legacy.evacuated) or 'none'}"
 
 
-def _either(
-    folder: Path, new: Callable[[State, dict[int, bytes]], str | None], old: Callable[[LegacyFolder], str | None]
+def _read_either(
+    folder: Path,
+    from_current: Callable[[State, dict[int, bytes]], str | None],
+    from_legacy: Callable[[LegacyFolder], str | None],
 ) -> Result[str, str]:
-    """Of the present format, or of the earlier one where the present one has nothing of that: not where it is torn."""
+    """Read from the present format, or from the earlier one where the present one has nothing of that.
 
-    def found(aside: LegacyFolder | None) -> Result[str, str]:
-        before = old(aside) if aside is not None else None
-        if before is not None and _in_use(folder):
-            return Ok(before)
+    The earlier format does not stand in for a present folder with a torn file.
+    """
 
-        def text(held: tuple[Record, dict[int, bytes]]) -> Result[str, str]:
-            state = Acceptor(held[0]).decided
-            said = (new(state, held[1]) if state is not None else None) or before
-            return Ok(said) if said is not None else Error(f"{folder}: holds nothing of that yet")
+    def read(legacy: LegacyFolder | None) -> Result[str, str]:
+        legacy_text = from_legacy(legacy) if legacy is not None else None
+        if legacy_text is not None and _is_legacy_in_use(folder):
+            return Ok(legacy_text)
 
-        return _load(folder).bind(text)
+        def choose(stored: StoredReplica) -> Result[str, str]:
+            state = stored.committed_state()
+            current_text = from_current(state, stored.contents) if state is not None else None
+            text = current_text or legacy_text
+            return Ok(text) if text is not None else Error(f"{folder}: holds nothing of that yet")
 
-    return _old(folder).bind(found)
+        return _load(folder).bind(choose)
 
+    return _load_legacy(folder).bind(read)
 
-def dump_archive(folder: Path) -> Result[str, str]:
-    """The whole word."""
 
-    def new(state: State, contents: dict[int, bytes]) -> str:
-        names = [state.config[1]] if state.config is not None else []
-        bodies = {f"{name:016x}": base64.b64encode(contents[name]).decode() for name in names}
-        fields = dict(zip(State.__struct_fields__, msgspec.to_builtins(state), strict=True))
-        return json.dumps({"mapleline": 2, "state": fields, "contents": bodies}, indent=1)
+# -- dumps -------------------------------------------------------------------------------------------------------------
 
-    def old(entries: LegacyFolder) -> str:
-        rows = [
-            {"key": e.key, "version": e.version, "tie": e.tie, "body": base64.b64encode(e.body).decode()}
-            for e in entries.entries
-        ]
-        return json.dumps({"mapleline": 1, "word": rows}, indent=1)
 
-    return _either(folder, new, old)
+def _dump_state(state: State, contents: dict[int, bytes]) -> str:
+    bodies = {}
+    if state.config is not None:
+        content_digest = state.config[1]
+        bodies[f"{content_digest:016x}"] = base64.b64encode(contents[content_digest]).decode()
+    fields = dict(zip(State.__struct_fields__, msgspec.to_builtins(state), strict=True))
+    return json.dumps({"mapleline": DUMP_FORMAT, "state": fields, "contents": bodies}, indent=1)
 
 
-def dump_config(folder: Path) -> Result[str, str]:
-    """The configuration as it was sent, for `config put`."""
-
-    def new(state: State, contents: dict[int, bytes]) -> str | None:
-        return contents[state.config[1]].decode() if state.config is not None else None
+def _dump_legacy(legacy: LegacyFolder) -> str:
+    rows = [
+        {
+            "key": entry.key,
+            "version": entry.version,
+            "tie": entry.tie,
+            "body": base64.b64encode(entry.body).decode(),
+        }
+        for entry in legacy.entries
+    ]
+    return json.dumps({"mapleline": LEGACY_DUMP_FORMAT, "word": rows}, indent=1)
 
-    return _either(folder, new, lambda old: old.config.body.decode() if old.config is not None else None)
 
+def _parse_dump(text: bytes) -> tuple[State, dict[int, bytes]]:
+    """Return a dump's state and contents.
 
-def restore_archive(folder: Path, dump: bytes) -> Result[str, str]:
-    """Into a folder that holds nothing: the disk gets an identity of its own and no vote, so the machine asks the
-    others first, and is let in as any that came back empty.
+    Raises:
+        DumpError: it is of the earlier format, torn, or another program's.
     """
     try:
-        whole = json.loads(dump)
-        if whole["mapleline"] == 1:
-            return Error("a dump of the earlier format: `config put` its configuration (archive dump --config)")
-        state = msgspec.convert([whole["state"][name] for name in State.__struct_fields__], State)
-        contents = {int(name, 16): base64.b64decode(body, validate=True) for name, body in whole["contents"].items()}
-    except (ValueError, KeyError, TypeError, AttributeError) as err:
-        return Error(f"no dump of a word: {err}")
+        dump: dict[str, Any] = json.loads(text)
+        if dump["mapleline"] == LEGACY_DUMP_FORMAT:
+            raise DumpError("a dump of the earlier format: `config put` its configuration (archive dump --config)")
+        state = msgspec.convert([dump["state"][name] for name in State.__struct_fields__], State)
+        contents = {int(name, 16): base64.b64decode(body, validate=True) for name, body in dump["contents"].items()}
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        raise DumpError(f"no dump of a word: {error}") from error
     for name, body in contents.items():
         if digest(body) != name:
-            return Error(f"no dump of a word: content {name:016x} is another's")
-    store = Snapshot(str(folder))
-    try:
-        if store.folder.exists() and any(store.folder.iterdir()):
-            return Error(f"{folder}: holds a word already; nothing was changed")
-        if state.config is not None and state.config[1] not in contents:
-            return Error(f"no dump of a word: content {state.config[1]:016x} is missing")
-        make(store.folder)
-        store.save(Record(0, 0, decided=state, turn=1), contents)
-    except OSError as err:
-        return Error(f"{folder}: {err.strerror}")
-    return Ok(f"state {state.number} written")
+            raise DumpError(f"no dump of a word: content {name:016x} is another's")
+    return state, contents
--- a/mapleline/cli/commands.py
+++ b/mapleline/cli/commands.py
@@ -24,7 +24,7 @@
 
 \b
 The global load balancer (each with --help):
-  desk       the role of every machine (settings file in MAPLELINE_CONFIG)
+  balancer   the role of every machine (settings file in MAPLELINE_CONFIG)
   settings   check a settings file
   config     check, put, read, history, rollback: the operator's configuration
   evacuate   ZONE begin|finish
--- /dev/null
+++ b/tests/balancer/cli/command_line_case.py
@@ -0,0 +1,39 @@
+"""A test case that runs the command line against stand-ins."""
+
+import io
+import tempfile
+import unittest
+from contextlib import redirect_stderr, redirect_stdout
+from pathlib import Path
+
+from mapleline.balancer.cli.commands import main
+from mapleline.balancer.cli.trial.sample_configuration import sample_configuration
+from tests.balancer.cli.stand_in import ControlStandIn
+
+
+class CommandLineCase(unittest.TestCase):
+    """Has a configuration of version 7 in a file."""
+
+    def setUp(self):
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.file = Path(folder.name) / "config.json"
+        self.file.write_bytes(sample_configuration(7))
+
+    def start_stand_in(self, **answers):
+        """A stand-in with an answer for each path, whose slashes are underscores here."""
+        stand_in = ControlStandIn({"/" + name.replace("_", "/"): answer for name, answer in answers.items()})
+        self.addCleanup(stand_in.server_close)
+        self.addCleanup(stand_in.shutdown)
+        return stand_in
+
+    def run_main(self, *arguments):
+        """The exit status, and what was written: one line where it is a fault."""
+        output, errors = io.StringIO(), io.StringIO()
+        with redirect_stdout(output), redirect_stderr(errors):
+            status = main(list(arguments))
+        if status == 1:
+            self.assertEqual(errors.getvalue().count("\n"), 1, errors.getvalue())
+            return status, errors.getvalue()
+        self.assertEqual(errors.getvalue(), "")
+        return status, output.getvalue()
--- a/tests/balancer/test_parts.py
+++ b/tests/balancer/test_parts.py
@@ -5,7 +5,7 @@
 import unittest
 
 from mapleline.balancer import configuration, routing_table, settings
-from mapleline.balancer.cli import data_folder
+from mapleline.balancer.cli import file_checks
 from mapleline.balancer.control.commands import RemoveReplica, ReplaceConfiguration, SetEvacuation, batch
 from mapleline.balancer.control.read_lease import ReadLease
 from mapleline.balancer.control.reconfiguration import ReplicaStatus, due
@@ -104,10 +104,10 @@
 
     def test_homes_that_have_nothing_in_common_are_warned_of(self):
         tenants = {"t1": {"api_keys": ["k1"], "home_regions": ["west"]}}
-        text = data_folder.check_config(operators(r2={"home_regions": ["east"]}, tenant_table=tenants)).ok
+        text = file_checks.check_config(operators(r2={"home_regions": ["east"]}, tenant_table=tenants)).ok
         self.assertIn("warning: tenant_table.t1 has no home in common with r2:", text)
-        self.assertNotIn("warning", data_folder.check_config(operators(tenant_table=tenants)).ok)
-        self.assertIn("route_table.r2.timeout", data_folder.check_config(operators(r2={"timeout": "0ms"})).error)
+        self.assertNotIn("warning", file_checks.check_config(operators(tenant_table=tenants)).ok)
+        self.assertIn("route_table.r2.timeout", file_checks.check_config(operators(r2={"timeout": "0ms"})).error)
 
 
 def core(*ips, **fields):
