--- a/mapleline/simulation/clients.py
+++ b/mapleline/simulation/clients.py
@@ -6,9 +6,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from .client_connection import ClientRequest, IngressListener
 from .history import STATUS_OK, ClientAttempt, DirectoryLookup, History
+from .machine import Machine
 from .workload import HOST, IDEMPOTENT, ROUTES, TENANTS, Route, api_keys
-from .world import Machine, World
+from .world import World
 
 DIRECTORY_REFRESH_S = 2.0
 STICKY_SHARE = 0.1
@@ -73,7 +75,11 @@
             if status == STATUS_OK:
                 self._store_directory(zone, body)
 
-        world.send_request(machine, "GET", _lookup_path(region, zone), {}, b"", handle_response, "directory")
+        world.send_request(
+            machine,
+            ClientRequest("GET", _lookup_path(region, zone), listener=IngressListener.DIRECTORY),
+            handle_response,
+        )
 
     def _store_directory(self, zone: str, body: bytes) -> None:
         addresses = [address.split(":")[0] for address in json.loads(body)["address_list"]]
@@ -89,7 +95,7 @@
             self._history.lookups.append(DirectoryLookup(world.now, machine.name, status))
 
         path = _lookup_path(world.zones[machine.zone], machine.zone)
-        world.send_request(machine, "GET", path, {}, b"", handle_response, "directory")
+        world.send_request(machine, ClientRequest("GET", path, listener=IngressListener.DIRECTORY), handle_response)
 
     # -- requests ------------------------------------------------------------------------------------------
 
@@ -156,7 +162,7 @@
         is_idempotent = request.route.kind == IDEMPOTENT
         method = "GET" if is_idempotent else "POST"
         body = b"" if is_idempotent else UPLOAD_BODY
-        world.send_request(machine, method, request.path, headers, body, on_response)
+        world.send_request(machine, ClientRequest(method, request.path, headers, body), on_response)
         world.after(max(0.0, left_s), on_response, 0, b"", b"")
 
     def _schedule_retry(
--- a/mapleline/simulation/directed_scenarios/membership_changes.py
+++ b/mapleline/simulation/directed_scenarios/membership_changes.py
@@ -4,8 +4,8 @@
 
 from ..faults import GRACE_PERIOD_S, REPLACEMENT_GAP_S
 from ..final_fault import FinalFault
+from ..machine import Machine
 from ..scenario import LARGE_SITE, Scenario
-from ..world import Machine
 from .registry import CATCH_UP_S, RECOVERED_S, REPLACED_S, directed, keep_changing, machines_except
 
 
--- a/mapleline/simulation/directed_scenarios/partitions.py
+++ b/mapleline/simulation/directed_scenarios/partitions.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from ..machine import Machine
 from ..scenario import ZONES, Scenario
-from ..world import Machine
 from .registry import directed, machines_except, take_turns
 
 ISOLATION_S = 20.0
--- a/mapleline/simulation/directed_scenarios/registry.py
+++ b/mapleline/simulation/directed_scenarios/registry.py
@@ -6,9 +6,9 @@
 
 from ..faults import GRACE_PERIOD_S, REPLACEMENT_GAP_S
 from ..final_fault import FinalFault
+from ..machine import PROCESS_START_S, Machine
 from ..runner import FaultSchedule, RunOptions
 from ..scenario import SMALL_SITE, Scenario, SiteSize
-from ..world import PROCESS_START_S, Machine
 
 CATCH_UP_S = 4.0
 """Bound `catch_up` of the simulated site."""
--- a/mapleline/simulation/directed_scenarios/repetitions.py
+++ b/mapleline/simulation/directed_scenarios/repetitions.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from ..final_fault import FinalFault
+from ..machine import Machine
 from ..scenario import Scenario
-from ..world import Machine
 from .registry import directed, machines_except, take_turns
 
 
--- a/mapleline/simulation/directed_scenarios/rivals.py
+++ b/mapleline/simulation/directed_scenarios/rivals.py
@@ -4,6 +4,7 @@
 
 from ..final_fault import FinalFault
 from ..history import OperatorCommand
+from ..network import LateCopies
 from ..scenario import ZONES, Scenario
 from .registry import directed, machines_except, take_turns
 
@@ -100,9 +101,9 @@
     """Make many calls at once by way of one ingress, while messages come twice and late, also to later incarnations."""
     world, operators = scenario.world, scenario.operators
     replica = world.control_replicas[0]
-    world.linger = (0.3, 4.0)
-    world.strays = 0.3
-    world.after(18.0, setattr, world, "strays", 0.0)
+    world.network.late_copies = LateCopies(rate=0.3, max_delay_s=4.0)
+    world.network.misrouted_reply_rate = 0.3
+    world.after(18.0, setattr, world.network, "misrouted_reply_rate", 0.0)
     for index in range(8):
         at = 0.5 + 2.0 * index
         world.after(at, operators.send_burst, replica if index % 2 else None)
--- a/mapleline/simulation/fault_schedule.py
+++ b/mapleline/simulation/fault_schedule.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
+from .machine import Machine
 from .scenario import ZONES, Scenario
 from .workload import TENANTS
-from .world import Machine
 
 SCHEDULE_S = 24.0
 FIRST_FAULT_S = 1.0
--- a/mapleline/simulation/faults.py
+++ b/mapleline/simulation/faults.py
@@ -9,8 +9,11 @@
 from collections.abc import Callable
 
 from .history import CONTROL_REPLICAS, OPERATOR_RESPONSES, FaultInterval, History, SlowStart
+from .machine import PROCESS_START_S, Machine
+from .network import LateCopies
 from .operators import SimulatedOperators
-from .world import PROCESS_START_S, Machine, Server, World
+from .servers import Server
+from .world import World
 
 GRACE_PERIOD_S = 6.0
 SLOW_START_S = 3.0
@@ -195,8 +198,8 @@
 
     def duplicate_datagrams_late(self, for_s: float) -> None:
         """Deliver copies of some datagrams late, at times to another incarnation."""
-        self._world.linger = (LATE_COPY_RATE, LATE_COPY_S)
-        self._world.after(for_s, setattr, self._world, "linger", None)
+        self._world.network.late_copies = LateCopies(LATE_COPY_RATE, LATE_COPY_S)
+        self._world.after(for_s, setattr, self._world.network, "late_copies", None)
 
     # -- zones and servers ---------------------------------------------------------------------------------
 
@@ -212,7 +215,7 @@
         """Start new incarnations of servers at the same addresses; they warm up."""
         for server in servers:
             self.begin_slow_start(self._world.restart_server(server), SLOW_START_S)
-        self._world.publish_server_list()
+        self._world.platform.servers_changed()
 
     def begin_slow_start(self, server: Server, for_s: float) -> None:
         """Let a server warm up from now on; the list does not show it yet."""
@@ -223,14 +226,14 @@
     def drain_server(self, server: Server, for_s: float = DRAIN_S) -> None:
         """Announce a server as draining, and remove it after so long."""
         server.is_draining = True
-        self._world.publish_server_list()
+        self._world.platform.servers_changed()
 
         def note_listed() -> None:
             self._history.draining_since.setdefault(server.id, self._world.now)
 
         def remove() -> None:
             server.is_removed = True
-            self._world.publish_server_list()
+            self._world.platform.servers_changed()
 
         self._world.after(LIST_LAG_S, note_listed)
         self._world.after(for_s, remove)
--- a/mapleline/simulation/final_fault.py
+++ b/mapleline/simulation/final_fault.py
@@ -6,11 +6,12 @@
 from enum import StrEnum
 from functools import partial
 
+from .client_connection import ClientRequest, IngressListener
 from .history import READ_PATH, STATUS_OK, OperatorCommand
 from .invariants import Rule, Violation
+from .machine import Machine
 from .scenario import ZONES, Scenario
 from .workload import TENANTS
-from .world import Machine
 
 RESTART_S = 8.0
 """From the loss until the machines have to serve again."""
@@ -149,7 +150,7 @@
     def attempt(retries_left: int) -> None:
         machine = scenario.rng.choice(world.known_machines)
         on_response = partial(handle_response, retries_left)
-        world.send_request(machine, "GET", READ_PATH, {}, b"", on_response, "control")
+        world.send_request(machine, ClientRequest("GET", READ_PATH, listener=IngressListener.CONTROL), on_response)
 
     def handle_response(retries_left: int, status: int, body: bytes, _: bytes) -> None:
         if status == STATUS_OK:
--- a/mapleline/simulation/operator_client.py
+++ b/mapleline/simulation/operator_client.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable
 from functools import partial
 
+from .client_connection import ClientRequest, IngressListener
 from .history import (
     CLIENT_ERRORS,
     FINAL_CLIENT_ERRORS,
@@ -22,8 +23,9 @@
     OperatorCommand,
     OperatorResponse,
 )
+from .machine import Machine
 from .workload import content_digest
-from .world import Machine, World
+from .world import World
 
 FIRST_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 1.0
@@ -67,7 +69,8 @@
                 self._record(command, machine, asked_at, status, response_body)
             on_response(status, response_body)
 
-        connection = world.send_request(machine, method, path, {}, body, handle_response, "control")
+        request = ClientRequest(method, path, body=body, listener=IngressListener.CONTROL)
+        connection = world.send_request(machine, request, handle_response)
 
         def hang_up() -> None:
             world.disconnect(connection)
--- a/mapleline/simulation/operators.py
+++ b/mapleline/simulation/operators.py
@@ -16,9 +16,10 @@
     History,
     OperatorCommand,
 )
+from .machine import Machine, configuration_digest
 from .operator_client import CommandDelivery, OperatorClient
 from .workload import INVALID_VARIANTS, all_api_keys, configuration, content_digest, invalid_configuration
-from .world import Machine, World, configuration_digest
+from .world import World
 
 MAX_OPEN_COMMANDS = 8
 """`send_many` waits while so many commands are under way."""
--- a/mapleline/simulation/runner.py
+++ b/mapleline/simulation/runner.py
@@ -11,10 +11,9 @@
 from .fault_schedule import SCHEDULE_S, random_faults
 from .final_fault import RANDOM_FINAL_FAULTS, FinalFault, inject_final_fault
 from .invariants import Violation, check
+from .records import Observer
 from .scenario import LARGE_SITE, SMALL_SITE, Scenario, SiteSize
 
-Observer = Callable[[float, str, str, str, bytes], None]
-"""Called with time, kind, source, target and bytes of all that crosses a machine's border (`World.observe`)."""
 FaultSchedule = Callable[[Scenario], None]
 """Sets faults and operations of a scenario at times."""
 LAST_FAULTS_S = 6.0
--- a/mapleline/simulation/scenario.py
+++ b/mapleline/simulation/scenario.py
@@ -17,9 +17,11 @@
     ReplicaEvent,
     ReplicaSample,
 )
+from .node_settings import PROTOCOL_BOUNDS
 from .operators import SimulatedOperators
+from .records import ServerEvent
 from .workload import QUOTAS, ROUTES, SLOW_START_RATE_S
-from .world import PROTOCOL_BOUNDS, Arrived, Server, World
+from .world import Topology, World
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 """The region of each zone."""
@@ -51,14 +53,7 @@
 
     def __init__(self, seed: int, load: float = 1.0, size: SiteSize = SMALL_SITE) -> None:
         """Create the site; nothing runs yet."""
-        self.world = World(
-            seed,
-            ZONES,
-            others=size.machines_without_disk,
-            losses=size.tolerated_losses,
-            servers=SERVERS_PER_ZONE,
-            disks=size.machines_with_disk,
-        )
+        self.world = World(seed, _topology(size), size.tolerated_losses)
         self.world.service_time_s = {name: route.service_time_s for name, route in ROUTES.items()}
         self.rng = self.world.rng
         self.history = _new_history()
@@ -85,9 +80,8 @@
             active = machine.active_configuration()
             if active is None:
                 continue
-            version, digest = active
-            content = self.operators.content_by_configuration.get(digest, "unknown")
-            sample = ConfigurationSample(now, machine.name, machine.incarnation, version, content)
+            content = self.operators.content_by_configuration.get(active.digest, "unknown")
+            sample = ConfigurationSample(now, machine.name, machine.incarnation, active.version, content)
             self.history.configurations.append(sample)
         self.history.contacts.append(ContactSample(now, world.machines_with_majority()))
         voters = {machine.name for machine in machines if machine.is_voter()}
@@ -119,9 +113,18 @@
     def collect_world_records(self) -> None:
         """Take what servers and control replicas saw over into the history."""
         world, history = self.world, self.history
-        history.arrivals = [_delivered(*row) for row in world.arrivals]
-        history.runs = [_delivered(*row) for row in world.runs]
-        history.replica_events = [ReplicaEvent(at, name, kind) for at, name, kind in world.events]
+        history.arrivals = [_delivered(event) for event in world.server_arrivals]
+        history.runs = [_delivered(event) for event in world.server_runs]
+        history.replica_events = [ReplicaEvent(*event) for event in world.machine_events]
+
+
+def _topology(size: SiteSize) -> Topology:
+    return Topology(
+        ZONES,
+        replicas_per_zone=size.machines_with_disk,
+        stateless_per_zone=size.machines_without_disk,
+        servers_per_zone=SERVERS_PER_ZONE,
+    )
 
 
 def _new_history() -> History:
@@ -139,13 +142,14 @@
     return history
 
 
-def _delivered(sent_at: float, at: float, server: Server, arrived: Arrived) -> DeliveredRequest:
+def _delivered(event: ServerEvent) -> DeliveredRequest:
+    server, request = event.server, event.request
     return DeliveredRequest(
-        sent_at=sent_at,
-        arrived_at=at,
-        request_id=arrived.fields["request-id"],
-        tenant=arrived.fields.get("tenant"),
-        sender=arrived.by.name,
+        sent_at=event.sent_at,
+        arrived_at=event.at,
+        request_id=request.headers["request-id"],
+        tenant=request.headers.get("tenant"),
+        sender=request.sender.name,
         server_id=server.id,
         service=server.service,
         zone=server.zone,
--- /dev/null
+++ b/mapleline/simulation/servers.py
@@ -0,0 +1,185 @@
+"""Stand-ins of the servers behind the ingresses: slots, a queue, slow start, and failures."""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from ..balancer.proxy.outcome import EndReason
+from ..balancer.proxy.upstream import CONNECT_TIMEOUT_S, Attempt, UpstreamPool
+from ..http1.messages import Response
+from .records import ServerEvent
+
+if TYPE_CHECKING:
+    from ..http1.buffers import BufferPool
+    from .event_loop import ProcessReactor
+    from .machine import Machine
+    from .world import World
+
+SERVER_PORT = 8080
+SERVER_SLOTS = 2
+SERVER_QUEUE = 8  #: requests that wait for a slot; any more are rejected
+SPEED_FACTORS = (0.8, 1.0, 1.25)  #: of the service time, by turns
+SLOW_START_FACTOR = 2.0  #: of the service time while a server is warming up
+DEFAULT_SERVICE_TIME_S = 0.25
+#: of the log-normal service time, whose mean is then 1.0
+SERVICE_TIME_MU = -0.11
+SERVICE_TIME_SIGMA = 0.47
+
+
+@dataclass(eq=False)
+class ServerRequest:
+    """One request at a server, as an ingress sent it."""
+
+    attempt: Attempt
+    sender: Machine
+    reactor: ProcessReactor  #: of the sender's incarnation that sent it
+    delay_s: float  #: of the network, one way
+    sent_at: float
+    headers: dict[str, str] = field(default_factory=dict)
+    path: str = ""
+
+    def __post_init__(self) -> None:
+        """Read path and headers from the bytes that were sent."""
+        request_line, *lines = self.attempt.data.decode().partition("\r\n\r\n")[0].split("\r\n")
+        self.path = request_line.split(" ")[1]
+        self.headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in lines)}
+
+    @property
+    def route(self) -> str:
+        """The first segment of the path."""
+        return self.path.split("/")[1]
+
+    @property
+    def is_abandoned(self) -> bool:
+        """Whether the ingress no longer waits for the response."""
+        return self.attempt.end_reason is not None
+
+
+class Server:
+    """One incarnation of a server."""
+
+    def __init__(
+        self, world: World, service: str, zone: str, number: int, speed_factor: float, incarnation: int = 1
+    ) -> None:
+        """Create a server that is ready.
+
+        Args:
+            world: Where it is.
+            service: The service that it offers.
+            zone: Its zone.
+            number: The last byte of its address.
+            speed_factor: Of its service times.
+            incarnation: Counts the servers that were at its address, from 1.
+        """
+        self.world = world
+        self.service = service
+        self.zone = zone
+        self.number = number
+        self.speed_factor = speed_factor
+        self.incarnation = incarnation
+        self.id = f"i-{service}-{zone}-{number}-{incarnation}"
+        self.address = (f"10.128.{world.zone_names.index(zone)}.{number}", SERVER_PORT)
+        self.slots = SERVER_SLOTS
+        self.is_draining = False
+        self.is_down = False  #: without power: connections time out
+        self.is_removed = False  #: its process has ended: connections are refused
+        self.slow_start_until = -1.0
+        self.response_loss_rate = 0.0
+        self.failure_rate = 0.0  #: share of responses with status 500
+        self._running = 0
+        self._queue: deque[ServerRequest] = deque()
+
+    @property
+    def is_reachable(self) -> bool:
+        """Whether requests come to it."""
+        return not (self.is_down or self.is_removed)
+
+    def receive(self, request: ServerRequest) -> None:
+        """Execute, queue or reject a request that has come."""
+        if not self.is_reachable:
+            self._lose_connection(request)
+            return
+        if request.headers.get("expect-instance") != self.id:
+            self._respond(request, 421)
+            return
+        self.world.server_arrivals.append(ServerEvent(request.sent_at, self.world.now, self, request))
+        if request.is_abandoned:
+            return
+        if self._running < self.slots:
+            self._execute(request)
+        elif len(self._queue) < SERVER_QUEUE:
+            self._queue.append(request)
+        else:
+            self._respond(request, 503, is_executed=False)
+
+    def _execute(self, request: ServerRequest) -> None:
+        world = self.world
+        self._running += 1
+        world.server_runs.append(ServerEvent(request.sent_at, world.now, self, request))
+        mean_s = world.service_time_s.get(request.route, DEFAULT_SERVICE_TIME_S)
+        slow_start_factor = SLOW_START_FACTOR if world.now < self.slow_start_until else 1.0
+        luck = world.rng.lognormvariate(SERVICE_TIME_MU, SERVICE_TIME_SIGMA)
+        world.after(mean_s * self.speed_factor * slow_start_factor * luck, self._finish, request)
+
+    def _finish(self, request: ServerRequest) -> None:
+        self._running -= 1
+        self._execute_queued()
+        draw = self.world.rng.random()
+        if not self.is_reachable or draw < self.response_loss_rate:
+            self._lose_connection(request)
+        else:
+            self._respond(request, 500 if draw < self.response_loss_rate + self.failure_rate else 200)
+
+    def _execute_queued(self) -> None:
+        while self._queue and self._running < self.slots:
+            request = self._queue.popleft()
+            if not request.is_abandoned and not request.reactor.is_stopped:
+                self._execute(request)
+
+    def _lose_connection(self, request: ServerRequest) -> None:
+        if not self.is_down:
+            self.world.after(request.delay_s, request.reactor.run, request.attempt.end, EndReason.CONNECTION_LOST)
+
+    def _respond(self, request: ServerRequest, status: int, is_executed: bool = True) -> None:
+        headers = {
+            b"request-id": request.headers.get("request-id", "").encode(),
+            b"server-stamp": b"s-" + self.id.encode(),
+            b"server-load": b"%d,%d,%d" % (self._running, len(self._queue), self.slots),
+        }
+        if not is_executed:
+            headers[b"not-executed"] = b"1"
+        response = Response(status, headers, b"whole", True)
+        self.world.after(request.delay_s, request.reactor.run, request.attempt.end, EndReason.RESPONSE, response)
+
+
+class SimulatedUpstreamPool(UpstreamPool):
+    """An ingress's connections to the servers of the world."""
+
+    def __init__(self, machine: Machine, reactor: ProcessReactor, pool: BufferPool) -> None:
+        """Create the pool of the process that runs on `reactor`."""
+        super().__init__(reactor, pool)
+        self._machine = machine
+        self._process_reactor = reactor
+
+    def send(self, attempt: Attempt, address: tuple[str, int]) -> None:
+        """Send a request to the server at that address."""
+        attempt.target.out += 1
+        world, reactor = self._machine.world, self._process_reactor
+        server = world.servers.get(address)
+        if server is None:
+            world.after(CONNECT_TIMEOUT_S, reactor.run, attempt.end, EndReason.UNREACHABLE)
+            return
+        delay_s = world.network.delay_s(self._machine.zone, server.zone)
+        if server.is_down:
+            world.after(CONNECT_TIMEOUT_S, reactor.run, attempt.end, EndReason.UNREACHABLE)
+            return
+        if server.is_removed:
+            world.after(2 * delay_s, reactor.run, attempt.end, EndReason.UNREACHABLE)
+            return
+        attempt.written = True
+        attempt.sent_at = world.now
+        world.observe("attempt", self._machine.name, server.id, bytes(attempt.data))
+        request = ServerRequest(attempt, self._machine, reactor, delay_s, attempt.sent_at)
+        world.after(delay_s, server.receive, request)
--- a/mapleline/simulation/slow_start_scenarios.py
+++ b/mapleline/simulation/slow_start_scenarios.py
@@ -14,9 +14,10 @@
 from .faults import SLOW_START_S
 from .history import DeliveredRequest
 from .invariants import Rule, Violation, check
+from .machine import Machine
 from .runner import FaultSchedule, RunResult
 from .scenario import ZONES, Scenario, SiteSize
-from .world import Machine, Server
+from .servers import Server
 
 UNLIMITED_TENANT = "t4"
 SERVICES = ("slots", "records")
@@ -63,7 +64,7 @@
             servers = [server for server in servers_in(scenario, zone) if server.service == service]
             for server in servers[1:]:
                 server.is_removed = True
-    world.publish_server_list()
+    world.platform.servers_changed()
     world.service_time_s = dict.fromkeys(world.service_time_s, service_time_s)
     scenario.clients.load_factors[UNLIMITED_TENANT] = load_factor
 
@@ -72,7 +73,7 @@
     """Let running servers warm up from now on; the list shows it after its lag."""
     for server in servers:
         scenario.faults.begin_slow_start(server, for_s)
-    scenario.world.publish_server_list()
+    scenario.world.platform.servers_changed()
 
 
 def evacuate(
@@ -168,8 +169,8 @@
     overload(scenario)
     world = scenario.world
     evacuate(scenario, "a1", 5.0, 2 * SLOW_START_S)
-    world.after(4.5, world.listless.update, list(world.machines))
-    world.after(12.0, world.listless.clear)
+    world.after(4.5, world.platform.unreachable_from.update, list(world.machines))
+    world.after(12.0, world.platform.unreachable_from.clear)
 
 
 def repeated_slow_start(scenario: Scenario) -> None:
--- a/tests/balancer/control/test_recovery.py
+++ b/tests/balancer/control/test_recovery.py
@@ -19,7 +19,7 @@
 from mapleline.balancer.transport.messages import Accepted, Prepare, Promised, encode
 from mapleline.simulation.scenario import ZONES
 from mapleline.simulation.workload import configuration
-from mapleline.simulation.world import World
+from mapleline.simulation.world import Topology, World
 
 SIZE = 20_000  # of a configuration
 COPIES = 24  # of the state, that go to and fro in a change of two members' sets
@@ -42,7 +42,7 @@
     """Machines with a disk, and an operator who sends one configuration after the other."""
 
     def __init__(self, seed: int, zones: dict[str, str] = ZONES) -> None:
-        self.world = World(seed, zones, others=0)
+        self.world = World(seed, Topology(zones, stateless_per_zone=0))
         self.version = 0
         self.world.start()
         self.world.run(6.0)
@@ -97,13 +97,13 @@
     def come_back(self, machine) -> Whole:
         """Started; until it is whole."""
         world = self.world
-        began, sent, calls = world.now, sum(world.sent.values()), len(world.calls)
+        began, sent, calls = world.now, sum(world.network.bytes_sent.values()), len(world.network.calls)
         machine.start()
         while not self.is_whole(machine):
             assert world.now < began + 30, f"{machine.name} is not whole after 30 s"
             world.run(0.02)
-        own = [to for at, by, to, kind in world.calls[calls:] if by == machine.name]
-        return Whole(world.now - began, sum(world.sent.values()) - sent, len(own))
+        own = [to for at, by, to, kind in world.network.calls[calls:] if by == machine.name]
+        return Whole(world.now - began, sum(world.network.bytes_sent.values()) - sent, len(own))
 
 
 class Laboratory(unittest.TestCase):
@@ -186,7 +186,7 @@
     def test_machines_with_folders_of_the_earlier_format_found_a_core(self):
         """Nothing there voted on a core of ours; a folder that was spoilt may have, and founds none."""
         for fault, founded in ((migration.FAULT, True), ("torn, empty or foreign", False)):
-            world = World(9, ZONES, others=0)
+            world = World(9, Topology(ZONES, stateless_per_zone=0))
             for machine in world.control_replicas:
                 machine.disk.load = lambda fault=fault: (None, {}, [f"core, r-636f6e666967: {fault}"])
             world.start()
--- a/tests/balancer/test_golden_bytes.py
+++ b/tests/balancer/test_golden_bytes.py
@@ -21,7 +21,8 @@
 from mapleline.balancer.membership.member import Member
 from mapleline.balancer.membership.table import MembershipTable
 from mapleline.balancer.transport.fencing import UnexpectedReplyError
-from mapleline.simulation.world import Machine, World
+from mapleline.simulation.machine import Machine
+from mapleline.simulation.world import Topology, World
 from tests.balancer import golden_samples as samples
 
 BARE = "_bare"  # ends the name of a sample with every default
@@ -290,7 +291,7 @@
         super().setUp()
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        self.world = World(3, samples.ZONES, others=0)
+        self.world = World(3, Topology(samples.ZONES, stateless_per_zone=0))
         self.assertEqual([machine.ip for machine in self.world.control_replicas], list(samples.ADDRESSES))
 
     def give(self, machine: Machine, golden: Path) -> Path:
--- a/tests/balancer/transport/test_fencing.py
+++ b/tests/balancer/transport/test_fencing.py
@@ -32,7 +32,7 @@
 from mapleline.simulation.invariants import Rule
 from mapleline.simulation.runner import RunOptions, run_scenario
 from mapleline.simulation.scenario import ZONES, Scenario
-from mapleline.simulation.world import World
+from mapleline.simulation.world import Topology, World
 
 BEAT = Heartbeat(b"", 0, 0, 0)
 TALLY = CounterIncrement(1, "t", 8, 1.0, [], 5.0)
@@ -334,7 +334,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
 
     def world(self):
-        world = World(4, ZONES, servers={"slots": 1})
+        world = World(4, Topology(ZONES, servers_per_zone={"slots": 1}))
         world.start()
         world.run(6.0)
         return world
@@ -343,7 +343,7 @@
         world = self.world()
         one, other = [m for m in world.machines.values() if m.disk is None][:2]
         late = one.node.heartbeats.make_heartbeat()
-        world.listless |= set(world.machines)  # from here on nobody has a fresh one
+        world.platform.unreachable_from |= set(world.machines)  # from here on nobody has a fresh one
         world.run(3.0)
 
         def fetched():
@@ -397,7 +397,11 @@
     def test_each_tally_counts_once_on_a_day_of_doubles_and_delays(self):
         def troubles(scenario):
             world = scenario.world
-            world.loss, world.doubles, world.lates, world.late_s = 0.0, 0.4, 0.1, 1.0
+            network = world.network
+            network.loss_rate = 0.0
+            network.duplicate_rate = 0.4
+            network.delayed_rate = 0.1
+            network.max_extra_delay_s = 1.0
             scenario.clients.load_factors["t1"] = 4.0
             scenario.clients.stops_at = world.now + 4.0
 
@@ -440,7 +444,9 @@
     def test_days_of_doubles_delays_and_mixed_up_answers_break_no_rule(self):
         def troubles(scenario):
             world = scenario.world
-            world.doubles, world.lates, world.strays = 0.2, 0.03, 0.3
+            world.network.duplicate_rate = 0.2
+            world.network.delayed_rate = 0.03
+            world.network.misrouted_reply_rate = 0.3
             scenario.clients.load_factors["t1"] = 6.0
             one = next(m for m in world.machines.values() if m.disk is None)
             for n in range(4):
@@ -467,11 +473,11 @@
                 """Who refuses seems to say what it said when it did not."""
                 reply = messages.decode_reply(data[CALL_STAMPS_BYTES:])
                 kind = CallStamps.decode(data).sender_ip, type(reply)
-                if to is not first or not isinstance(reply, Promised | Accepted):
+                if to != first.name or not isinstance(reply, Promised | Accepted):
                     return data
                 return earlier.setdefault(kind, data) if reply.is_granted else earlier.get(kind, data)
 
-            world.astray = astray
+            world.network.route_reply = astray
             scenario.operators.replace_configuration(at=first)
             world.run(1.0)
             for machine in others:
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -124,7 +124,7 @@
 def measure_by_the_wall_clock():
     """Ages are differences of times of day."""
     return mock.patch(
-        "mapleline.simulation.world.ProcessReactor.seconds",
+        "mapleline.simulation.event_loop.ProcessReactor.seconds",
         lambda self: self.clock.seconds() + self.machine.clock_skew_s,
     )
 
--- a/tests/simulation/test_scenario.py
+++ b/tests/simulation/test_scenario.py
@@ -111,7 +111,7 @@
         attempts = [a for a in scenario.history.attempts.values() if 1007.0 < a.sent_at < 1013.0]
         ended = [attempt.status for attempt in attempts if attempt.status not in (401, 429)]
         self.assertGreater(ended.count(200) / len(ended), 0.99)
-        asked = [at for at, _ in scenario.world.list_calls if 1006.0 < at < 1016.0]
+        asked = [at for at, _ in scenario.world.platform.list_calls if 1006.0 < at < 1016.0]
         self.assertLess(len(asked), 14)  # one asks the platform, each 0.8 s
         self.assertEqual(len(ZONES), len({m.zone for m in scenario.world.control_replicas}))
 
@@ -196,7 +196,7 @@
             )  # between two beats: one might bring the news first
 
         scenario = self.holds(schedule, 5.0, load=0.3)
-        pulls = [(by, to) for at, by, to, kind in scenario.world.calls if kind == "FetchState" and at > 1008.1]
+        pulls = [(by, to) for at, by, to, kind in scenario.world.network.calls if kind == "FetchState" and at > 1008.1]
         others = {m.name for m in scenario.world.machines.values() if m.disk is None}
         self.assertEqual({to.partition("-")[0] for _, to in pulls if to not in others}, set(ZONES))
         self.assertFalse([to for _, to in pulls if to in others])
--- a/tests/simulation/test_slow_start_scenarios.py
+++ b/tests/simulation/test_slow_start_scenarios.py
@@ -16,9 +16,9 @@
 from mapleline.balancer.proxy.slow_start_leases import LEASE_S, LeaseHolder, LeaseVoter, SlowStartLeases
 from mapleline.balancer.proxy.upstream import CONNECT_TIMEOUT_S
 from mapleline.simulation import slow_start_scenarios
+from mapleline.simulation.event_loop import EventLoop
 from mapleline.simulation.invariants import Rule
 from mapleline.simulation.slow_start_scenarios import SlowStartOptions, run_slow_start
-from mapleline.simulation.world import EventLoop
 
 
 def by_view(self, one, now):
