--- a/mapleline/simulation/fault_schedule.py
+++ b/mapleline/simulation/fault_schedule.py
@@ -90,14 +90,14 @@
 def _diskless_faults(scenario: Scenario, some: list[Machine], machines: list[Machine]) -> list[Action]:
     """Return faults of machines without a disk."""
     world, rng, faults = scenario.world, scenario.rng, scenario.faults
-    one = some[0]
+    machine = some[0]
     return [
         lambda: faults.kill(some, rng.uniform(0.5, 3)),
-        lambda: faults.freeze(one, rng.uniform(1, 20)),
-        lambda: faults.partition([one], world.control_replicas, rng.uniform(4, 8)),
-        lambda: faults.partition([one], machines, rng.uniform(5, 20), rng.random() < 0.3),
-        lambda: faults.restart_gracefully(one),
-        lambda: faults.replace(one, rng.random() < 0.7),
+        lambda: faults.freeze(machine, rng.uniform(1, 20)),
+        lambda: faults.partition([machine], world.control_replicas, rng.uniform(4, 8)),
+        lambda: faults.partition([machine], machines, rng.uniform(5, 20), rng.random() < 0.3),
+        lambda: faults.restart_gracefully(machine),
+        lambda: faults.replace(machine, rng.random() < 0.7),
     ]
 
 
--- a/mapleline/simulation/history.py
+++ b/mapleline/simulation/history.py
@@ -9,6 +9,7 @@
 from enum import StrEnum
 
 from ..balancer.settings import Bounds
+from .records import MachineEvent
 
 NEVER = float("inf")
 REPLACE_PATH = "/config/replace"
@@ -92,7 +93,7 @@
 
 @dataclass(slots=True)
 class OperatorResponse:
-    """The response to one call of an operator; a read has no command and says what was read."""
+    """The response to one call of an operator; a read has no command, but the version and content that it returned."""
 
     command: OperatorCommand | None
     machine: str
@@ -178,15 +179,6 @@
     """The replicas that took themselves for voters."""
 
 
-@dataclass(frozen=True, slots=True)
-class ReplicaEvent:
-    """Something that befell a control replica: `start`, `end`, `removed`, `freeze`, `cut` and the like."""
-
-    at: float
-    machine: str
-    kind: str
-
-
 @dataclass(frozen=True, slots=True)
 class FinalEvacuations:
     """The zones that a machine held evacuated at the end of the run."""
@@ -230,7 +222,8 @@
     lookups: list[DirectoryLookup] = field(default_factory=list)
     contacts: list[ContactSample] = field(default_factory=list)
     replicas: list[ReplicaSample] = field(default_factory=list)
-    replica_events: list[ReplicaEvent] = field(default_factory=list)
+    replica_events: list[MachineEvent] = field(default_factory=list)
+    """What befell control replicas."""
     final_evacuations: list[FinalEvacuations] = field(default_factory=list)
     ended_at: float = NEVER
 
--- a/mapleline/simulation/invariants/acknowledgement.py
+++ b/mapleline/simulation/invariants/acknowledgement.py
@@ -7,10 +7,11 @@
 from dataclasses import dataclass
 
 from ..history import NEVER, OPERATOR_RESPONSES, OPERATOR_TIMEOUT_S, History
+from ..records import MachineEventKind
 from .rules import Rule, Violation
 
 ROUNDING_S = 0.001
-MEMBERSHIP_CHANGES = frozenset({"removed", "start"})
+MEMBERSHIP_CHANGES = frozenset({MachineEventKind.REMOVE, MachineEventKind.START})
 
 
 @dataclass(frozen=True, order=True, slots=True)
--- a/mapleline/simulation/invariants/catch_up.py
+++ b/mapleline/simulation/invariants/catch_up.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Iterator
 
-from ..history import NO_VERSION, History, ReplicaEvent
+from ..history import NO_VERSION, History
+from ..records import MachineEvent, MachineEventKind
 from .rules import Rule, Violation
 
 LONGEST_START_S = 0.7
@@ -18,20 +19,20 @@
     most of the replicas were started at once.
     """
     for event in history.replica_events:
-        if event.kind != "start":
+        if event.kind is not MachineEventKind.START:
             continue
         due_at = event.at + _allowed_s(history, event)
         if due_at <= history.ended_at and not _is_disturbed(history, event, due_at):
             yield from _check_replica(history, event, due_at)
 
 
-def _allowed_s(history: History, start: ReplicaEvent) -> float:
+def _allowed_s(history: History, start: MachineEvent) -> float:
     """Return how long the replica may take."""
     catch_up_s = history.bounds.catch_up
     started_beside = {
         event.machine
         for event in history.replica_events
-        if event.kind == "start" and abs(event.at - start.at) <= catch_up_s
+        if event.kind is MachineEventKind.START and abs(event.at - start.at) <= catch_up_s
     }
     samples = (sample for sample in reversed(history.replicas) if sample.at <= start.at + catch_up_s)
     sample = next(samples, None)
@@ -40,12 +41,12 @@
     return catch_up_s * (2 if is_majority else 1)
 
 
-def _is_disturbed(history: History, start: ReplicaEvent, due_at: float) -> bool:
+def _is_disturbed(history: History, start: MachineEvent, due_at: float) -> bool:
     """Return whether anything befell the replica after its start."""
     return any(event.machine == start.machine and start.at < event.at <= due_at for event in history.replica_events)
 
 
-def _check_replica(history: History, start: ReplicaEvent, due_at: float) -> Iterator[Violation]:
+def _check_replica(history: History, start: MachineEvent, due_at: float) -> Iterator[Violation]:
     """WHOLE for one start."""
     machine = start.machine
     samples = [sample for sample in history.replicas if start.at + LONGEST_START_S <= sample.at <= due_at]
--- a/mapleline/simulation/operators.py
+++ b/mapleline/simulation/operators.py
@@ -18,7 +18,7 @@
 )
 from .machine import Machine, configuration_digest
 from .operator_client import CommandDelivery, OperatorClient
-from .workload import INVALID_VARIANTS, all_api_keys, configuration, content_digest, invalid_configuration
+from .workload import InvalidVariant, all_api_keys, configuration, content_digest, invalid_configuration
 from .world import World
 
 MAX_OPEN_COMMANDS = 8
@@ -183,7 +183,7 @@
         """Send an invalid configuration; the next valid one takes its version (`reuse_version`; random if None)."""
         rng = self._world.rng
         self.version += 1
-        body = invalid_configuration(self.version, self._keys, rng.randrange(INVALID_VARIANTS))
+        body = invalid_configuration(self.version, self._keys, InvalidVariant(rng.randrange(len(InvalidVariant))))
         command = self._send_configuration(self.version, body, at, is_valid=False)
         if rng.random() < 0.5 if reuse_version is None else reuse_version:
             self.version -= 1  # a rejected command uses up no version
--- a/mapleline/simulation/scenario.py
+++ b/mapleline/simulation/scenario.py
@@ -14,7 +14,6 @@
     DeliveredRequest,
     FinalEvacuations,
     History,
-    ReplicaEvent,
     ReplicaSample,
 )
 from .node_settings import PROTOCOL_BOUNDS
@@ -115,7 +114,7 @@
         world, history = self.world, self.history
         history.arrivals = [_delivered(event) for event in world.server_arrivals]
         history.runs = [_delivered(event) for event in world.server_runs]
-        history.replica_events = [ReplicaEvent(*event) for event in world.machine_events]
+        history.replica_events = list(world.machine_events)
 
 
 def _topology(size: SiteSize) -> Topology:
--- a/mapleline/simulation/workload.py
+++ b/mapleline/simulation/workload.py
@@ -1,9 +1,10 @@
-"""What the simulated site serves: its routes, tenants and API keys, and the configurations that say so."""
+"""What the simulated site serves: its routes, tenants and API keys, and the configurations with them."""
 
 from __future__ import annotations
 
 import json
 from dataclasses import dataclass
+from enum import IntEnum
 from typing import Any
 from zlib import crc32
 
@@ -67,7 +68,7 @@
 
 
 def configuration(version: int, keys: dict[str, list[str]], serial: int = 0) -> dict[str, Any]:
-    """Return a whole configuration; `serial` tells it from others of the same version."""
+    """Return a complete configuration; `serial` tells it from others of the same version."""
     return {
         "config_version": version,
         "route_table": {name: _route_row(name, route) for name, route in ROUTES.items()},
@@ -98,20 +99,27 @@
     return {"api_keys": keys, "rate_per_s": quota.rate_s, "burst_size": quota.burst}
 
 
-INVALID_VARIANTS = 5
+class InvalidVariant(IntEnum):
+    """What is wrong with an invalid configuration."""
 
+    UNKNOWN_SERVICE = 0
+    ZERO_TIMEOUT = 1
+    LONG_LATENCY_TARGET = 2
+    DUPLICATE_API_KEY = 3
+    TRUNCATED = 4
 
-def invalid_configuration(version: int, keys: dict[str, list[str]], variant: int) -> bytes:
-    """Return the body of a configuration that is invalid in one of `INVALID_VARIANTS` ways."""
+
+def invalid_configuration(version: int, keys: dict[str, list[str]], variant: InvalidVariant) -> bytes:
+    """Return the body of a configuration that the balancer has to reject."""
     content = configuration(version, keys, serial=-1)
-    if variant == 0:
-        content["route_table"]["see"]["target_service"] = "nobody"
-    elif variant == 1:
-        content["route_table"]["see"]["timeout"] = "0ms"
-    elif variant == 2:
-        content["route_table"]["see"]["target_latency"] = "64s"
-    elif variant == 3:
+    route = content["route_table"]["see"]
+    if variant is InvalidVariant.UNKNOWN_SERVICE:
+        route["target_service"] = "nobody"
+    elif variant is InvalidVariant.ZERO_TIMEOUT:
+        route["timeout"] = "0ms"
+    elif variant is InvalidVariant.LONG_LATENCY_TARGET:
+        route["target_latency"] = "64s"
+    elif variant is InvalidVariant.DUPLICATE_API_KEY:
         content["tenant_table"]["t2"]["api_keys"] = ["t1-k2", "t2-k2"]
     body = json.dumps(content).encode()
-    is_truncated = variant == INVALID_VARIANTS - 1
-    return body[: len(body) // 2] if is_truncated else body
+    return body[: len(body) // 2] if variant is InvalidVariant.TRUNCATED else body
--- a/tests/simulation/history_builder.py
+++ b/tests/simulation/history_builder.py
@@ -12,10 +12,10 @@
     History,
     OperatorCommand,
     OperatorResponse,
-    ReplicaEvent,
     ReplicaSample,
 )
 from mapleline.simulation.invariants import check
+from mapleline.simulation.records import MachineEvent
 
 END_S = 60.0
 SAMPLES_PER_S = 10
@@ -66,7 +66,7 @@
 
     def event(self, at, kind, name="m4"):
         """Add something that befell a replica."""
-        self.history.replica_events.append(ReplicaEvent(at, name, kind))
+        self.history.replica_events.append(MachineEvent(at, name, kind))
         return self
 
 
--- a/tests/simulation/invariants/test_acknowledgement.py
+++ b/tests/simulation/invariants/test_acknowledgement.py
@@ -2,6 +2,7 @@
 
 from mapleline.simulation.history import OPERATOR_RESPONSES, FaultInterval
 from mapleline.simulation.invariants import Rule
+from mapleline.simulation.records import MachineEventKind
 
 from ..history_builder import HistoryBuilder, InvariantTestCase
 
@@ -15,13 +16,13 @@
         def mended(took, status=200, connected=frozenset({"m1", "m2", "m3"}), **more):
             made = (
                 HistoryBuilder(connected=connected, **more)
-                .event(10.0, "end")
-                .event(11.0, "removed")
-                .event(12.0, "end", "m3")
+                .event(10.0, MachineEventKind.KILL)
+                .event(11.0, MachineEventKind.REMOVE)
+                .event(12.0, MachineEventKind.KILL, "m3")
             )
             return made.command(7, A, 16.1, took, status)
 
-        self.assert_holds(mended(5.0), mended(9.0, connected=set()), mended(9.0).event(19.0, "end"))
+        self.assert_holds(mended(5.0), mended(9.0, connected=set()), mended(9.0).event(19.0, MachineEventKind.KILL))
         self.assert_breaks(Rule.MAJORITY, mended(6.2), mended(30.0, None))
         self.assert_holds(mended(6.1, 409).command(7, B, 16.0))  # who lost has its answer
         self.assert_breaks(
@@ -34,5 +35,5 @@
         self.assert_holds(lossy)
         self.assert_breaks(
             Rule.ACKNOWLEDGEMENT,
-            HistoryBuilder(connected=set("m1 m2 m3".split())).event(30.0, "start").command(7, A, 16.0, 6.2),
+            HistoryBuilder(connected={"m1", "m2", "m3"}).event(30.0, MachineEventKind.START).command(7, A, 16.0, 6.2),
         )
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -14,19 +14,19 @@
 
 
 def grant_every_read_lease():
-    """Contact with a majority is never wanted."""
+    """Serve without contact to a majority."""
     return mock.patch(BALANCER + "node.Node.has_read_lease", lambda self: True)
 
 
 def read_without_asking_others():
-    """Without asking the others."""
+    """Answer reads from the local state, without a round to a majority."""
     return mock.patch(
         CONTROL + "control_plane.ControlPlane.acquire_read_lease", lambda self, timeout_s=1.5: succeed(True)
     )
 
 
 def accept_half_as_a_majority():
-    """Half of the voters decide."""
+    """Let half of the voters decide."""
     return mock.patch(
         CONTROL + "state.majority",
         lambda voters, heard: 2 * len([r for r in voters if any(r.is_at(*one) for one in heard)]) >= len(voters),
@@ -34,7 +34,7 @@
 
 
 def respond_before_writing():
-    """Promises and acceptances leave before they are on the disk."""
+    """Send promises and acceptances before they are on the disk."""
 
     def sync(self, acceptor):
         if self.store is not None:
@@ -48,12 +48,12 @@
 
 
 def never_change_voters():
-    """The voters stay who they were at the founding."""
+    """Keep the initial voters."""
     return mock.patch(CONTROL + "replica_monitor.due", lambda *_: None)
 
 
 def never_remove_voters():
-    """The voters only become more."""
+    """Add voters, but remove none."""
 
     def grows(state, *rest):
         voters = due(state, *rest)
@@ -63,66 +63,66 @@
 
 
 def forget_known_members():
-    """What an earlier life knew of the others is forgotten."""
+    """Forget what an earlier incarnation knew of the members."""
     return mock.patch(BALANCER + "membership.table.MembershipTable.add_member", lambda *_: None)
 
 
 def confirm_every_content():
-    """The last content under a number is confirmed, and stands."""
+    """Confirm each content under a version; the last one stays."""
 
-    def replaced(state, version, content):
+    def replaced_without_check(state, version, content):
         if state.config is not None and version < state.config[0]:
             return state, True
         return _numbered(state, version, content, (version, content)), True
 
-    return mock.patch(CONTROL + "commands.replaced", replaced)
+    return mock.patch(CONTROL + "commands.replaced", replaced_without_check)
 
 
 def remember_only_the_version_in_force():
-    """Of the numbers that were confirmed, only that in force has a content."""
+    """Remember the content of the version in force alone."""
 
-    def replaced_(state, version, content):
+    def replaced_with_check(state, version, content):
         if state.config is not None and version < state.config[0]:
             return state, True
         return replaced(state, version, content)
 
-    return mock.patch(CONTROL + "commands.replaced", replaced_)
+    return mock.patch(CONTROL + "commands.replaced", replaced_with_check)
 
 
 def reject_repeated_commands():
-    """Also what it has confirmed itself."""
+    """Reject each version that is not higher, also what was confirmed before."""
 
-    def replaced_(state, version, content):
+    def replaced_with_check(state, version, content):
         if state.config is not None and version <= state.config[0]:
             return state, False
         return replaced(state, version, content)
 
-    return mock.patch(CONTROL + "commands.replaced", replaced_)
+    return mock.patch(CONTROL + "commands.replaced", replaced_with_check)
 
 
 def execute_commands_of_disconnected_callers():
-    """An order is carried out although its caller has gone elsewhere."""
+    """Execute a command although its caller has gone to another machine."""
 
     def submit(self, client_conn, order, body, key, version):
         self._reply_when_decided(
             client_conn, self.control_plane.submit_command(order, body, self._command_timeout_s), key, version
         )
 
-    always = contextlib.ExitStack()
-    always.enter_context(mock.patch(CONTROL + "api.ControlApi.submit", submit))
-    always.enter_context(
+    patches = contextlib.ExitStack()
+    patches.enter_context(mock.patch(CONTROL + "api.ControlApi.submit", submit))
+    patches.enter_context(
         mock.patch(CONTROL + "proposer.Proposer._is_without_read_lease", lambda *_: False)
     )  # either is enough
-    return always
+    return patches
 
 
 def believe_any_reply():
-    """A reply is believed for whatever call is out."""
+    """Accept a reply for any call that is in flight."""
     return mock.patch(BALANCER + "transport.fencing.Fence._check_reply", lambda *_: None)
 
 
 def measure_by_the_wall_clock():
-    """Ages are differences of times of day."""
+    """Measure ages by the time of day."""
     return mock.patch(
         "mapleline.simulation.event_loop.ProcessReactor.seconds",
         lambda self: self.clock.seconds() + self.machine.clock_skew_s,
@@ -130,7 +130,7 @@
 
 
 def accept_invalid_configurations():
-    """A configuration is not checked."""
+    """Accept configurations without a check."""
 
     def version(body):
         return mock.Mock(config_version=int(re.search(rb'"config_version": (\d+)', body)[1]))
--- a/tests/simulation/test_scenario.py
+++ b/tests/simulation/test_scenario.py
@@ -4,13 +4,9 @@
 import unittest
 from unittest import mock
 
-from twisted.internet.defer import succeed
-
 from mapleline.balancer.control import commands, state
 from mapleline.balancer.control.consensus import Acceptor
-from mapleline.balancer.control.replica import LocalReplica
 from mapleline.balancer.membership.table import MembershipTable
-from mapleline.balancer.node import Node
 from mapleline.balancer.proxy import proxy
 from mapleline.balancer.proxy.proxy import Proxy
 from mapleline.policy.window import Tenancy
@@ -20,30 +16,31 @@
 from mapleline.simulation.runner import RunOptions, run_scenario
 from mapleline.simulation.scenario import LARGE_SITE, SMALL_SITE, ZONES, Scenario
 
+from . import mutants
+
 
 def no_faults(scenario):
     """Traffic alone."""
 
 
-def revoked_behind_a_cut(scenario):
+def keys_revoked_behind_a_partition(scenario):
     """Isolate one ingress; keys are revoked, and its clients go on with them."""
-    others = list(scenario.world.machines.values())
-    one = next(m for m in others if m.disk is None)
-    scenario.faults.partition([one], others, 9.0)
-    for n, tenant in enumerate(("t1", "t2")):
-        scenario.world.after(
-            0.5 + n,
-            lambda tenant=tenant: scenario.operators.replace_configuration(
-                revoke=tenant, at=scenario.world.control_replicas[0]
-            ),
-        )
+    machines = list(scenario.world.machines.values())
+    isolated = next(machine for machine in machines if machine.disk is None)
+    scenario.faults.partition([isolated], machines, 9.0)
+
+    def revoke_key(tenant):
+        scenario.operators.replace_configuration(revoke=tenant, at=scenario.world.control_replicas[0])
+
+    for index, tenant in enumerate(("t1", "t2")):
+        scenario.world.after(0.5 + index, revoke_key, tenant)
 
 
 def restarted_zone(scenario):
     """Restart a zone's servers under many short requests."""
     scenario.world.service_time_s = dict.fromkeys(scenario.world.service_time_s, 0.05)
     scenario.clients.load_factors["t4"] = 40.0  # it has no limit
-    scenario.faults.restart_servers([s for s in scenario.world.servers.values() if s.zone == "a1"])
+    scenario.faults.restart_servers([server for server in scenario.world.servers.values() if server.zone == "a1"])
 
 
 def slow_disks(scenario):
@@ -76,9 +73,9 @@
 
 def concurrent_configurations(scenario):
     """Let two operators change the configuration at once, and repeat older changes."""
-    for n in range(6):
-        scenario.world.after(0.3 + n, scenario.operators.replace_at_two_machines)
-        scenario.world.after(0.9 + n, scenario.operators.repeat_older)
+    for index in range(6):
+        scenario.world.after(0.3 + index, scenario.operators.replace_at_two_machines)
+        scenario.world.after(0.9 + index, scenario.operators.repeat_older)
 
 
 SEED = 3
@@ -116,22 +113,15 @@
         self.assertEqual(len(ZONES), len({m.zone for m in scenario.world.control_replicas}))
 
     def test_a_revoked_key_is_rejected_by_an_isolated_ingress(self):
-        certain = mock.patch.object(Node, "has_read_lease", lambda self: True)
-        self.breaks(Rule.CONFIGURATION, revoked_behind_a_cut, certain, 10.0, load=3.0)
+        mutant = mutants.grant_every_read_lease()
+        self.breaks(Rule.CONFIGURATION, keys_revoked_behind_a_partition, mutant, 10.0, load=3.0)
 
     def test_acknowledged_changes_survive_the_power_loss_of_all_and_a_wiped_disk(self):
-        def sync(self, acceptor):
-            self.environment.run_in_thread(self.store.save, acceptor.record, dict(self.committed.contents)).addErrback(
-                lambda _: None
-            )
-            acceptor.synced(acceptor.record)
-            return succeed(None)
-
-        self.breaks(Rule.LOST, slow_disks, mock.patch.object(LocalReplica, "_sync", sync), 1.0, FinalFault.KILL)
+        self.breaks(Rule.LOST, slow_disks, mutants.respond_before_writing(), 1.0, FinalFault.KILL)
 
     def test_a_change_on_a_single_disk_is_not_acknowledged(self):
         def lost():
-            scenario = Scenario(3)
+            scenario = Scenario(SEED)
             world = scenario.world
             scenario.begin()
             first = next(
@@ -159,23 +149,23 @@
     def test_the_others_tolerate_a_loss_again_after_a_replica_was_removed(self):
         def schedule(scenario):
             world = scenario.world
-            gone, second, *_ = world.control_replicas
-            scenario.faults.kill([gone], 60.0)
-            world.after(3.0, scenario.operators.remove_replica, gone)
-            world.after(5.0, scenario.faults.kill, [second], 4.0)
-            world.after(
-                6.0,
-                lambda: seen.extend(
-                    m.node.control_plane.committed.voters() for m in world.machines.values() if m.is_running
-                ),
-            )
+            removed, killed, *_ = world.control_replicas
+
+            def sample_voters():
+                running = [machine for machine in world.machines.values() if machine.is_running]
+                voters.extend(machine.node.control_plane.committed.voters() for machine in running)
+
+            scenario.faults.kill([removed], 60.0)
+            world.after(3.0, scenario.operators.remove_replica, removed)
+            world.after(5.0, scenario.faults.kill, [killed], 4.0)
+            world.after(6.0, sample_voters)
             world.after(6.0, scenario.operators.replace_configuration, None, world.control_replicas[2])
 
-        seen = []
+        voters = []
         scenario = self.holds(schedule, 8.0)
         acknowledged = [(round(ack.at), ack.subject) for ack in scenario.history.acknowledgements]
         self.assertIn((1012, Acknowledged.CONFIGURATION), acknowledged)  # of four, two would be too few
-        self.assertEqual({len(core) for core in seen}, {3})
+        self.assertEqual({len(known) for known in voters}, {3})
 
     def test_a_full_disk_catches_up_once_it_has_room(self):
         def schedule(scenario):
@@ -185,21 +175,21 @@
             scenario.world.after(3.0, setattr, disk, "refuses_writes", False)
 
         scenario = self.holds(schedule, 10.0)
-        kept = [Acceptor(m.disk.record).decided for m in scenario.world.control_replicas]
+        kept = [Acceptor(replica.disk.record).decided for replica in scenario.world.control_replicas]
         self.assertEqual({state.config[0] for state in kept}, {scenario.operators.version})
 
     def test_every_machine_fetches_a_configuration_from_control_replicas(self):
         def schedule(scenario):
-            taker = next(m for m in scenario.world.machines.values() if m.disk is None)
-            scenario.world.after(
-                2.2, scenario.operators.replace_configuration, None, taker
-            )  # between two beats: one might bring the news first
+            receiver = next(machine for machine in scenario.world.machines.values() if machine.disk is None)
+            # between two heartbeats: one might bring the state first
+            scenario.world.after(2.2, scenario.operators.replace_configuration, None, receiver)
 
         scenario = self.holds(schedule, 5.0, load=0.3)
-        pulls = [(by, to) for at, by, to, kind in scenario.world.network.calls if kind == "FetchState" and at > 1008.1]
-        others = {m.name for m in scenario.world.machines.values() if m.disk is None}
-        self.assertEqual({to.partition("-")[0] for _, to in pulls if to not in others}, set(ZONES))
-        self.assertFalse([to for _, to in pulls if to in others])
+        calls = scenario.world.network.calls
+        sources = [target for at, _, target, kind in calls if kind == "FetchState" and at > 1008.1]
+        diskless = {machine.name for machine in scenario.world.machines.values() if machine.disk is None}
+        self.assertEqual({source.partition("-")[0] for source in sources if source not in diskless}, set(ZONES))
+        self.assertFalse([source for source in sources if source in diskless])
         [acknowledgement] = [ack for ack in scenario.history.acknowledgements if ack.at > 1007.0]
         first = {
             name: min(
@@ -214,20 +204,20 @@
     def test_the_endpoint_list_is_fresh_though_its_leader_is_cut_off_from_the_replicas(self):
         def schedule(scenario):
             world = scenario.world
-            holder = next(m for m in world.machines.values() if m.node.leadership.is_leader)
-            holders.append(holder)
-            scenario.faults.partition([holder], world.control_replicas, 5.0)
+            leader = next(m for m in world.machines.values() if m.node.leadership.is_leader)
+            leaders.append(leader)
+            scenario.faults.partition([leader], world.control_replicas, 5.0)
 
             def sample_list_ages():
-                ages.extend(world.now - m.node.endpoints.fetched_at for m in world.machines.values() if m is not holder)
+                ages.extend(world.now - m.node.endpoints.fetched_at for m in world.machines.values() if m is not leader)
                 world.after(0.1, sample_list_ages)
 
             sample_list_ages()
 
-        ages, holders = [], []
+        ages, leaders = [], []
         self.holds(schedule, 6.0, load=0.3)
-        self.assertIsNotNone(holders[0].disk)
-        self.assertLess(max(ages), 2.6)  # and a way to all: under `drain_timeout`
+        self.assertIsNotNone(leaders[0].disk)
+        self.assertLess(max(ages), 2.6)  # and the time to reach all: under `drain_timeout`
 
     def test_slow_start_evacuation_and_home_regions(self):
         self.breaks(
@@ -239,14 +229,19 @@
         self.breaks(Rule.HOME, no_faults, mock.patch.object(Proxy, "_allowed_regions", lambda *_: None), 1.0)
 
     def test_an_isolated_ingress_admits_no_more_than_its_quota_share(self):
-        def cut_off(scenario):
+        def isolated_ingress(scenario):
             scenario.clients.load_factors["t1"] = 8.0
-            others = list(scenario.world.machines.values())
-            scenario.faults.partition([others[-1]], others, 9.0)
-            scenario.clients.sticky_machines["b2"] = [others[-1]]
+            machines = list(scenario.world.machines.values())
+            isolated = machines[-1]
+            scenario.faults.partition([isolated], machines, 9.0)
+            scenario.clients.sticky_machines["b2"] = [isolated]
 
         self.breaks(
-            Rule.QUOTA, cut_off, mock.patch.object(MembershipTable, "isolation_factor", lambda *_: 1.0), 9.0, load=3.0
+            Rule.QUOTA,
+            isolated_ingress,
+            mock.patch.object(MembershipTable, "isolation_factor", lambda *_: 1.0),
+            9.0,
+            load=3.0,
         )
 
     def test_quotas_and_requests_that_may_have_run(self):
--- a/tests/simulation/test_slow_start_scenarios.py
+++ b/tests/simulation/test_slow_start_scenarios.py
@@ -189,7 +189,7 @@
                 if self.clock.now >= self.stopped[ip] and self.rng.random() < 0.5:
                     one.request_leases()
             for _ in range(5):
-                self.clock.run(self.clock.now + 0.02)
+                self.clock.run_until(self.clock.now + 0.02)
                 now = self.clock.now
                 holders = [one for one in self.all.values() if one.is_held(7, now)]
                 most = max(most, len(holders))
