--- a/mapleline/cli/commands.py
+++ b/mapleline/cli/commands.py
@@ -11,6 +11,7 @@
 from click.shell_completion import get_completion_class
 
 from .. import __name__ as PACKAGE
+from .simulate import add_aliases, simulate
 
 FILE = click.Path(dir_okay=False, path_type=Path)
 EXAMPLES = """
@@ -165,42 +166,8 @@
     """Our own laboratory: stand-in parties, load, and what the ingress makes of them."""
 
 
-@lab.command("days")
-@click.option("--seeds", default=8, show_default=True, type=click.IntRange(1), help="How many days.")
-@click.option("--first", default=0, show_default=True, help="The first day's seed.")
-@click.option("--jobs", default=2, show_default=True, type=click.IntRange(1), help="Processes.")
-@click.option("--grown", is_flag=True, help="Eight machines with a disk, and two losses to be borne at once.")
-def lab_days(seeds: int, first: int, jobs: int, grown: bool) -> None:
-    """Play days of a whole small system by lot, on a clock of its own; status 1 if one breaks a rule."""
-    from ..simulation.runner import run_many
-
-    broken = run_many(range(first, first + seeds), jobs, click.echo, grown)
-    click.echo(f"{seeds} days, {broken} with a rule broken")
-    raise SystemExit(1 if broken else 0)
-
-
-@lab.command("digest")
-@click.option("--seeds", default=100, show_default=True, type=click.IntRange(1), help="How many days.")
-@click.option("--first", default=400, show_default=True, help="The first day's seed.")
-@click.option("--jobs", default=2, show_default=True, type=click.IntRange(1), help="Processes.")
-@click.option("--grown", is_flag=True, help="Eight machines with a disk, and two losses to be borne at once.")
-@click.option("--json", "to", type=FILE, help="Where the digests go.")
-@click.option("--compare", "with_", type=FILE, help="Digests of an earlier run: status 1 if one differs.")
-def lab_digest(seeds: int, first: int, jobs: int, grown: bool, to: Path | None, with_: Path | None) -> None:
-    """Play simulated days and print a digest of all that crossed a machine's border in each."""
-    import json
-
-    from ..simulation.behaviour_digest import measure_all
-
-    days = [day.to_json() for day in measure_all(range(first, first + seeds), jobs, grown)]
-    if to is not None:
-        to.write_text(json.dumps(days, indent=1) + "\n")
-    earlier = {(day["seed"], day["grown"]): day for day in json.loads(with_.read_text())} if with_ is not None else {}
-    differ = [day["seed"] for day in days if earlier.get((day["seed"], day["grown"]), day) != day]
-    for day in days:
-        click.echo(f"seed {day['seed']}: {day['digest']}{' differs' if day['seed'] in differ else ''}")
-    click.echo(f"{len(days)} days, {len(differ)} with another digest")
-    raise SystemExit(1 if differ else 0)
+add_aliases(lab)
+group.add_command(simulate)
 
 
 @lab.command("cores")
