--- a/mapleline/balancer/process_environment.py
+++ b/mapleline/balancer/process_environment.py
@@ -4,10 +4,11 @@
 
 import time
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, TypeVar
+from typing import TYPE_CHECKING, Protocol, TypeVar
 
 from twisted.internet.threads import deferToThread
 
+from .clock import Reactor
 from .control.audit_log import AuditLog
 from .control.snapshot import Snapshot
 from .discovery.platform_client import PlatformClient
@@ -16,6 +17,7 @@
 
 if TYPE_CHECKING:
     from twisted.internet.defer import Deferred
+    from twisted.internet.protocol import DatagramProtocol
 
     from ..http1.buffers import BufferPool
     from .control.snapshot import Store
@@ -31,10 +33,17 @@
 Result = TypeVar("Result")
 
 
+class SocketReactor(Reactor, Protocol):
+    """A reactor with datagrams as well."""
+
+    def listenUDP(self, port: int, protocol: DatagramProtocol, interface: str, maxPacketSize: int) -> object:  # noqa: N803  # Twisted's name
+        """Receive datagrams at a port of an address."""
+
+
 class ProcessEnvironment:
     """Implements `Environment` for a real process."""
 
-    def __init__(self, reactor: Any, settings: Settings) -> None:
+    def __init__(self, reactor: SocketReactor, settings: Settings) -> None:
         """Nothing is opened before `listen`."""
         self._reactor = reactor
         self._settings = settings
--- a/mapleline/balancer/transport/connections.py
+++ b/mapleline/balancer/transport/connections.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-import logging
 import socket
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, ClassVar, TypeAlias, TypeVar
+from contextlib import suppress
+from typing import TYPE_CHECKING, Any, Protocol, TypeAlias, TypeVar
 
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import DatagramProtocol, ServerFactory, connectionDone
@@ -18,11 +18,10 @@
 if TYPE_CHECKING:
     from twisted.python.failure import Failure
 
+    from ..clock import Reactor
     from . import messages
     from .fencing import Fence, OutstandingCall, ReceivedCall
 
-logger = logging.getLogger(__name__)
-
 MAX_MESSAGE_BYTES = 16 << 20  #: of a call or a reply with its stamps
 TCP_USER_TIMEOUT_MS = 3000  #: a connection whose bytes go unacknowledged for so long is dropped by the kernel
 
@@ -31,17 +30,42 @@
 CallHandler: TypeAlias = "Callable[[messages.Call], messages.Reply | Deferred[messages.Reply]]"
 
 
+class DatagramTransport(Protocol):
+    """What is used of Twisted's UDP transport, whose interface has no types."""
+
+    def write(self, data: bytes, address: tuple[str, int], /) -> object:
+        """Send a datagram."""
+
+
+class StreamTransport(Protocol):
+    """What is used of Twisted's TCP transport, whose interface has no types."""
+
+    def setTcpNoDelay(self, enabled: bool, /) -> None:
+        """Send small segments at once, or wait for more."""
+
+    def getHandle(self) -> socket.socket:
+        """Return the socket."""
+
+    def loseConnection(self) -> None:
+        """Close the connection once all that was written has been sent."""
+
+    def abortConnection(self) -> None:
+        """Close the connection at once."""
+
+
 class DatagramSocket(DatagramProtocol):
     """Sends and receives datagrams; those that the fence accepts go to the handler."""
 
+    transport: DatagramTransport | None  # type: ignore[assignment]  # Twisted's type has no usable methods
+
     def __init__(self, port: int, fence: Fence, on_datagram: DatagramHandler) -> None:
         """All ingresses use the same port."""
         self._port = port
         self._fence = fence
         self._on_datagram = on_datagram
 
-    def datagramReceived(self, data: bytes, addr: Any) -> None:
-        """Handle a datagram from `addr`, a pair of host and port."""
+    def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:
+        """Handle a datagram that came from a host and port."""
         ip = ip_to_int(addr[0])
         received = self._fence.receive_datagram(ip, data)
         if received.refusal is not None:
@@ -56,27 +80,30 @@
     def _write(self, ip: int, data: bytes) -> None:
         if self.transport is None:
             return
-        try:
+        with suppress(OSError):  # no route, or no room in the buffer: the same as a datagram that is lost
             self.transport.write(data, (ip_from_int(ip), self._port))
-        except OSError:
-            pass  # no route, or no room in the buffer: the same as a datagram that is lost
 
 
 class MessageConnection(Int32StringReceiver):
     """A connection on which a call and its reply travel, each with its length in front."""
 
     MAX_LENGTH = MAX_MESSAGE_BYTES
+    transport: StreamTransport  # type: ignore[assignment]  # set before any method is called
 
     def connectionMade(self) -> None:
         """Set the socket's options."""
         self.transport.setTcpNoDelay(True)
         self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
+    def send_message(self, data: bytes) -> None:
+        """Send bytes with their length in front."""
+        self.sendString(data)  # type: ignore[no-untyped-call]  # Twisted does not annotate it
+
 
 class CalleeConnection(MessageConnection):
     """The called side: carries out one call and sends the reply; a second call on a connection breaks it off."""
 
-    factory: CalleeFactory
+    factory: CalleeFactory  #: set by the factory
 
     def __init__(self) -> None:
         """Start before the call has come."""
@@ -101,12 +128,12 @@
         if not call.refusal:
             self.transport.abortConnection()
             return
-        self.sendString(call.refusal)
+        self.send_message(call.refusal)
         self.transport.loseConnection()
 
     def _send_reply(self, reply: messages.Reply) -> None:
         if self.connected and self._call is not None:
-            self.sendString(self.factory.fence.stamp_reply(self._call, reply))
+            self.send_message(self.factory.fence.stamp_reply(self._call, reply))
 
     def _handle_failure(self, _: Failure) -> None:
         self.transport.abortConnection()
@@ -115,8 +142,8 @@
 class CalleeFactory(ServerFactory):
     """Makes the called side of each connection that comes in."""
 
-    protocol = CalleeConnection
-    noisy: ClassVar[bool] = False
+    protocol = CalleeConnection  # type: ignore[assignment]  # Twisted wants a type that sets the factory itself
+    noisy = False
 
     def __init__(self, fence: Fence, on_call: CallHandler) -> None:
         """Calls that the fence accepts go to the handler."""
@@ -171,10 +198,11 @@
         self._done: Deferred[messages.Reply] = Deferred()
         self._connection: CallerConnection | None = None
 
-    def start(self, reactor: Any, port: int, timeout_s: float) -> Deferred[messages.Reply]:
+    def start(self, reactor: Reactor, port: int, timeout_s: float) -> Deferred[messages.Reply]:
         """Dial; the result fires with the reply, or with why there is none within the time-out."""
         address = ip_from_int(self._ip), port
-        self._dialing = dial(reactor, address, self._make_connection, timeout_s)
+        make_connection: Any = self._make_connection  # `dial` is typed for HTTP streams, and uses `up` alone
+        self._dialing = dial(reactor, address, make_connection, timeout_s)
         self._timer = reactor.callLater(timeout_s, self._time_out)
         self._dialing.addCallbacks(self._send_request, self._fail)
         return self._done.addBoth(self._stop_timer)
@@ -184,7 +212,7 @@
 
     def _send_request(self, connection: CallerConnection) -> None:
         self._connection = connection
-        connection.sendString(self._request)
+        connection.send_message(self._request)
 
     def _fail(self, reason: Failure) -> None:
         if not self._done.called:
