--- /dev/null
+++ b/tests/balancer/transport/test_fencing_of_nodes.py
@@ -0,0 +1,198 @@
+"""Whole nodes in the simulation, with the faults of a network; each fault is found without its defence."""
+
+import logging
+import unittest
+from collections import Counter
+from unittest import mock
+
+from mapleline.balancer.control.replica_monitor import ReplicaMonitor
+from mapleline.balancer.membership.table import MembershipTable
+from mapleline.balancer.quota.client import QuotaClient
+from mapleline.balancer.quota.counters import CounterTable
+from mapleline.balancer.transport import messages
+from mapleline.balancer.transport.errors import DropReason
+from mapleline.balancer.transport.fencing import Fence
+from mapleline.balancer.transport.messages import Accepted, LoadReport, Promised
+from mapleline.balancer.transport.stamps import CALL_STAMPS_BYTES, CallStamps
+from mapleline.simulation.final_fault import RESTART_S, FinalFault, check_read_back
+from mapleline.simulation.invariants import Rule
+from mapleline.simulation.runner import RunOptions, run_scenario
+from mapleline.simulation.scenario import ZONES, Scenario
+from mapleline.simulation.world import Topology, World
+
+
+class TestNodes(unittest.TestCase):
+    """Whole nodes on a network that duplicates, delays and misroutes what they send."""
+
+    def setUp(self):
+        logging.disable(logging.CRITICAL)
+        self.addCleanup(logging.disable, logging.NOTSET)
+
+    def world(self):
+        world = World(4, Topology(ZONES, servers_per_zone={"slots": 1}))
+        world.start()
+        world.run(6.0)
+        return world
+
+    def test_a_late_heartbeat_makes_no_endpoint_list_seem_fresh(self):
+        world = self.world()
+        one, other = [m for m in world.machines.values() if m.disk is None][:2]
+        late = one.node.heartbeats.make_heartbeat()
+        world.platform.unreachable_from |= set(world.machines)  # from here on no list is fresh
+        world.run(3.0)
+
+        def fetched():
+            before = other.node.endpoints.fetched_at
+            other.node.dispatcher.receive(one.ip, late)
+            return other.node.endpoints.fetched_at - before
+
+        self.assertEqual(fetched(), 0.0)
+
+        def merge_undated(self, now, rows, merge=MembershipTable.merge):
+            fresh, self.last_merge_sent_at = merge(self, now, rows), now
+            return fresh
+
+        with (
+            mock.patch.object(MembershipTable, "is_superseded", return_value=False),
+            mock.patch.object(MembershipTable, "merge", merge_undated),
+        ):  # either of the two defences is enough
+            self.assertGreater(fetched(), 1.0)
+
+    def test_a_load_report_that_was_overtaken_is_dropped(self):
+        def reported():
+            one, other = [m for m in self.world().machines.values() if m.zone == "a1"]
+            for report in (LoadReport({7: 3}, {}, 1), LoadReport({7: 5}, {}, 2), LoadReport({7: 3}, {}, 1)):
+                other.node.dispatcher.receive(one.ip, report)
+            return other.node.proxy.near[one.ip][1].in_flight
+
+        self.assertEqual(reported(), {7: 5})
+        with mock.patch.object(Fence, "accept_sequence", return_value=True):
+            self.assertEqual(reported(), {7: 3})
+
+    def test_a_machine_whose_clock_was_set_back_is_the_newest_after_its_first_exchange(self):
+        def is_newest_at_once():
+            world = self.world()
+            one = next(m for m in world.machines.values() if m.disk is None)
+            earlier = one.node.membership.local_member.incarnation
+            one.kill()
+            world.run(9.0)  # nobody sends it heartbeats any more
+            one.clock_skew_s = -100.0
+            one.start()
+            world.run(0.8)
+            at_once = one.node.membership.local_member.incarnation > earlier
+            world.run(1.5)
+            for other in world.machines.values():
+                self.assertIn(one.ip, {m.ip for m in other.node.membership.alive(world.now)})
+            return at_once
+
+        self.assertTrue(is_newest_at_once())
+        with mock.patch.object(Fence, "_refusal", return_value=None):
+            self.assertFalse(is_newest_at_once())  # only later, when unreachable members are sent heartbeats
+
+    def test_each_increment_counts_once_under_duplicates_and_delays(self):
+        def faults(scenario):
+            world = scenario.world
+            network = world.network
+            network.loss_rate = 0.0
+            network.duplicate_rate = 0.4
+            network.delayed_rate = 0.1
+            network.max_extra_delay_s = 1.0
+            scenario.clients.load_factors["t1"] = 4.0
+            scenario.clients.stops_at = world.now + 4.0
+
+        def mismatches():
+            """Return the violations, and counters whose replicas differ from what was admitted."""
+            admitted = {}
+
+            def complete(self, consultation, usage, answered_by=0):
+                done = consultation.ask.done
+
+                def count_admitted(answer):
+                    name = consultation.increment.tenant, consultation.increment.window
+                    is_admitted = done(answer)
+                    admitted[name] = admitted.get(name, 0) + bool(is_admitted)
+                    return is_admitted
+
+                consultation.ask.done = count_admitted
+                return real(self, consultation, usage, answered_by)
+
+            real = QuotaClient._complete
+            with mock.patch.object(QuotaClient, "_complete", complete):
+                result = run_scenario(3, faults, RunOptions(8.0, FinalFault.NONE, load=2.0))
+            found, scenario = result.violations, result.scenario
+            values = {}
+            for machine in scenario.world.machines.values():
+                for name, one in machine.node.quota_client.replica.table.counters.items():
+                    if one.rows:
+                        values.setdefault(name, set()).add(one.total)
+            self.assertGreater(sum(admitted[name] for name in values), 20)
+            return found, [
+                (name, totals, admitted[name]) for name, totals in values.items() if totals != {admitted[name]}
+            ]
+
+        self.assertEqual(mismatches(), ([], []))
+
+        def forget(self, key, units):
+            """Nothing is remembered."""
+
+        with mock.patch.object(CounterTable, "_remember", forget):
+            self.assertTrue(mismatches()[1])
+
+    def test_duplicates_delays_and_misrouted_replies_break_no_invariant(self):
+        def faults(scenario):
+            world = scenario.world
+            world.network.duplicate_rate = 0.2
+            world.network.delayed_rate = 0.03
+            world.network.misrouted_reply_rate = 0.3
+            scenario.clients.load_factors["t1"] = 6.0
+            one = next(m for m in world.machines.values() if m.disk is None)
+            for n in range(4):
+                world.after(0.5 + 1.5 * n, scenario.operators.replace_at_two_machines)
+            world.after(2.0, scenario.faults.kill, [one], 0.5)
+
+        for final_fault in (FinalFault.KILL, FinalFault.WIPE):
+            result = run_scenario(3, faults, RunOptions(9.0, final_fault))
+            scenario = result.scenario
+            self.assertEqual(result.violations, [], final_fault)
+            drops = sum((m.node.fence.dropped for m in scenario.world.machines.values() if m.is_running), Counter())
+            self.assertTrue(
+                {DropReason.OTHER_CALL, DropReason.SURPLUS_REPLY, DropReason.OUT_OF_ORDER} <= set(drops), drops
+            )
+
+    def test_a_reply_to_another_call_acknowledges_nothing(self):
+        def violations():
+            scenario = Scenario(3)
+            world = scenario.world
+            scenario.begin()
+            replicas = world.control_replicas
+            first = next(m for m in replicas if m.node.control_plane.monitor.coordinator(world.now) == m.ip)
+            earlier, others = {}, [m for m in replicas if m is not first]
+
+            def misroute(to, data):
+                """A replica that refuses seems to send what it sent when it granted."""
+                reply = messages.decode_reply(data[CALL_STAMPS_BYTES:])
+                kind = CallStamps.decode(data).sender_ip, type(reply)
+                if to != first.name or not isinstance(reply, Promised | Accepted):
+                    return data
+                return earlier.setdefault(kind, data) if reply.is_granted else earlier.get(kind, data)
+
+            world.network.route_reply = misroute
+            scenario.operators.replace_configuration(at=first)
+            world.run(1.0)
+            for machine in others:
+                machine.disk.refuses_writes = True
+            scenario.operators.replace_configuration(at=first)
+            world.run(1.5)
+            scenario.faults.kill(list(world.machines.values()), 0.5)
+            first.wipe_disk()
+            for machine in others:
+                machine.disk.refuses_writes = False
+            world.run(RESTART_S)
+            return check_read_back(scenario)
+
+        self.assertEqual(violations(), [])
+        with (
+            mock.patch.object(Fence, "_check_reply", return_value=None),
+            mock.patch.object(ReplicaMonitor, "record_turn", return_value=True),
+        ):  # either of the two defences is enough
+            self.assertIs(violations()[0].rule, Rule.LOST)
