--- a/mapleline/balancer/configuration.py
+++ b/mapleline/balancer/configuration.py
@@ -84,7 +84,7 @@
     cold_rate_s: float = 0.0
 
 
-class Limits(ConfigurationSection):
+class ClientLimits(ConfigurationSection):
     """What a client may send (bytes), and how long it may take over a header or stay idle (seconds)."""
 
     max_header_bytes: int = Field(default=16384, ge=1)
@@ -109,7 +109,7 @@
     config_version: int
     route_table: dict[str, Route]
     service_table: dict[str, Service]
-    limits: Limits = Limits()
+    limits: ClientLimits = ClientLimits()
     tenant_table: dict[str, Tenant] = {}
 
     @model_validator(mode="after")
