--- a/mapleline/balancer/cli/data_folder.py
+++ b/mapleline/balancer/cli/data_folder.py
@@ -17,9 +17,10 @@
 
 from ..control import migration
 from ..control.consensus import Acceptor, Record
+from ..control.errors import LegacyFormatError
 from ..control.migration import LegacyFolder
-from ..control.snapshot import FOLDER, Snapshot, make
-from ..control.state import State, digest
+from ..control.snapshot import FOLDER, SnapshotStore, make_folder
+from ..control.state import State, content_digest
 
 DUMP_FORMAT = 2
 LEGACY_DUMP_FORMAT = 1
@@ -38,7 +39,7 @@
 
     def committed_state(self) -> State | None:
         """Return the state that the replica knows to be chosen."""
-        return Acceptor(self.record).decided
+        return Acceptor(self.record).chosen_state
 
     def summary(self) -> str:
         """Return one line on what it holds."""
@@ -46,9 +47,9 @@
         if state is None:
             return "a replica that knows of no state yet"
         vote = "a voter" if state.is_voter(self.record.ip, self.record.disk) else "no voter"
-        has_only_committed = self.record.state in (None, state)
+        has_only_committed = self.record.accepted_state in (None, state)
         uncommitted = "" if has_only_committed else "; accepted beyond it, and not known to be chosen"
-        version = state.config[0] if state.config is not None else None
+        version = state.config.version if state.config is not None else None
         return (
             f"state {state.number} of system {state.system}, epoch {state.epoch}: {vote} of {len(state.voters)}; "
             f"config {version}, evacuated: {', '.join(state.evacuated) or 'none'}{uncommitted}"
@@ -66,7 +67,7 @@
                 f"{folder}: {_legacy_summary(legacy)}; it is no part of the present one: `config put` what "
                 "`archive dump --config` gives"
             )
-        put_aside = f"beside it {migration.FOLDER}, {_legacy_summary(legacy)}"
+        put_aside = f"beside it {migration.LEGACY_FOLDER}, {_legacy_summary(legacy)}"
         return _load(folder).map(lambda stored: f"{stored.summary()}; {put_aside}")
 
     return _load_legacy(folder).bind(check)
@@ -81,7 +82,7 @@
     """Return the configuration as it was sent, for `config put`."""
 
     def current(state: State, contents: dict[int, bytes]) -> str | None:
-        return contents[state.config[1]].decode() if state.config is not None else None
+        return contents[state.config.digest].decode() if state.config is not None else None
 
     def legacy(entries: LegacyFolder) -> str | None:
         return entries.config.body.decode() if entries.config is not None else None
@@ -99,14 +100,14 @@
         state, contents = _parse_dump(dump)
     except DumpError as error:
         return Error(str(error))
-    store = Snapshot(str(folder))
+    store = SnapshotStore(str(folder))
     try:
         if store.folder.exists() and any(store.folder.iterdir()):
             return Error(f"{folder}: holds a word already; nothing was changed")
-        if state.config is not None and state.config[1] not in contents:
-            return Error(f"no dump of a word: content {state.config[1]:016x} is missing")
-        make(store.folder)
-        store.save(Record(0, 0, decided=state, turn=1), contents)
+        if state.config is not None and state.config.digest not in contents:
+            return Error(f"no dump of a word: content {state.config.digest:016x} is missing")
+        make_folder(store.folder)
+        store.save(Record(0, 0, earlier_chosen=state, version=1), contents)
     except OSError as error:
         return Error(f"{folder}: {error.strerror}")
     return Ok(f"state {state.number} written")
@@ -120,11 +121,11 @@
     if not (folder / FOLDER).is_dir():
         return Error(f"{folder}: holds no word")
     try:
-        record, contents, faults = Snapshot(str(folder)).load()
+        record, contents, faults = SnapshotStore(str(folder)).load()
     except OSError as error:
         return Error(f"{folder}: {error.strerror}")
     if faults:
-        return Error(f"{folder}: {'; '.join(faults)}")
+        return Error(f"{folder}: {'; '.join(map(str, faults))}")
     if record is None:
         return Error(f"{folder}: holds no record of a replica")
     return Ok(StoredReplica(record, contents))
@@ -133,15 +134,16 @@
 def _load_legacy(folder: Path) -> Result[LegacyFolder | None, str]:
     """Read what a folder holds of the earlier format, in use or put aside."""
     try:
-        legacy = migration.load(folder)
+        return Ok(migration.load_legacy(folder))
+    except LegacyFormatError as error:
+        return Error(str(error))
     except OSError as error:
         return Error(f"{folder}: {error.strerror}")
-    return Error(legacy) if isinstance(legacy, str) else Ok(legacy)
 
 
 def _is_legacy_in_use(folder: Path) -> bool:
     state_folder = folder / FOLDER
-    return state_folder.is_dir() and any(migration.is_of(path.name) for path in state_folder.iterdir())
+    return state_folder.is_dir() and any(migration.is_legacy_file(path.name) for path in state_folder.iterdir())
 
 
 def _legacy_summary(legacy: LegacyFolder) -> str:
@@ -181,8 +183,8 @@
 def _dump_state(state: State, contents: dict[int, bytes]) -> str:
     bodies = {}
     if state.config is not None:
-        content_digest = state.config[1]
-        bodies[f"{content_digest:016x}"] = base64.b64encode(contents[content_digest]).decode()
+        digest = state.config.digest
+        bodies[f"{digest:016x}"] = base64.b64encode(contents[digest]).decode()
     fields = dict(zip(State.__struct_fields__, msgspec.to_builtins(state), strict=True))
     return json.dumps({"mapleline": DUMP_FORMAT, "state": fields, "contents": bodies}, indent=1)
 
@@ -215,6 +217,6 @@
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise DumpError(f"no dump of a word: {error}") from error
     for name, body in contents.items():
-        if digest(body) != name:
+        if content_digest(body) != name:
             raise DumpError(f"no dump of a word: content {name:016x} is another's")
     return state, contents
--- a/mapleline/balancer/cli/trial/scenario.py
+++ b/mapleline/balancer/cli/trial/scenario.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from ...control.snapshot import ASIDE, FOLDER
+from ...control.snapshot import FOLDER, QUARANTINE_FOLDER
 from ..operator_client import ask, rollback
 from .cluster import HttpAnswer, TrialCluster
 from .frozen_node_observer import FREEZE_S, LOOKUP_PATH, FrozenNodeObserver
@@ -242,7 +242,7 @@
     def is_torn_file_repaired(self, name: str) -> bool:
         """Return whether the torn file was logged and put aside, and the node votes again."""
         log = self._cluster.log_path(name).read_text()
-        put_aside = list((self._cluster.folder / name / ASIDE).glob("c-*"))
+        put_aside = list((self._cluster.folder / name / QUARANTINE_FOLDER).glob("c-*"))
         return self.is_formed(name) and "archive: bad file" in log and bool(put_aside)
 
     def join(self) -> None:
--- a/mapleline/balancer/control/__init__.py
+++ b/mapleline/balancer/control/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's word: one agreed state of the system, decided by ballots of the core (docs/design/control.md)."""
+"""The control plane: one replicated state of the system, agreed by the control replicas (docs/design/control.md)."""
--- a/mapleline/balancer/control/api.py
+++ b/mapleline/balancer/control/api.py
@@ -18,9 +18,9 @@
 from ..proxy.listener import ClientConnection
 from ..transport.addresses import ip_from_int, ip_to_int
 from .audit_log import AuditLog
-from .commands import CONFLICT, DONE, UNSURE, Command, CommandResult, ReplaceConfiguration, SetEvacuation
+from .commands import Command, CommandResult, CommandStatus, ReplaceConfiguration, SetEvacuation
 from .control_plane import ControlPlane
-from .state import digest
+from .state import content_digest
 
 JSON = b"Content-Type: application/json\r\n"
 HUNG_UP_S = 0.01  # a turn of the reactor: then it knows of an end that came behind a request
@@ -42,12 +42,12 @@
                 self.with_read_lease(client_conn, self.read)
             case "GET", ["config", "history"]:
                 self.with_read_lease(
-                    client_conn, lambda client_conn: self.history(client_conn, path, lambda kept: kept.rows())
+                    client_conn, lambda client_conn: self.history(client_conn, path, lambda kept: kept.history())
                 )
             case "GET", ["config", "history", version] if version.isdigit():
                 self.with_read_lease(
                     client_conn,
-                    lambda client_conn: self.history(client_conn, path, lambda kept: kept.body(int(version))),
+                    lambda client_conn: self.history(client_conn, path, lambda kept: kept.configuration(int(version))),
                 )
             case "POST", ["evacuations", zone, "begin" | "finish" as order]:
                 if zone not in self.settings.zones:
@@ -74,7 +74,9 @@
         )
 
     def unsure(self, client_conn: ClientConnection, text: str = "") -> None:
-        client_conn.reply(UNSURE, text.encode() or b"no majority of the core can be reached", b"Retry-After: 0.3\r\n")
+        client_conn.reply(
+            CommandStatus.UNCERTAIN, text.encode() or b"no majority of the core can be reached", b"Retry-After: 0.3\r\n"
+        )
 
     def submit(self, client_conn: ClientConnection, order: Command, body: bytes | None, key: str, version: Any) -> None:
         """An order that is put to the core, unless its caller has hung up: a process that was frozen finds orders in
@@ -101,17 +103,24 @@
 
         def answered(outcome: CommandResult) -> None:
             took = round(control_plane.reactor.seconds() - began, 3)
-            text = {DONE: "acknowledged", CONFLICT: "refused"}.get(outcome.status, "not acknowledged")
+            text = {CommandStatus.DONE: "acknowledged", CommandStatus.CONFLICT: "refused"}.get(
+                outcome.status, "not acknowledged"
+            )
             say("archive", text, key=key, version=version, took=took)
             if control_plane.audit_log is not None:
-                kept = outcome.status == DONE
+                kept = outcome.status == CommandStatus.DONE
                 number = version if isinstance(version, int) else 0
                 control_plane.recall(
-                    control_plane.audit_log.order, control_plane.environment.unix_time(), key, number, kept, took
+                    control_plane.audit_log.record_command,
+                    control_plane.environment.unix_time(),
+                    key,
+                    number,
+                    kept,
+                    took,
                 )
-            if outcome.status == DONE:
-                client_conn.reply(DONE, b"{}", JSON)
-            elif outcome.status == UNSURE:
+            if outcome.status == CommandStatus.DONE:
+                client_conn.reply(CommandStatus.DONE, b"{}", JSON)
+            elif outcome.status == CommandStatus.UNCERTAIN:
                 self.unsure(client_conn, outcome.text)
             else:
                 client_conn.reply(outcome.status, outcome.text.encode())
@@ -125,7 +134,7 @@
         except ConfigurationError as err:
             return client_conn.reply(400, str(err).encode())
         version = config.config_version
-        self.submit(client_conn, ReplaceConfiguration(version, digest(body)), body, "config", version)
+        self.submit(client_conn, ReplaceConfiguration(version, content_digest(body)), body, "config", version)
 
     def evacuate(self, client_conn: ClientConnection, zone: str, order: str) -> None:
         known = self.control_plane.committed.number
--- a/mapleline/balancer/control/committed_state.py
+++ b/mapleline/balancer/control/committed_state.py
@@ -1,15 +1,19 @@
-"""What one ingress holds: the newest state that is known to be chosen, and the contents that states name (pure)."""
+"""The newest state that a node knows to be chosen, and the configurations it holds (pure)."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from .snapshot import whole
-from .state import State, digest
+from .state import State, content_digest, has_contents
 
 
 class CommittedState:
-    """`state` only climbs in one life."""
+    """The committed state of one process; `state` only climbs.
+
+    Attributes:
+        state: the newest state known to be chosen.
+        contents: bodies of configurations by their digest, also of states that are not chosen yet.
+    """
 
     def __init__(self) -> None:
         self.state: State | None = None
@@ -17,34 +21,38 @@
 
     @property
     def number(self) -> int:
-        """Of the state that is held; 0 for none."""
+        """The number of the state; 0 for none."""
         return self.state.number if self.state is not None else 0
 
     @property
-    def content(self) -> int:
+    def digest(self) -> int:
         """The digest of the configuration in force; 0 for none."""
-        return self.state.config[1] if self.state is not None and self.state.config is not None else 0
+        return self.state.config.digest if self.state is not None and self.state.config is not None else 0
 
     @property
     def body(self) -> bytes | None:
         """The configuration in force, as it was sent."""
-        return self.contents.get(self.content)
+        return self.contents.get(self.digest)
+
+    def add_body(self, state: State, body: bytes | None) -> bool:
+        """Keep a body that came with a state, if it is the one that the state references.
 
-    def put(self, state: State, body: bytes | None) -> bool:
-        """A body that came with a state, if it is what the state names; says whether all that it names is here."""
-        if body is not None and state.config is not None and digest(body) == state.config[1]:
-            self.contents[state.config[1]] = body
-        return whole(state, self.contents)
+        Returns:
+            Whether the body that the state references is held now.
+        """
+        if body is not None and state.config is not None and content_digest(body) == state.config.digest:
+            self.contents[state.config.digest] = body
+        return has_contents(state, self.contents)
 
-    def newer(self, state: State) -> bool:
-        """Whether a chosen state is of this system and beyond what is held."""
+    def is_newer(self, state: State) -> bool:
+        """Return whether a chosen state is of this system and newer than the one held."""
         return self.state is None or state.number > self.state.number and state.system == self.state.system
 
-    def prune(self, wanted: Iterable[int]) -> None:
-        """Only bodies that something names stay."""
-        keep = {*wanted, self.content}
-        self.contents = {name: body for name, body in self.contents.items() if name in keep}
+    def prune_contents(self, referenced: Iterable[int]) -> None:
+        """Drop all bodies but the one in force and those of the given digests."""
+        kept = {*referenced, self.digest}
+        self.contents = {digest: body for digest, body in self.contents.items() if digest in kept}
 
-    def voters(self) -> list[int]:
-        """Addresses of those whose word counts."""
-        return sorted({r.ip for r in self.state.members()}) if self.state is not None else []
+    def voter_ips(self) -> list[int]:
+        """Return the addresses of all voters, ascending; none where no state is known."""
+        return sorted({voter.ip for voter in self.state.all_voters()}) if self.state is not None else []
--- a/mapleline/balancer/control/control_plane.py
+++ b/mapleline/balancer/control/control_plane.py
@@ -15,13 +15,13 @@
 from ..settings import Settings
 from ..transport.messages import Accept, Call, FetchedState, FetchState, Prepare, Propose, StateQuery
 from ..transport.messages import StateReport as StateReport
-from .commands import CONFLICT, Command, CommandResult, RemoveReplica
+from .commands import Command, CommandResult, CommandStatus, RemoveReplica
 from .committed_state import CommittedState
 from .proposer import CALL_S, Proposer
 from .read_lease import ReadLease
 from .replica import LocalReplica
 from .replica_monitor import ReplicaMonitor
-from .state import State
+from .state import ReplicaId, State
 
 PROBE_S, PROBE_HASTE_S, RELAYS = 1.0, 0.15, 2
 WANTING_S = 0.6  # a beat, and the way from the core
@@ -89,7 +89,7 @@
 
     def current_as_of(self) -> float:
         """Everything chosen before that moment is held here."""
-        return self.read_lease.since(self.committed.state)
+        return self.read_lease.valid_since(self.committed.state)
 
     def probe(self) -> None:
         """Often while contact is wanting, and at leisure while it is fresh."""
@@ -102,7 +102,7 @@
     def ask_core(self) -> None:
         """Ask each replica what it holds; and some others, where these are out of reach."""
         now = self.reactor.seconds()
-        asked = set(self.committed.voters())
+        asked = set(self.committed.voter_ips())
         if self.replica.store is not None or not asked:
             asked |= {m.ip for m in self.membership.alive(now, MemberFlags.HAS_DISK)}
         if now - self.current_as_of() > 2 * PROBE_S:
@@ -119,9 +119,9 @@
 
     def _ask_self(self, now: float) -> None:
         if self.replica.is_voter:
-            accepted = self.replica.acceptor.state
+            accepted = self.replica.acceptor.accepted_state
             if accepted is None or accepted.number <= self.committed.number:
-                self.read_lease.agree(self.me, self.replica.disk, now)
+                self.read_lease.on_agreement(ReplicaId(self.me, self.replica.disk), now)
         self._confirmed()
 
     def handle_state_query(self, ip: int, probe: StateQuery) -> None:
@@ -138,10 +138,10 @@
                 StateReport(
                     probe.nonce,
                     acceptor.disk,
-                    acceptor.turn,
-                    acceptor.accepted,
+                    acceptor.durable_version,
+                    acceptor.durable_accepted_number,
                     number,
-                    acceptor.kept,
+                    acceptor.durable_chosen_number,
                     age_ms,
                     *known,
                     replica.is_verified,
@@ -169,9 +169,9 @@
     def _agree(self, ip: int, said: StateReport, asked: float) -> None:
         number = self.committed.number
         if said.disk_id and said.accepted_number <= number:
-            self.read_lease.agree(ip, said.disk_id, asked)
+            self.read_lease.on_agreement(ReplicaId(ip, said.disk_id), asked)
         if said.staleness_ms >= 0 and said.committed_number <= number:
-            self.read_lease.relay(asked, said.staleness_ms / 1000)
+            self.read_lease.on_relayed_lease(asked, said.staleness_ms / 1000)
         self._confirmed()
 
     def _confirmed(self) -> None:
@@ -237,16 +237,16 @@
             if then is not None:
                 then()
 
-        call = FetchState(self.committed.number, self.committed.content, self.replica.store is not None, state, servers)
+        call = FetchState(self.committed.number, self.committed.digest, self.replica.store is not None, state, servers)
         self.environment.call(ip, call, CALL_S).addBoth(pulled)
 
     def learn(self, state: State, body: bytes | None) -> None:
         """A chosen state, from who holds it.  One as it goes to machines without a disk is nothing for a replica."""
         brief = state.config is not None and not state.past
         if (
-            self.committed.newer(state)
+            self.committed.is_newer(state)
             and not (brief and self.replica.store is not None)
-            and self.committed.put(state, body)
+            and self.committed.add_body(state, body)
         ):
             self.replica.learn(state)
             self._hold(state)
@@ -259,22 +259,22 @@
     def _hold(self, state: State) -> None:
         """That is chosen: it is in force here if it is newer than what was held."""
         before = self.committed.state
-        if not self.committed.newer(state):
+        if not self.committed.is_newer(state):
             return
         self.committed.state, self.wanting = state, None
         if before is None or before.epoch != state.epoch:
-            self.read_lease.keep(state)
-            self.membership.retained_ips = set(self.committed.voters())
-            for one in state.members():
+            self.read_lease.retain_voters(state)
+            self.membership.retained_ips = set(self.committed.voter_ips())
+            for one in state.all_voters():
                 self.membership.add_member(one.ip, one.zone, MemberFlags.HAS_DISK)
             say("archive", "members", epoch=state.epoch, voters=len(state.voters), former=len(state.former))
-        self.committed.prune(self.replica.names() | self.proposer.names())
+        self.committed.prune_contents(self.replica.names() | self.proposer.names())
         self.in_force(before)
         if self.replica.store is not None:
             self.teach()
         if self.audit_log is not None:
             for change in self._changes(before, state):
-                self.recall(self.audit_log.keep, self.environment.unix_time(), *change)
+                self.recall(self.audit_log.record_change, self.environment.unix_time(), *change)
 
     def _changes(self, before: State | None, state: State) -> list[tuple[str, int, str, bytes]]:
         found = []
@@ -310,8 +310,8 @@
     def _give(self, call: FetchState) -> FetchedState:
         held, state, body = self.committed, None, None
         if call.wants_state and held.number > call.known_number:
-            state = held.state if call.wants_full_state else held.state.brief()
-            body = held.body if held.content != call.known_content else None
+            state = held.state if call.wants_full_state else held.state.without_past()
+            body = held.body if held.digest != call.known_content else None
         return FetchedState(state, body, *self.give_list()) if call.wants_endpoints else FetchedState(state, body)
 
     # -- orders, leaving, repair ---------------------------------------------------------------------------
@@ -322,8 +322,8 @@
 
     def remove_replica(self, ip: int, timeout_s: float) -> Deferred:
         """Let a machine of the core go that is gone for good; refused while it is there."""
-        if ip in self.committed.voters() and ip in {m.ip for m in self.membership.alive(self.reactor.seconds())}:
-            return succeed(CommandResult(CONFLICT, "it is there: stop it first"))
+        if ip in self.committed.voter_ips() and ip in {m.ip for m in self.membership.alive(self.reactor.seconds())}:
+            return succeed(CommandResult(CommandStatus.CONFLICT, "it is there: stop it first"))
         return self.submit_command(RemoveReplica(ip), None, timeout_s)
 
     def mend(self) -> None:
@@ -339,7 +339,7 @@
             "system": state.system if known else None,
             "epoch": state.epoch if known else None,
             "number": self.committed.number,
-            "config_version": state.config[0] if known and state.config is not None else None,
+            "config_version": state.config.version if known and state.config is not None else None,
             "evacuated": list(state.evacuated) if known else [],
             "members": self.monitor.rows(),
             "ballot": list(replica.acceptor.record.promised) if replica.disk else None,
--- a/mapleline/balancer/control/migration.py
+++ b/mapleline/balancer/control/migration.py
@@ -1,22 +1,33 @@
-"""The folder of the earlier format: a file for each register, read to carry its configuration over, never written.
+"""Reads the folder of the earlier format, in which each register had a file; nothing is written.
 
-What lies there was confirmed by other rules than ours, so it is no state of a replica: the operator sends the
-configuration anew (docs/system/control.md).
+What lies there was confirmed by other rules than those of today, so it is no state of a replica: the operator sends
+the configuration anew (docs/system/control.md).
 """
 
 from __future__ import annotations
 
 import os
+from dataclasses import dataclass
 from pathlib import Path
 from zlib import crc32
 
 import msgspec
 
+from .errors import LegacyFormatError
+
 MAGIC = b"mapleline word 1\n"
-FOLDER = "word-1"  #: where it is put aside
-FAULT = f"of the earlier format, put aside as {FOLDER}; `mapleline archive dump` reads it"
-CORE, REGISTER = "core", "r-"
-CONFIG, EVACUATION = "config", "evacuation/"
+
+#: Folder of the data directory that both formats use, and the one that files of the earlier format are moved to.
+SHARED_FOLDER = "word"
+LEGACY_FOLDER = "word-1"
+
+LEGACY_FAULT = f"of the earlier format, put aside as {LEGACY_FOLDER}; `mapleline archive dump` reads it"
+CORE_FILE = "core"
+REGISTER_PREFIX = "r-"
+TEMPORARY_SUFFIX = ".new"
+CONFIG_KEY = "config"
+EVACUATION_KEY_PREFIX = "evacuation/"
+EVACUATED = b"begin"
 
 
 class LegacyRegister(msgspec.Struct, array_like=True, frozen=True):
@@ -28,41 +39,58 @@
     body: bytes
 
 
-class LegacyFolder(msgspec.Struct):
-    """What such a folder says."""
+@dataclass(frozen=True, slots=True)
+class LegacyFolder:
+    """The registers of a folder of the earlier format.
+
+    Attributes:
+        entries: all registers, by file name.
+        config: the register of the configuration.
+        evacuated: the evacuated zones, by file name.
+    """
 
     entries: list[LegacyRegister]
     config: LegacyRegister | None
     evacuated: list[str]
 
 
-def is_of(name: str) -> bool:
-    """Whether a file of that name is of the earlier format."""
-    return name == CORE or name.startswith(REGISTER)
+def is_legacy_file(name: str) -> bool:
+    """Return whether a file of that name is of the earlier format."""
+    return name == CORE_FILE or name.startswith(REGISTER_PREFIX)
 
 
-def load(folder: Path) -> LegacyFolder | str | None:
-    """What the data folder holds of the earlier format, in use or put aside; a fault in one line; None if nothing."""
-    for place in (folder / "word", folder / FOLDER):
-        names = [name for name in sorted(os.listdir(place)) if is_of(name)] if place.is_dir() else []
+def load_legacy(data_folder: Path) -> LegacyFolder | None:
+    """Read the registers of a data folder, in use or moved away; None if there are none.
+
+    Raises:
+        LegacyFormatError: a file is torn, empty or foreign.
+        OSError: the folder cannot be read.
+    """
+    for folder in (data_folder / SHARED_FOLDER, data_folder / LEGACY_FOLDER):
+        names = [name for name in sorted(os.listdir(folder)) if is_legacy_file(name)] if folder.is_dir() else []
         if names:
-            return _read(place, [name for name in names if name != CORE and not name.endswith(".new")])
+            return _read_registers(folder, names)
     return None
 
 
-def _read(place: Path, names: list[str]) -> LegacyFolder | str:
-    entries = []
-    for name in names:
-        data = (place / name).read_bytes()
-        head, _, body = data.removeprefix(MAGIC).partition(b"\n")
-        try:
-            if not data.startswith(MAGIC) or head != b"%08x %d" % (crc32(body), len(body)):
-                raise msgspec.DecodeError("torn, empty or foreign")
-            entries.append(msgspec.msgpack.decode(body, type=LegacyRegister))
-        except msgspec.DecodeError as err:
-            return f"{place / name}: {err}"
-    config = next((one for one in entries if one.key == CONFIG), None)
+def _read_registers(folder: Path, names: list[str]) -> LegacyFolder:
+    registers = [name for name in names if name != CORE_FILE and not name.endswith(TEMPORARY_SUFFIX)]
+    entries = [_read_register(folder / name) for name in registers]
+    config = next((entry for entry in entries if entry.key == CONFIG_KEY), None)
     evacuated = [
-        one.key.removeprefix(EVACUATION) for one in entries if one.key.startswith(EVACUATION) and one.body == b"begin"
+        entry.key.removeprefix(EVACUATION_KEY_PREFIX)
+        for entry in entries
+        if entry.key.startswith(EVACUATION_KEY_PREFIX) and entry.body == EVACUATED
     ]
     return LegacyFolder(entries, config, evacuated)
+
+
+def _read_register(path: Path) -> LegacyRegister:
+    data = path.read_bytes()
+    header, _, body = data.removeprefix(MAGIC).partition(b"\n")
+    if not data.startswith(MAGIC) or header != b"%08x %d" % (crc32(body), len(body)):
+        raise LegacyFormatError(f"{path}: torn, empty or foreign")
+    try:
+        return msgspec.msgpack.decode(body, type=LegacyRegister)
+    except msgspec.DecodeError as err:
+        raise LegacyFormatError(f"{path}: {err}") from err
--- a/mapleline/balancer/control/proposer.py
+++ b/mapleline/balancer/control/proposer.py
@@ -13,13 +13,20 @@
 from ..settings import Settings
 from ..transport.addresses import ip_to_int
 from ..transport.messages import Accept, Accepted, Call, Chosen, Prepare, Promised, Propose, Proposed
-from .commands import UNSURE, Command, CommandResult, ReplaceConfiguration, batch
+from .commands import Command, CommandResult, CommandStatus, ReplaceConfiguration, apply_all
 from .committed_state import CommittedState
-from .consensus import NONE, Ballot, Proposal, Step
+from .consensus import NO_BALLOT, Ballot, NextStep, Proposal
 from .replica import LocalReplica
 from .replica_monitor import ReplicaMonitor
-from .snapshot import whole
-from .state import State, digest, founded, genesis, reformed, settled
+from .state import (
+    State,
+    begin_reconfiguration,
+    bootstrap,
+    content_digest,
+    finish_reconfiguration,
+    has_contents,
+    initial_state,
+)
 
 CALL_S = 1.5
 AGAIN_S = 0.15  # after a call that failed
@@ -69,14 +76,15 @@
         self.proposal: Proposal | None = None
         self.round = 0  #: the highest that was seen
         self.rest_until, self.lost = 0.0, 0  #: and how many ballots on end
-        self.limbo: tuple[Ballot, float] = (NONE, 0.0)  #: accepted, not known to be chosen, and when that is too long
+        #: accepted, not known to be chosen, and when that is too long
+        self.limbo: tuple[Ballot, float] = (NO_BALLOT, 0.0)
 
     # -- orders --------------------------------------------------------------------------------------------
 
     def submit(self, order: Command, body: bytes | None, timeout_s: float) -> Deferred:
         """Fires with the outcome of an operator's order: UNSURE if a majority could not be reached in time."""
         asked = _Asked(order, body, self.reactor.seconds() + timeout_s)
-        self.reactor.callLater(timeout_s, asked.answer, CommandResult(UNSURE))
+        self.reactor.callLater(timeout_s, asked.answer, CommandResult(CommandStatus.UNCERTAIN))
         self._route(asked, set())
         return asked.done
 
@@ -88,7 +96,7 @@
         untried = [m.ip for m in self.monitor.proposers(now) if m.ip not in tried]
         if not untried:
             if self._is_without_read_lease(now):
-                return asked.answer(CommandResult(UNSURE))
+                return asked.answer(CommandResult(CommandStatus.UNCERTAIN))
             return self.reactor.callLater(0.2, self._route, asked, set())
         ip = untried[0]
         if ip == self.me:
@@ -101,7 +109,7 @@
                 self._route(asked, tried | {ip})
 
         def answered(reply: Any) -> None:
-            if isinstance(reply, Proposed) and reply.status != UNSURE:
+            if isinstance(reply, Proposed) and reply.status != CommandStatus.UNCERTAIN:
                 asked.answer(CommandResult(reply.status, reply.text))
             else:
                 self.reactor.callLater(0.05, further)
@@ -113,28 +121,28 @@
     def passed_on(self, call: Propose) -> Any:
         """Another ingress passes an order on: what it is to be told, or a Deferred of that."""
         if not self.replica.is_voter:
-            return Proposed(UNSURE)
+            return Proposed(CommandStatus.UNCERTAIN)
         if isinstance(call.command, ReplaceConfiguration) and (
-            call.configuration_body is None or digest(call.configuration_body) != call.command.content
+            call.configuration_body is None or content_digest(call.configuration_body) != call.command.digest
         ):
-            return Proposed(UNSURE)
+            return Proposed(CommandStatus.UNCERTAIN)
         asked = _Asked(call.command, call.configuration_body, self.reactor.seconds() + 3 * RELAY_S)
-        self.reactor.callLater(3 * RELAY_S, asked.answer, CommandResult(UNSURE))
+        self.reactor.callLater(3 * RELAY_S, asked.answer, CommandResult(CommandStatus.UNCERTAIN))
         self._take(asked)
         return asked.done.addCallback(lambda outcome: Proposed(*outcome))
 
     def _take(self, asked: _Asked) -> None:
         """An order that this one proposes itself."""
         if isinstance(asked.order, ReplaceConfiguration) and asked.body is not None:
-            self.committed.contents[asked.order.content] = asked.body
+            self.committed.contents[asked.order.digest] = asked.body
         self.orders.append(asked)
         self.look()
 
     def names(self) -> set[int]:
         """Contents that must not be forgotten."""
-        wanted = {one.order.content for one in self.orders if isinstance(one.order, ReplaceConfiguration)}
-        proposed = self.proposal.state if self.proposal is not None else None
-        return wanted | ({proposed.config[1]} if proposed is not None and proposed.config is not None else set())
+        wanted = {one.order.digest for one in self.orders if isinstance(one.order, ReplaceConfiguration)}
+        proposed = self.proposal.proposed_state if self.proposal is not None else None
+        return wanted | ({proposed.config.digest} if proposed is not None and proposed.config is not None else set())
 
     def _is_without_read_lease(self, now: float) -> bool:
         """Whether who asks here had better ask another: there was no contact for some questions on end."""
@@ -155,7 +163,7 @@
             return
         if state is None:
             if self.monitor.may_found(now):
-                self._begin(genesis(ip_to_int(at) for at, _ in self.settings.seed_nodes), self._found)
+                self._begin(initial_state(ip_to_int(at) for at, _ in self.settings.seed_nodes), self._found)
         elif self.replica.is_voter and (
             self.orders
             or self._in_limbo(now)
@@ -168,34 +176,36 @@
     def _in_limbo(self, now: float) -> bool:
         """Something was accepted here, and whether it is chosen is not known: who proposed it may be gone."""
         record = self.replica.acceptor.record
-        if record.state is None or record.state.number <= self.committed.number:
+        if record.accepted_state is None or record.accepted_state.number <= self.committed.number:
             return False
-        if self.limbo[0] != record.ballot:
-            self.limbo = record.ballot, now + LIMBO_S * self.rng.uniform(1.0, 2.0)
+        if self.limbo[0] != record.accepted_ballot:
+            self.limbo = record.accepted_ballot, now + LIMBO_S * self.rng.uniform(1.0, 2.0)
         return now > self.limbo[1]
 
     def _found(self, base: State) -> State:
         """The first core; another's, if one was accepted already."""
-        return founded(base, self.rng.getrandbits(31) | 1, self.monitor.first(self.reactor.seconds()))
+        return bootstrap(base, self.rng.getrandbits(31) | 1, self.monitor.first(self.reactor.seconds()))
 
     def _next(self, base: State) -> State:
         """What the orders at hand make of a state, and the members' change that is due."""
         known = base == self.committed.state  # so that it is known to be chosen
         self.taken = [one for one in self.orders if not one.done.called]
-        state, self.outcomes = batch(
-            settled(base) if known else base, [one.order for one in self.taken], self.monitor.losses, self.monitor.zones
+        state, self.outcomes = apply_all(
+            finish_reconfiguration(base) if known else base,
+            [one.order for one in self.taken],
+            self.monitor.tolerance,
         )
         if known and not base.former and not state.former:
             voters = self.monitor.due(state, self.reactor.seconds())
-            state = reformed(state, voters) if voters is not None else state
+            state = begin_reconfiguration(state, voters) if voters is not None else state
         return state
 
     # -- one ballot ----------------------------------------------------------------------------------------
 
     def _begin(self, known: State, change: Callable[[State], State]) -> None:
         self.taken, self.outcomes = [], []
-        self.round = max(self.round, self.replica.acceptor.record.promised[0]) + 1
-        proposal = self.proposal = Proposal((self.round, self.me, self.replica.disk), known, change)
+        self.round = max(self.round, self.replica.acceptor.record.promised.round) + 1
+        proposal = self.proposal = Proposal(Ballot(self.round, self.me, self.replica.disk), known, change)
         self.reactor.callLater(ROUND_S, self._give_up, proposal)
 
         def first(reply: Promised) -> None:
@@ -206,14 +216,17 @@
                 self._give_up(proposal)
 
         own = maybeDeferred(
-            self.replica.prepare, Prepare(proposal.ballot, proposal.known.number, self.committed.content)
+            self.replica.prepare, Prepare(proposal.ballot, proposal.known_state.number, self.committed.digest)
         )
         own.addCallback(first).addErrback(self._fault)
 
     def _ask(self, proposal: Proposal) -> None:
-        for ip in proposal.to_ask():
+        for ip in proposal.take_prepare_targets():
             self._call(
-                ip, Prepare(proposal.ballot, proposal.known.number, self.committed.content), self._promised, proposal
+                ip,
+                Prepare(proposal.ballot, proposal.known_state.number, self.committed.digest),
+                self._promised,
+                proposal,
             )
 
     def _call(self, ip: int, call: Call, then: Callable[..., None], proposal: Proposal) -> None:
@@ -255,47 +268,45 @@
         ):
             return
         if reply.accepted_state is not None:
-            self.committed.put(reply.accepted_state, reply.configuration_body)
+            self.committed.add_body(reply.accepted_state, reply.configuration_body)
         self._step(
             proposal,
-            proposal.promised(
-                ip, reply.disk_id, reply.is_granted, reply.promised_ballot, reply.accepted_ballot, reply.accepted_state
-            ),
+            proposal.on_prepare_reply(ip, reply),
         )
 
     def _accepted(self, proposal: Proposal, ip: int, reply: Any) -> None:
         if not isinstance(reply, Accepted) or proposal is not self.proposal:
             return
         if reply.needs_body:
-            body = self.committed.contents[proposal.state.config[1]]
-            self._call(ip, Accept(proposal.ballot, proposal.state, body), self._accepted, proposal)
+            body = self.committed.contents[proposal.proposed_state.config.digest]
+            self._call(ip, Accept(proposal.ballot, proposal.proposed_state, body), self._accepted, proposal)
         elif reply.is_granted or reply.disk_id:
-            self._step(proposal, proposal.accepted(ip, reply.disk_id, reply.is_granted, reply.promised_ballot))
+            self._step(proposal, proposal.on_accept_reply(ip, reply))
 
-    def _step(self, proposal: Proposal, step: Step) -> None:
+    def _step(self, proposal: Proposal, step: NextStep) -> None:
         match step:
-            case Step.ASK:
+            case NextStep.PREPARE:
                 self._ask(proposal)
-            case Step.ACCEPT if whole(proposal.state, self.committed.contents):
-                base, state = proposal.base, proposal.state
+            case NextStep.ACCEPT if has_contents(proposal.proposed_state, self.committed.contents):
+                base, state = proposal.base, proposal.proposed_state
                 fresh = state.config is not None and state.config != base.config
-                body = self.committed.contents[state.config[1]] if fresh else None
-                for ip in proposal.to_accept():
+                body = self.committed.contents[state.config.digest] if fresh else None
+                for ip in proposal.accept_targets():
                     self._call(ip, Accept(proposal.ballot, state, body), self._accepted, proposal)
-            case Step.CHOSEN:
+            case NextStep.CHOSEN:
                 self._won(proposal)
-            case Step.LOST:
-                self.round = max(self.round, proposal.highest[0])
+            case NextStep.PREEMPTED:
+                self.round = max(self.round, proposal.highest_ballot.round)
                 self._give_up(proposal)
 
     def _won(self, proposal: Proposal) -> None:
         """The state is chosen: all who voted are told."""
         self.lost = 0
-        self.proposal, chosen = None, Chosen(proposal.ballot, proposal.state.number)
-        for ip in proposal.to_accept():
+        self.proposal, chosen = None, Chosen(proposal.ballot, proposal.proposed_state.number)
+        for ip in proposal.accept_targets():
             if ip != self.me:
                 self.environment.send(ip, chosen)
-        self.won(proposal.state)
+        self.won(proposal.proposed_state)
         for one, outcome in zip(self.taken, self.outcomes, strict=True):
             one.answer(outcome)
         self.look()
@@ -307,7 +318,7 @@
         self.proposal, now = None, self.reactor.seconds()
         if self._is_without_read_lease(now) or self.replica.fault is not None:
             for one in self.orders:
-                one.answer(CommandResult(UNSURE))
+                one.answer(CommandResult(CommandStatus.UNCERTAIN))
         rest = self.rng.uniform(0.02, min(REST_MOST_S, REST_S * 2**self.lost))
         self.lost = min(self.lost + 1, LOST_MOST)
         self.rest_until = now + rest
--- a/mapleline/balancer/control/read_lease.py
+++ b/mapleline/balancer/control/read_lease.py
@@ -1,48 +1,58 @@
-"""How sure one ingress is that it holds the newest: by ages, never by times of day (pure).
+"""The read lease: until when a node is certain to hold the newest chosen state (pure; times are arguments).
 
-A machine speaks for the system only after contact with a majority: each of more than half of the voters, asked at some
-moment, had accepted nothing beyond what is held here.  Whatever was chosen before the oldest of these moments is held
-here, since the first state chosen after ours stands on a majority of the same voters.
+Ages on the steady clock, never times of day.  A node answers for the system only after contact with a majority: each
+of more than half of the voters, asked at some moment, had accepted nothing beyond the state held here.  Whatever was
+chosen before the oldest of these moments is held here, since the first state chosen after it stands on a majority of
+the same voters, one of which answered and would have shown it (docs/design/control.md, point 1).
 """
 
 from __future__ import annotations
 
-from .state import Replica, State
+from .state import Replica, ReplicaId, State
 
+#: The moment that a lease is valid since where there is none.
 NEVER = float("-inf")
 
 
 class ReadLease:
-    """`since(state)`: everything that was chosen before that moment is held."""
+    """Collects the answers of voters, and what other nodes pass on of theirs; all times are steady seconds."""
 
     def __init__(self) -> None:
-        self.asked: dict[tuple[int, int], float] = {}  #: by address and disk: when that one was asked
-        self.relayed = NEVER  #: the same certainty at second hand
+        self._asked_at: dict[ReplicaId, float] = {}
+        self._relayed_since = NEVER
 
-    def agree(self, ip: int, disk: int, asked: float) -> None:
-        """That replica, asked at that time, had accepted nothing beyond what is held here now."""
-        self.asked[ip, disk] = max(asked, self.asked.get((ip, disk), NEVER))
+    def on_agreement(self, replica_id: ReplicaId, asked_at: float) -> None:
+        """Take in that a replica, asked at that time, had accepted nothing beyond the state held here now."""
+        self._asked_at[replica_id] = max(asked_at, self._asked_at.get(replica_id, NEVER))
 
-    def relay(self, asked: float, age: float) -> None:
-        """Another ingress, asked at that time, held nothing newer and was certain of what is that old.  The age counts
-        from the question: the answer was given no earlier.
+    def on_relayed_lease(self, asked_at: float, age_s: float) -> None:
+        """Take in that another node, asked at that time, held nothing newer and a lease of that age.
+
+        The age counts from the question, as the answer was given no earlier.
         """
-        self.relayed = max(self.relayed, asked - age)
+        self._relayed_since = max(self._relayed_since, asked_at - age_s)
 
-    def since(self, state: State | None) -> float:
-        """Minus infinity where nothing is known."""
+    def valid_since(self, state: State | None) -> float:
+        """Return the moment before which everything chosen is contained in `state`; `NEVER` if none is known."""
         if state is None or not state.number:
             return NEVER
-        own = min(self._majority(voters) for voters in (state.voters, state.former) if voters)
-        return max(own, self.relayed)
-
-    def _majority(self, voters: tuple[Replica, ...]) -> float:
-        times = sorted(
-            (max((at for one, at in self.asked.items() if r.is_at(*one)), default=NEVER) for r in voters), reverse=True
-        )
+        own = min(self._majority_asked_at(voters) for voters in (state.voters, state.former) if voters)
+        return max(own, self._relayed_since)
+
+    def retain_voters(self, state: State) -> None:
+        """Drop the answers of replicas that vote no more."""
+        voters = state.all_voters()
+        self._asked_at = {
+            replica_id: asked_at
+            for replica_id, asked_at in self._asked_at.items()
+            if any(voter.matches(replica_id) for voter in voters)
+        }
+
+    def _majority_asked_at(self, voters: tuple[Replica, ...]) -> float:
+        """Return the latest moment at or after which a majority of the voters was asked."""
+        times = sorted((self._voter_asked_at(voter) for voter in voters), reverse=True)
         return times[len(voters) // 2]
 
-    def keep(self, state: State) -> None:
-        """Replicas that do not count any more say nothing."""
-        members = state.members()
-        self.asked = {one: at for one, at in self.asked.items() if any(r.is_at(*one) for r in members)}
+    def _voter_asked_at(self, voter: Replica) -> float:
+        times = (asked_at for replica_id, asked_at in self._asked_at.items() if voter.matches(replica_id))
+        return max(times, default=NEVER)
--- a/mapleline/balancer/control/replica.py
+++ b/mapleline/balancer/control/replica.py
@@ -11,11 +11,9 @@
 from ..environment import Environment
 from ..logs import say
 from ..transport.messages import Accept, Accepted, Chosen, Prepare, Promised, Reply
-from . import migration
 from .committed_state import CommittedState
-from .consensus import Acceptor, Record
-from .snapshot import named, whole
-from .state import State
+from .consensus import Acceptor, Record, referenced_digests
+from .state import State, has_contents
 
 AGAIN_S = 1.0
 VOUCH_S = 1.0  # some questions on end: who has not answered by then is not there
@@ -51,24 +49,24 @@
             try:
                 record, contents, bad = self.store.load()
                 if bad:
-                    self.store.put_aside()
+                    self.store.quarantine()
             except OSError as err:
                 say("archive", "disk cannot be read", error=str(err))
             for fault in bad:
-                say("archive", "bad file", file=fault)
+                say("archive", "bad file", file=str(fault))
         elif not self.seed:
             return None
         if record is not None and record.ip != self.me:
             say("archive", "bad file", file="replica: another machine's, or restored from a dump")
         if record is None or record.ip != self.me:
-            spoilt = [fault for fault in bad if not fault.endswith(migration.FAULT)]  # that voted on no core of ours
+            spoilt = [fault for fault in bad if not fault.is_legacy]  # that voted on no core of ours
             self.seed = self.seed and not spoilt and record is None  # what was here may have voted on the first core
-            self._renew(record.turn if record is not None else 0)
+            self._renew(record.version if record is not None else 0)
             return None
         self.acceptor, self.committed.contents = Acceptor(record), contents
         self.is_verified = not any(self._others())
-        state = self.acceptor.decided
-        return state if whole(state, contents) else None
+        state = self.acceptor.chosen_state
+        return state if has_contents(state, contents) else None
 
     @property
     def disk(self) -> int:
@@ -82,8 +80,8 @@
 
     def _renew(self, turn: int) -> None:
         """An empty disk is another replica than whatever was here before: it has promised nothing."""
-        acceptor = Acceptor(Record(self.me, self.rng.getrandbits(31) | 1, turn=turn + 1))
-        acceptor.turn = -1  # nothing of it is on the disk yet
+        acceptor = Acceptor(Record(self.me, self.rng.getrandbits(31) | 1, version=turn + 1))
+        acceptor.durable_version = -1  # nothing of it is on the disk yet
         self.acceptor, self.is_verified = None, True
         if self.store is None:
             self.acceptor = acceptor  # a seed's part in the founding
@@ -107,7 +105,7 @@
         After a start nothing is promised, accepted or proposed until so many of the voters have spoken that no majority
         with this one is without one of them; or, where these are not there, for a while after the first has.
         """
-        if disk and disk == self.disk and seen > self.acceptor.turn:
+        if disk and disk == self.disk and seen > self.acceptor.durable_version:
             return self._disown(seen)
         if self.is_verified or self.acceptor is None or disk not in (0, self.disk):
             return
@@ -122,7 +120,7 @@
         """Whose word counts beside this one's, in each set that has to agree; of what was accepted where no more is
         known; none where nothing was.
         """
-        state = self.committed.state or self.acceptor.decided or self.acceptor.state
+        state = self.committed.state or self.acceptor.chosen_state or self.acceptor.accepted_state
         sets = (state.voters, state.former) if state is not None else ()
         return [{r.ip for r in one} - {self.me} for one in sets]
 
@@ -130,9 +128,9 @@
         """Others have heard more from this disk than is on it: an older folder was put back.  What it promised can't be
         vouched for, so that it goes on as another replica, without a vote.
         """
-        say("archive", "this folder is older than what it once held", seen=seen, held=self.acceptor.turn)
+        say("archive", "this folder is older than what it once held", seen=seen, held=self.acceptor.durable_version)
         self.seed = False
-        self._renew(self.acceptor.record.turn)
+        self._renew(self.acceptor.record.version)
 
     # -- the disk ------------------------------------------------------------------------------------------
 
@@ -142,11 +140,15 @@
 
         def synced(_: object) -> None:
             self.fault = None
-            acceptor.synced(record)
+            acceptor.on_record_saved(record)
 
-        if self.store is None or record.turn <= acceptor.turn and not self.fault:
+        if self.store is None or record.version <= acceptor.durable_version and not self.fault:
             return succeed(None).addCallback(synced)
-        contents = {name: self.committed.contents[name] for name in named(record) if name in self.committed.contents}
+        contents = {
+            name: self.committed.contents[name]
+            for name in referenced_digests(record)
+            if name in self.committed.contents
+        }
         return self.environment.run_in_thread(self.store.save, record, contents).addCallback(synced)
 
     def keep(self) -> None:
@@ -160,14 +162,14 @@
 
     def names(self) -> set[int]:
         """Contents that must not be forgotten."""
-        return named(self.acceptor.record) if self.acceptor is not None else set()
+        return referenced_digests(self.acceptor.record) if self.acceptor is not None else set()
 
     def mend(self) -> None:
         """What is held and not lasting is written again, and one file that lies still is read."""
         acceptor, state = self.acceptor, self.committed.state
         if self.store is None or acceptor is None:
             return
-        if state is not None and acceptor.kept < state.number:
+        if state is not None and acceptor.durable_chosen_number < state.number:
             self.learn(state)
 
         def scrubbed(name: str | None) -> None:
@@ -188,7 +190,7 @@
         if acceptor is None or not self.is_verified:
             return False
         if state is None:
-            return self.seed or acceptor.state is not None or acceptor.decided is not None
+            return self.seed or acceptor.accepted_state is not None or acceptor.chosen_state is not None
         return self.store is not None or any(r.ip == self.me for r in state.former)
 
     def prepare(self, call: Prepare) -> Any:
@@ -197,10 +199,12 @@
         if not self.votes():
             return Promised(False, 0)
         ok, record = acceptor.prepare(call.ballot, call.known_number), acceptor.record
-        state, body = record.state, None
-        if state is not None and state.config is not None and state.config[1] != call.known_content:
-            body = self.committed.contents.get(state.config[1])
-        reply = Promised(ok, record.disk, record.promised, record.ballot, state, body, record.turn if ok else 0)
+        state, body = record.accepted_state, None
+        if state is not None and state.config is not None and state.config.digest != call.known_content:
+            body = self.committed.contents.get(state.config.digest)
+        reply = Promised(
+            ok, record.disk, record.promised, record.accepted_ballot, state, body, record.version if ok else 0
+        )
         return self._answer(ok, reply, Promised(False, 0))
 
     def accept(self, call: Accept) -> Any:
@@ -208,11 +212,11 @@
         acceptor = self.acceptor
         if not self.votes():
             return Accepted(False, 0)
-        if not self.committed.put(call.state, call.configuration_body):
+        if not self.committed.add_body(call.state, call.configuration_body):
             return Accepted(False, acceptor.disk, needs_body=True)
         ok, record = acceptor.accept(call.ballot, call.state), acceptor.record
         return self._answer(
-            ok, Accepted(ok, record.disk, record.promised, record_version=record.turn), Accepted(False, 0)
+            ok, Accepted(ok, record.disk, record.promised, record_version=record.version), Accepted(False, 0)
         )
 
     def _answer(self, ok: bool, reply: Reply, failed: Reply) -> Any:
@@ -229,9 +233,9 @@
 
     def handle_chosen(self, message: Chosen) -> None:
         """What was accepted here under that ballot is chosen."""
-        if self.acceptor is not None and self.acceptor.chosen(message.ballot, message.state_number):
+        if self.acceptor is not None and self.acceptor.mark_chosen(message.ballot, message.state_number):
             self.keep()
-            self.decided(self.acceptor.decided)
+            self.decided(self.acceptor.chosen_state)
 
     def learn(self, state: State) -> None:
         """A chosen state, of which all is held here."""
--- a/mapleline/balancer/control/replica_monitor.py
+++ b/mapleline/balancer/control/replica_monitor.py
@@ -10,9 +10,9 @@
 from ..settings import Settings
 from ..transport.addresses import ip_from_int
 from .committed_state import CommittedState
-from .reconfiguration import ReplicaStatus, bears, due
+from .reconfiguration import FaultTolerance, ReplicaStatus, next_voters, tolerates_faults
 from .replica import LocalReplica
-from .state import Replica, State
+from .state import Replica, ReplicaId, State
 
 FRESH_S = 2.0  # what a machine said of itself longer ago does not count
 LEARNER_S = 10.0  # for which one without a vote is asked often
@@ -40,7 +40,7 @@
             replica,
         )
         self.current_as_of, self.me, self.started = since, membership.local_member.ip, reactor.seconds()
-        self.losses, self.zones = settings.fault_tolerance.machine_losses, settings.fault_tolerance.zones
+        self.tolerance = FaultTolerance(settings.fault_tolerance.machine_losses, settings.fault_tolerance.zones)
         self.lost_s = settings.protocol_bounds.contact_window + settings.protocol_bounds.catch_up
         self.high: dict[tuple[int, int], int] = {}  #: by address and disk: the highest turn that it told
         self.seen: dict[int, tuple[int, int, float]] = {}  #: by address: its disk, what it has kept, when it said so
@@ -76,7 +76,7 @@
 
     def proposers(self, now: float) -> list[Member]:
         """The voters that are there, in the order in which they are asked to propose."""
-        voters = set(self.committed.voters())
+        voters = set(self.committed.voter_ips())
         able = [
             m
             for m in self.membership.alive(now, MemberFlags.HAS_DISK)
@@ -116,11 +116,10 @@
             return None
         known = {r.ip: r for r in state.voters}
         ips = known.keys() | {m.ip for m in self.membership.alive(now, MemberFlags.HAS_DISK)}
-        return due(
+        return next_voters(
             state,
             [self._seen(ip, known.get(ip), state, now) for ip in sorted(ips)],
-            self.losses,
-            self.zones,
+            self.tolerance,
             self.lost_s,
         )
 
@@ -171,10 +170,10 @@
         if not self.replica.is_voter:
             return True
         state = self.committed.state
-        if bears([r for r in state.voters if r.ip != self.me], self.losses, self.zones):
+        if tolerates_faults([r for r in state.voters if r.ip != self.me], self.tolerance):
             return False
-        return state.quorum(
-            {(ip, disk) for ip, (disk, kept, _) in self.seen.items() if ip != self.me and kept >= state.number}
+        return state.has_quorum(
+            {ReplicaId(ip, disk) for ip, (disk, kept, _) in self.seen.items() if ip != self.me and kept >= state.number}
         )
 
     # -- for people ----------------------------------------------------------------------------------------
@@ -183,12 +182,12 @@
         """Who votes and who does not, as this one knows it."""
         now, state = self.reactor.seconds(), self.committed.state
         alive = {m.ip: m for m in self.membership.alive(now, MemberFlags.HAS_DISK)}
-        voters = {r.ip: r for r in (state.members() if state is not None else ())}
+        voters = {r.ip: r for r in (state.all_voters() if state is not None else ())}
         rows = []
         for ip in sorted(voters.keys() | alive.keys()):
             disk, kept, _ = self.seen.get(ip, (0, 0, 0.0))
             if ip == self.me and self.replica.disk:
-                disk, kept = self.replica.disk, self.replica.acceptor.kept
+                disk, kept = self.replica.disk, self.replica.acceptor.durable_chosen_number
             part = "voter" if ip in voters and disk in (0, voters[ip].disk) else "learner"
             if ip in alive and alive[ip].is_leaving:
                 part = "leaving"
--- a/mapleline/balancer/control/snapshot.py
+++ b/mapleline/balancer/control/snapshot.py
@@ -1,9 +1,9 @@
-"""One replica's snapshot on disk: its record, and the contents that its states name.  Framed, checksummed, synced.
+"""One replica's snapshot on disk: its record, and the configurations that the record references.
 
-Written beside, synced, renamed, the folder synced; the contents first, then the record that names them, and only then
-what nothing names any more is taken away: what `save` has returned for is there after a loss of power, and at each
-moment between the record before it.  What is read at a start is one record and the contents it names, however many
-changes led there.
+A file is framed and checksummed, written under a temporary name, synced, renamed, and its folder synced.  A save writes
+the contents first, then the record that references them, and only then removes what nothing references any more.  So
+what `save` has returned for is there after a loss of power, and until then the record before it is.  A start reads one
+record and the contents it references, however many changes led there.
 """
 
 from __future__ import annotations
@@ -12,212 +12,306 @@
 import os
 import shutil
 import threading
+from collections.abc import Iterable
 from contextlib import suppress
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Protocol
+from typing import NamedTuple, Protocol
 from zlib import crc32
 
 import msgspec
 
 from . import migration
-from .consensus import Record
-from .state import State, digest
+from .consensus import Record, referenced_digests
+from .errors import CorruptFileError, MissingContentError, ReplacedReplicaError
+from .state import content_digest
 
+#: Begins each file; the checksum of the body and its size follow, in a line.
 MAGIC = b"mapleline word 2\n"
-FOLDER, RECORD, ASIDE = "word", "replica", "spoilt"
-CONTENT, BESIDE = "c-", ".new"
 
+#: Folders of the data directory: the replica's files, and those that were found corrupt.
+FOLDER = "word"
+QUARANTINE_FOLDER = "spoilt"
 
-class CorruptFileError(Exception):
-    """A file that is torn, empty or foreign; the text names it."""
+RECORD_FILE = "replica"
+CONTENT_PREFIX = "c-"
+TEMPORARY_SUFFIX = ".new"
 
+FOLDER_FLAGS = os.O_RDONLY | os.O_DIRECTORY
+FILE_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
+FILE_MODE = 0o644
 
-class Store(Protocol):
+
+@dataclass(frozen=True, slots=True)
+class FileFault:
+    """A file of the folder that cannot be believed.
+
+    Attributes:
+        file: its name, or several names.
+        reason: what is wrong with it.
+        is_legacy: whether it only is of the earlier format.
+    """
+
+    file: str
+    reason: str
+    is_legacy: bool = False
+
+    def __str__(self) -> str:
+        """Return the fault as one line for people."""
+        return f"{self.file}: {self.reason}"
+
+
+class LoadedSnapshot(NamedTuple):
+    """What a folder holds.
+
+    Attributes:
+        record: the record; None for an empty folder, and where there is any fault.
+        contents: the referenced contents that could be read, by digest.
+        faults: the files that cannot be believed.
+    """
+
+    record: Record | None
+    contents: dict[int, bytes]
+    faults: list[FileFault]
+
+
+class ReplicaStore(Protocol):
     """What a replica needs of a disk; every call may wait, and raises OSError where the disk refuses."""
 
-    def load(self) -> tuple[Record | None, dict[int, bytes], list[str]]:
-        """The record, the contents it names by digest, and what could not be believed: with any of that, no record."""
+    def load(self) -> LoadedSnapshot:
+        """Read the record and the contents that it references."""
 
     def save(self, record: Record, contents: dict[int, bytes]) -> None:
-        """The record, or a later one of that disk, and these contents are lasting once this returns."""
+        """Return once the record, or a later one of that disk, and the contents it references are durable.
 
-    def put_aside(self) -> None:
-        """What could not be believed makes room; it can be looked at beside the folder."""
+        Raises:
+            MissingContentError: a referenced content is neither on the disk nor among `contents`.
+            ReplacedReplicaError: the record is of an identity that the folder has given up.
+        """
 
-    def scrub(self, contents: dict[int, bytes]) -> str | None:
-        """Read one file that lies still; its name if it had gone bad and was written anew."""
+    def quarantine(self) -> None:
+        """Move all files to a folder beside, where they can be looked at."""
 
-
-def named(record: Record) -> set[int]:
-    """Digests of the contents that a record names."""
-    return {s.config[1] for s in (record.state, record.decided) if s is not None and s.config is not None}
+    def scrub(self, contents: dict[int, bytes]) -> str | None:
+        """Read one file, the next at each call, and write it anew if it went bad; return its name in that case."""
 
 
-def sync(folder: Path) -> None:
-    """What the folder names now is lasting."""
-    fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+def sync_folder(folder: Path) -> None:
+    """Make the present names of a folder durable."""
+    descriptor = os.open(folder, FOLDER_FLAGS)
     try:
-        os.fsync(fd)
+        os.fsync(descriptor)
     finally:
-        os.close(fd)
+        os.close(descriptor)
 
 
-def make(folder: Path) -> None:
-    """The folder is there, and lasting: a new one is a name in the one above it."""
+def make_folder(folder: Path) -> None:
+    """Create a folder, and those above it, where they are missing; durable, as each is a name in the one above."""
     if not folder.is_dir():
-        make(folder.parent)
+        make_folder(folder.parent)
         with suppress(FileExistsError):
             os.mkdir(folder)
-        sync(folder.parent)
+        sync_folder(folder.parent)
 
 
-def write(path: Path, body: bytes) -> None:
-    """The body under that name, whole or not at all, and lasting.  What a full disk cut off is not left lying."""
-    beside = path.with_name(path.name + BESIDE)
+def write_file(path: Path, body: bytes) -> None:
+    """Write a framed file: complete and durable, or not at all; a full disk leaves no part of it behind."""
+    temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     try:
-        fd = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
-        try:
-            data = memoryview(MAGIC + b"%08x %d\n" % (crc32(body), len(body)) + body)
-            while data:
-                data = data[os.write(fd, data) :]
-            os.fsync(fd)
-        finally:
-            os.close(fd)
-        os.rename(beside, path)
+        _write_and_sync(temporary, MAGIC + _header(body) + b"\n" + body)
+        os.rename(temporary, path)
     except OSError:
         with suppress(OSError):
-            os.unlink(beside)
+            os.unlink(temporary)
         raise
-    sync(path.parent)
+    sync_folder(path.parent)
 
 
-def read(path: Path) -> bytes:
-    """The body of a file written so.  Raises BadFile, OSError."""
+def _write_and_sync(path: Path, data: bytes) -> None:
+    descriptor = os.open(path, FILE_FLAGS, FILE_MODE)
+    try:
+        rest = memoryview(data)
+        while rest:
+            rest = rest[os.write(descriptor, rest) :]
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
+
+
+def _header(body: bytes) -> bytes:
+    return b"%08x %d" % (crc32(body), len(body))
+
+
+def read_file(path: Path) -> bytes:
+    """Return the body of a framed file.
+
+    Raises:
+        CorruptFileError: it is torn, empty or foreign.
+        OSError: it is missing, or cannot be read.
+    """
     data = path.read_bytes()
-    head, _, body = data.removeprefix(MAGIC).partition(b"\n")
-    if not data.startswith(MAGIC) or head != b"%08x %d" % (crc32(body), len(body)):
+    header, _, body = data.removeprefix(MAGIC).partition(b"\n")
+    if not data.startswith(MAGIC) or header != _header(body):
         raise CorruptFileError("torn, empty or foreign")
     return body
 
 
-class Snapshot:
-    """One machine's folder."""
+def content_file(digest: int) -> str:
+    """Return the name of the file that holds the content of that digest."""
+    return f"{CONTENT_PREFIX}{digest:016x}"
 
-    def __init__(self, folder: str) -> None:
-        self.folder = Path(folder) / FOLDER
-        self._lock = threading.Lock()  # threads save; a slow one must not lay an older record over a newer
-        self._record: Record | None = None  #: as it is on the disk
-        self._former: set[int] = set()  #: disks that this folder was, and is no longer
-        self._kept: set[int] = set()  #: digests of the contents on the disk
-        self._litter: set[str] = set()  #: files that nothing names
-        self._scrubbed = -1
 
-    def load(self) -> tuple[Record | None, dict[int, bytes], list[str]]:
-        make(self.folder)
+class SnapshotStore:
+    """One machine's folder, a `ReplicaStore`.
+
+    Saves and scrubs may come from several threads: a slow one must not write an older record over a newer one.
+
+    Attributes:
+        folder: the replica's files.
+    """
+
+    def __init__(self, data_folder: str) -> None:
+        """Use a folder of the data directory; nothing is read or written yet."""
+        self.folder = Path(data_folder) / FOLDER
+        self._lock = threading.Lock()
+        self._record: Record | None = None  #: as it is on the disk
+        self._former_disks: set[int] = set()  #: identities that this folder had, and has given up
+        self._digests: set[int] = set()  #: of the contents on the disk
+        self._unreferenced: set[str] = set()  #: files to be removed
+        self._last_scrubbed = -1  #: index of the file that was scrubbed last
+
+    def load(self) -> LoadedSnapshot:
+        """Read the record and the contents that it references (`ReplicaStore.load`)."""
+        make_folder(self.folder)
         for folder in (self.folder, self.folder.parent):
-            sync(folder)  # an earlier life may have been killed between a rename and this
+            sync_folder(folder)  # an earlier process may have been killed between a rename and this
         names = sorted(os.listdir(self.folder))
-        record, contents, bad = None, {}, []
+        record, faults = self._load_record(names)
+        contents, content_faults = self._load_contents(record)
+        faults += content_faults
+        legacy = [name for name in names if migration.is_legacy_file(name)]
+        if legacy:
+            faults.append(FileFault(", ".join(legacy), migration.LEGACY_FAULT, is_legacy=True))
+        referenced = {RECORD_FILE, *map(content_file, contents)}
+        self._unreferenced = {name for name in names if name not in referenced and _is_own_file(name)}
+        explained = referenced | self._unreferenced | {*legacy} | {fault.file for fault in faults}
+        faults += [FileFault(name, "foreign") for name in names if name not in explained]
+        self._digests = set(contents)
+        self._record = record if not faults else None
+        return LoadedSnapshot(self._record, contents, faults)
+
+    def _load_record(self, names: list[str]) -> tuple[Record | None, list[FileFault]]:
         try:
-            if RECORD in names:
-                record = msgspec.msgpack.decode(read(self.folder / RECORD), type=Record)
-            elif any(name.startswith(CONTENT) and not name.endswith(BESIDE) for name in names):
-                bad.append(f"{RECORD}: missing")
+            if RECORD_FILE in names:
+                return msgspec.msgpack.decode(read_file(self.folder / RECORD_FILE), type=Record), []
         except (CorruptFileError, msgspec.DecodeError, OSError) as err:
-            bad.append(f"{RECORD}: {err}")
-        for content in sorted(named(record)) if record is not None else ():
+            return None, [FileFault(RECORD_FILE, str(err))]
+        if any(name.startswith(CONTENT_PREFIX) and not name.endswith(TEMPORARY_SUFFIX) for name in names):
+            return None, [FileFault(RECORD_FILE, "missing")]
+        return None, []
+
+    def _load_contents(self, record: Record | None) -> tuple[dict[int, bytes], list[FileFault]]:
+        contents = {}
+        faults = []
+        for digest in sorted(referenced_digests(record)) if record is not None else ():
+            name = content_file(digest)
             try:
-                body = read(self.folder / self._name(content))
-                if digest(body) != content:
+                body = read_file(self.folder / name)
+                if content_digest(body) != digest:
                     raise CorruptFileError("another's content")
-                contents[content] = body
+                contents[digest] = body
             except FileNotFoundError:
-                bad.append(f"{self._name(content)}: missing")
+                faults.append(FileFault(name, "missing"))
             except (CorruptFileError, OSError) as err:
-                bad.append(f"{self._name(content)}: {err}")
-        old = [name for name in names if migration.is_of(name)]
-        if old:
-            bad.append(f"{', '.join(old)}: {migration.FAULT}")
-        ours = {RECORD, *(self._name(content) for content in contents)}
-        self._litter = {n for n in names if n not in ours and (n.startswith(CONTENT) or n.endswith(BESIDE))}
-        bad += [
-            f"{name}: foreign"
-            for name in names
-            if name not in ours | self._litter
-            and name not in old
-            and not any(fault.startswith(name + ":") for fault in bad)
-        ]
-        self._kept, self._record = set(contents), record if not bad else None
-        return self._record, contents, bad
+                faults.append(FileFault(name, str(err)))
+        return contents, faults
 
     def save(self, record: Record, contents: dict[int, bytes]) -> None:
+        """Return once the record and the contents it references are durable (`ReplicaStore.save`)."""
         with self._lock:
-            held, wanted = self._record, named(record)
-            if record.disk in self._former:
-                raise OSError(errno.ESTALE, "this folder is another replica's by now")
-            if held is not None and held.disk == record.disk and held.turn >= record.turn:
+            if self._is_saved(record):
                 return
-            for content in wanted - self._kept - contents.keys():
-                raise KeyError(self._name(content))
-            self._clean(self._litter)  # before: a full disk may want that room
-            for content in sorted(wanted - self._kept):
-                self._litter.add(self._name(content))  # till it is known to lie whole
-                write(self.folder / self._name(content), contents[content])
-                self._litter.discard(self._name(content))
-                self._kept.add(content)
-            write(self.folder / RECORD, msgspec.msgpack.encode(record))
-            if held is not None and held.disk != record.disk:
-                self._former.add(held.disk)
-            self._record = record
-            gone, self._kept = self._kept - wanted, self._kept & wanted
-            self._clean({self._name(content) for content in gone})
-
-    def _clean(self, names: set[str]) -> None:
-        """What nothing names goes; what would not is tried again at the next save."""
+            referenced = referenced_digests(record)
+            for digest in referenced - self._digests - contents.keys():
+                raise MissingContentError(content_file(digest))
+            self._remove(self._unreferenced)  # before the writes: a full disk may need that space
+            for digest in sorted(referenced - self._digests):
+                self._write_content(digest, contents[digest])
+            self._write_record(record)
+            removed = self._digests - referenced
+            self._digests &= referenced
+            self._remove(map(content_file, removed))
+
+    def _is_saved(self, record: Record) -> bool:
+        """Return whether that record, or a later one of its disk, is on the disk."""
+        if record.disk in self._former_disks:
+            raise ReplacedReplicaError(errno.ESTALE, "this folder is another replica's by now")
+        saved = self._record
+        return saved is not None and saved.disk == record.disk and saved.version >= record.version
+
+    def _write_content(self, digest: int, body: bytes) -> None:
+        name = content_file(digest)
+        self._unreferenced.add(name)  # until it is known to be complete
+        write_file(self.folder / name, body)
+        self._unreferenced.discard(name)
+        self._digests.add(digest)
+
+    def _write_record(self, record: Record) -> None:
+        write_file(self.folder / RECORD_FILE, msgspec.msgpack.encode(record))
+        if self._record is not None and self._record.disk != record.disk:
+            self._former_disks.add(self._record.disk)
+        self._record = record
+
+    def _remove(self, names: Iterable[str]) -> None:
+        """Remove files that nothing references; one that can't be removed is tried again at the next save."""
         for name in sorted(names):
             try:
                 os.unlink(self.folder / name)
             except FileNotFoundError:
-                self._litter.discard(name)
+                self._unreferenced.discard(name)
             except OSError:
-                self._litter.add(name)
+                self._unreferenced.add(name)
             else:
-                self._litter.discard(name)
+                self._unreferenced.discard(name)
 
-    def put_aside(self) -> None:
+    def quarantine(self) -> None:
+        """Move all files to a folder beside, those of the earlier format to their own (`ReplicaStore.quarantine`)."""
         with self._lock:
-            aside, old = self.folder.with_name(ASIDE), self.folder.with_name(migration.FOLDER)
-            shutil.rmtree(aside, ignore_errors=True)  # one is kept: they must not fill the disk
+            quarantine = self.folder.with_name(QUARANTINE_FOLDER)
+            legacy = self.folder.with_name(migration.LEGACY_FOLDER)
+            shutil.rmtree(quarantine, ignore_errors=True)  # only the newest is kept: they must not fill the disk
             for name in sorted(os.listdir(self.folder)):
-                to = old if migration.is_of(name) else aside
-                make(to)
-                os.replace(self.folder / name, to / name)
-            sync(self.folder)
-            self._kept, self._litter, self._record = set(), set(), None
+                target = legacy if migration.is_legacy_file(name) else quarantine
+                make_folder(target)
+                os.replace(self.folder / name, target / name)
+            sync_folder(self.folder)
+            self._digests = set()
+            self._unreferenced = set()
+            self._record = None
 
     def scrub(self, contents: dict[int, bytes]) -> str | None:
+        """Read one file, and write it anew if it went bad (`ReplicaStore.scrub`)."""
         with self._lock:
             if self._record is None:
                 return None
-            files = [RECORD, *(self._name(content) for content in sorted(self._kept))]
-            self._scrubbed = (self._scrubbed + 1) % len(files)
-            name = files[self._scrubbed]
-            record = msgspec.msgpack.encode(self._record)
-            with suppress(CorruptFileError, OSError):
-                body = read(self.folder / name)
-                if body == record if name == RECORD else self._name(digest(body)) == name:
-                    return None
-            body = record if name == RECORD else contents.get(int(name.removeprefix(CONTENT), 16))
-            if body is None:  # the states have gone on, and their record did not come to the disk yet
+            files = [RECORD_FILE, *map(content_file, sorted(self._digests))]
+            self._last_scrubbed = (self._last_scrubbed + 1) % len(files)
+            name = files[self._last_scrubbed]
+            record_body = msgspec.msgpack.encode(self._record)
+            if self._is_intact(name, record_body):
+                return None
+            body = record_body if name == RECORD_FILE else contents.get(int(name.removeprefix(CONTENT_PREFIX), 16))
+            if body is None:  # newer states are held, and their record did not come to the disk yet
                 raise OSError(errno.EIO, f"{name} went bad, and its body is not held any more")
-            write(self.folder / name, body)
+            write_file(self.folder / name, body)
             return name
 
-    @staticmethod
-    def _name(content: int) -> str:
-        return f"{CONTENT}{content:016x}"
+    def _is_intact(self, name: str, record_body: bytes) -> bool:
+        with suppress(CorruptFileError, OSError):
+            body = read_file(self.folder / name)
+            return body == record_body if name == RECORD_FILE else content_file(content_digest(body)) == name
+        return False
 
 
-def whole(state: State | None, contents: dict[int, bytes]) -> bool:
-    """Whether every content that a state names is there."""
-    return state is not None and (state.config is None or state.config[1] in contents)
+def _is_own_file(name: str) -> bool:
+    return name.startswith(CONTENT_PREFIX) or name.endswith(TEMPORARY_SUFFIX)
--- a/mapleline/balancer/control/state.py
+++ b/mapleline/balancer/control/state.py
@@ -1,130 +1,196 @@
-"""What the core agrees on: one small value that each change replaces whole (pure).
+"""The replicated state, one small value that each change replaces as a whole, and its transitions (pure).
 
-A state says who votes on the next one, what is in force, and which content each version number stands for.  Bodies of
-configurations are named by their digest and travel beside it.
+A state says who votes on the next one, which configuration is in force, which zones are evacuated, and which content
+each version number stands for.  Bodies of configurations are referenced by their digest and travel beside the state.
+Every transition returns the state itself where nothing changes, and otherwise a successor with `number` + 1.
+
+The change of voters is joint consensus (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm",
+section 6); docs/design/control.md says why it is safe here.
 """
 
 from __future__ import annotations
 
-from collections.abc import Collection, Iterable
+from collections.abc import Collection, Iterable, Mapping
 from hashlib import blake2b
+from typing import NamedTuple
 
 import msgspec
 
-PAST_MOST = 512  # numbers of configurations that are remembered with their content: 14 B each
+#: Versions whose content is remembered: 14 bytes each in a state (docs/design/control.md, point 2).
+MAX_PAST_VERSIONS = 512
+
+#: Size of a configuration's digest: file names and `archive dump` show it as 16 hexadecimal digits.
+DIGEST_BYTES = 8
+
+
+class ReplicaId(NamedTuple):
+    """Identifies a replica: an IPv4 address and the identity of the disk at that address."""
+
+    ip: int
+    disk: int
+
+
+class ConfigurationRef(NamedTuple):
+    """References the body of a configuration by its version and its digest."""
+
+    version: int
+    digest: int
 
 
 class Replica(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """One machine's disk.  An address that comes back with another disk is another replica: what the first had
-    promised is gone with it.  `disk` 0: whatever is at that address (the seeds, at the founding only).
+    """A machine's disk as a voter.
+
+    An address that comes back with another disk is another replica, as everything the first had promised is gone.
+
+    Attributes:
+        ip: the IPv4 address.
+        disk: the identity of the disk; 0 for any disk at the address (the seeds, until the first voters are chosen).
+        zone: the number of the machine's zone.
     """
 
     ip: int
     disk: int
     zone: int = 0
 
-    def is_at(self, ip: int, disk: int) -> bool:
+    def matches(self, replica_id: ReplicaId) -> bool:
+        """Return whether that address and disk are this replica."""
+        ip, disk = replica_id
         return self.ip == ip and self.disk in (0, disk)
 
 
 class State(msgspec.Struct, array_like=True, frozen=True):
-    """One state of the chain.  `number` climbs by one with each change, so that of chosen states there is one a number;
-    `epoch` climbs with each change of who votes.  While `former` is not empty a change of members is under way, and
-    everything needs a majority of both sets.
+    """One state of the chain of chosen states.
+
+    The field names are keys in the JSON of `mapleline archive dump`.
+
+    Attributes:
+        number: climbs by one with each change, so that one chosen state exists for each number.
+        system: the identity of the system, drawn when the first voters were proposed; 0 before.
+        epoch: climbs with each change of the voters.
+        voters: the replicas that vote.
+        former: the voters before, while a change is under way: every quorum then needs a majority of both sets.
+        config: the configuration in force.
+        evacuated: zones whose servers get no requests, sorted.
+        changed: for each zone that was ever evacuated, the number of the state that last changed that; sorted.
+        past: the confirmed configurations by ascending version, the last `MAX_PAST_VERSIONS`.
     """
 
     number: int
-    system: int  #: the identity of the system, drawn at its founding
+    system: int
     epoch: int
     voters: tuple[Replica, ...]
     former: tuple[Replica, ...] = ()
-    config: tuple[int, int] | None = None  #: version and digest of what is in force
-    evacuated: tuple[str, ...] = ()  #: zones whose servers are to get nothing
-    changed: tuple[tuple[str, int], ...] = ()  #: zones, and the number of the state that last emptied or took one back
-    past: tuple[tuple[int, int], ...] = ()  #: version and digest of each number that was confirmed, climbing
+    config: ConfigurationRef | None = None
+    evacuated: tuple[str, ...] = ()
+    changed: tuple[tuple[str, int], ...] = ()
+    past: tuple[ConfigurationRef, ...] = ()
 
-    def members(self) -> list[Replica]:
-        """All whose word counts now."""
+    def all_voters(self) -> list[Replica]:
+        """Return the voters, and then the former ones that are not among them."""
         return list(dict.fromkeys((*self.voters, *self.former)))
 
-    def quorum(self, heard: Collection[tuple[int, int]]) -> bool:
-        """Whether those (address, disk) are a majority of each set that has to agree."""
-        return all(majority(voters, heard) for voters in (self.voters, self.former) if voters)
+    def has_quorum(self, replica_ids: Collection[ReplicaId]) -> bool:
+        """Return whether these replicas hold a majority of each set of voters."""
+        return all(has_majority(voters, replica_ids) for voters in (self.voters, self.former) if voters)
 
     def is_voter(self, ip: int, disk: int) -> bool:
-        return any(r.ip == ip and r.disk == disk for r in self.voters)
+        """Return whether that replica is one of `voters`."""
+        return any(voter.ip == ip and voter.disk == disk for voter in self.voters)
 
-    def brief(self) -> State:
-        """As an ingress without a disk needs it."""
+    def without_past(self) -> State:
+        """Return the state as machines without a disk get it: they never propose, so they need no past versions."""
         return msgspec.structs.replace(self, past=())
 
 
-def majority(voters: Collection[Replica], heard: Collection[tuple[int, int]]) -> bool:
-    """More than half of a set."""
-    return sum(any(r.is_at(*one) for one in heard) for r in voters) > len(voters) // 2
+class Replacement(NamedTuple):
+    """The outcome of `replace_configuration`: the state after it, and whether the content is confirmed."""
+
+    state: State
+    is_confirmed: bool
+
+
+def has_majority(voters: Collection[Replica], replica_ids: Collection[ReplicaId]) -> bool:
+    """Return whether these replicas are more than half of the voters."""
+    present = sum(any(voter.matches(replica_id) for replica_id in replica_ids) for voter in voters)
+    return present > len(voters) // 2
+
 
+def content_digest(body: bytes) -> int:
+    """Return the digest by which a configuration is referenced."""
+    return int.from_bytes(blake2b(body, digest_size=DIGEST_BYTES).digest(), "big")
 
-def digest(body: bytes) -> int:
-    """The name of a content."""
-    return int.from_bytes(blake2b(body, digest_size=8).digest(), "big")
 
+def has_contents(state: State | None, contents: Mapping[int, bytes]) -> bool:
+    """Return whether there is a state, and the body that it references is among `contents` (by digest)."""
+    return state is not None and (state.config is None or state.config.digest in contents)
 
-def genesis(seeds: Iterable[int]) -> State:
-    """Before the founding: the seeds of the first start, which all have been told alike, vote on who the core is."""
-    return State(0, 0, 0, tuple(Replica(ip, 0) for ip in sorted(set(seeds))))
 
+def initial_state(seed_ips: Iterable[int]) -> State:
+    """Return state 0, in which the seeds vote on the first voters.
 
-def founded(state: State, system: int, core: Iterable[Replica]) -> State:
-    """The first core; nothing changes if there is one."""
-    return state if state.number else reformed(msgspec.structs.replace(state, system=system), core)
+    All processes of the first start derive it from the same seeds, so it needs no agreement of its own.
+    """
+    return State(number=0, system=0, epoch=0, voters=tuple(Replica(ip, 0) for ip in sorted(set(seed_ips))))
 
 
-def reformed(state: State, voters: Iterable[Replica]) -> State:
-    """Other voters, in two steps: until the second, both sets have to agree.  One change at a time."""
-    voters = tuple(sorted(voters))
-    if state.former or voters == state.voters:
+def bootstrap(state: State, system: int, voters: Iterable[Replica]) -> State:
+    """Name the system and begin the change to its first voters; nothing changes after that was done once."""
+    if state.number:
+        return state
+    return begin_reconfiguration(msgspec.structs.replace(state, system=system), voters)
+
+
+def begin_reconfiguration(state: State, voters: Iterable[Replica]) -> State:
+    """Begin a change of the voters; nothing changes while another one is under way."""
+    new_voters = tuple(sorted(voters))
+    if state.former or new_voters == state.voters:
         return state
     return msgspec.structs.replace(
-        state, number=state.number + 1, epoch=state.epoch + 1, voters=voters, former=state.voters
+        state, number=state.number + 1, epoch=state.epoch + 1, voters=new_voters, former=state.voters
     )
 
 
-def settled(state: State) -> State:
-    """The second step.  Only of a state that is known to be chosen: else those who know the former set alone, and have
-    not seen this one, could decide without the new set.
+def finish_reconfiguration(state: State) -> State:
+    """Finish a change of the voters, if one is under way.
+
+    The state must be known to be chosen: otherwise replicas that know only the former set, and have not seen this
+    state, could decide without the new set.
     """
     if not state.former:
         return state
     return msgspec.structs.replace(state, number=state.number + 1, epoch=state.epoch + 1, former=())
 
 
-def replaced(state: State, version: int, content: int) -> tuple[State, bool]:
-    """A configuration is asked for: the state after it, and whether it is confirmed.
+def replace_configuration(state: State, version: int, digest: int) -> Replacement:
+    """Put a configuration in force.
 
-    The first content that was confirmed under a number stands for ever.  One that is no higher than what is in force
-    changes nothing but that its number is taken from now on.
+    The first content that was confirmed under a version stands for ever.  A version lower than the one in force is
+    confirmed without effect (docs/design/control.md, "Readings chosen").
     """
     past = dict(state.past)
     if version in past:
-        return state, past[version] == content
-    if state.config is not None and version < state.config[0]:
-        if len(past) >= PAST_MOST and version < min(past):
-            return state, True  # older than what is remembered: overtaken in any case
-        return _numbered(state, version, content, state.config), True
-    return _numbered(state, version, content, (version, content)), True
+        return Replacement(state, past[version] == digest)
+    confirmed = ConfigurationRef(version, digest)
+    if state.config is None or version >= state.config.version:
+        return Replacement(remember_version(state, confirmed, confirmed), True)
+    if len(past) >= MAX_PAST_VERSIONS and version < min(past):
+        return Replacement(state, True)  # older than all that are remembered: overtaken, whatever its content was
+    return Replacement(remember_version(state, confirmed, state.config), True)
 
 
-def _numbered(state: State, version: int, content: int, config: tuple[int, int]) -> State:
-    past = tuple(sorted((*state.past, (version, content)))[-PAST_MOST:])
-    return msgspec.structs.replace(state, number=state.number + 1, config=config, past=past)
+def remember_version(state: State, confirmed: ConfigurationRef, in_force: ConfigurationRef) -> State:
+    """Return the successor in which one version is confirmed, and one, the same or a higher one, is in force."""
+    past = tuple(sorted((*state.past, confirmed))[-MAX_PAST_VERSIONS:])
+    return msgspec.structs.replace(state, number=state.number + 1, config=in_force, past=past)
 
 
-def emptied(state: State, zone: str, begin: bool) -> State:
-    """A zone is to get nothing, or may have requests again; twice is once."""
-    if (zone in state.evacuated) == begin:
+def set_evacuation(state: State, zone: str, is_evacuated: bool) -> State:
+    """Evacuate a zone, or let it serve again; nothing changes where that is so already."""
+    if (zone in state.evacuated) == is_evacuated:
         return state
-    number, zones = state.number + 1, set(state.evacuated) ^ {zone}
+    number = state.number + 1
+    evacuated = set(state.evacuated) ^ {zone}
     changed = dict(state.changed) | {zone: number}
     return msgspec.structs.replace(
-        state, number=number, evacuated=tuple(sorted(zones)), changed=tuple(sorted(changed.items()))
+        state, number=number, evacuated=tuple(sorted(evacuated)), changed=tuple(sorted(changed.items()))
     )
--- a/mapleline/balancer/environment.py
+++ b/mapleline/balancer/environment.py
@@ -14,7 +14,7 @@
 
     from ..http1.buffers import BufferPool
     from .control.audit_log import AuditLog
-    from .control.snapshot import Store
+    from .control.snapshot import ReplicaStore
     from .discovery.endpoints import EndpointList
     from .discovery.platform_client import PlatformClient
     from .proxy.upstream import UpstreamPool
@@ -43,7 +43,7 @@
     def unix_time(self) -> float:
         """Return the time of day in seconds since 1970; it may step, and differ from other machines'."""
 
-    def snapshot_store(self) -> Store | None:
+    def snapshot_store(self) -> ReplicaStore | None:
         """Return the store of the control state; None without a disk."""
 
     def audit_log(self) -> AuditLog | None:
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -88,7 +88,7 @@
         body_pool = BufferPool(most=int(settings.limits.memory_mb * BODY_MEMORY_BYTES_PER_MB))
         self.upstream_pool = environment.upstream_pool(body_pool)
         self.control_plane = self._make_control_plane()
-        self.electorate = Electorate(self.control_plane.committed.voters, self.membership)
+        self.electorate = Electorate(self.control_plane.committed.voter_ips, self.membership)
         self.quota_client = QuotaClient(reactor, settings, environment, self.membership, self._tenant_count)
         self.proxy = self._make_proxy()
         self.slow_start_leases = self._make_slow_start_leases()
--- a/mapleline/balancer/process_environment.py
+++ b/mapleline/balancer/process_environment.py
@@ -10,7 +10,7 @@
 
 from .clock import Reactor
 from .control.audit_log import AuditLog
-from .control.snapshot import Snapshot
+from .control.snapshot import SnapshotStore
 from .discovery.platform_client import PlatformClient
 from .proxy.upstream import UpstreamPool
 from .transport.connections import CalleeFactory, DatagramSocket, OutgoingCall
@@ -20,7 +20,7 @@
     from twisted.internet.protocol import DatagramProtocol
 
     from ..http1.buffers import BufferPool
-    from .control.snapshot import Store
+    from .control.snapshot import ReplicaStore
     from .discovery.endpoints import EndpointList
     from .settings import Settings
     from .transport import messages
@@ -82,11 +82,11 @@
         """Return the time of day in seconds since 1970; it may step, and differ from other machines'."""
         return time.time()
 
-    def snapshot_store(self) -> Store | None:
+    def snapshot_store(self) -> ReplicaStore | None:
         """Return the store in the data directory; None without one."""
         if not self._settings.data_directory:
             return None
-        return Snapshot(self._settings.data_directory)
+        return SnapshotStore(self._settings.data_directory)
 
     def audit_log(self) -> AuditLog | None:
         """Return the audit log in the data directory; None without one."""
--- a/mapleline/balancer/transport/messages/control.py
+++ b/mapleline/balancer/transport/messages/control.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ...control.commands import Command
-from ...control.consensus import NONE, Ballot
+from ...control.consensus import NO_BALLOT, Ballot
 from ...control.state import State
 
 
@@ -48,8 +48,8 @@
 
     is_granted: bool  #: and the promise is on that disk
     disk_id: int  #: 0: the replica takes no part
-    promised_ballot: Ballot = NONE  #: the highest
-    accepted_ballot: Ballot = NONE
+    promised_ballot: Ballot = NO_BALLOT  #: the highest
+    accepted_ballot: Ballot = NO_BALLOT
     accepted_state: State | None = None  #: accepted under `accepted_ballot`
     configuration_body: bytes | None = None  #: of that state's configuration, unless that is `Prepare.known_content`
     record_version: int = 0  #: of the record on the disk; 0 where nothing was promised
@@ -68,7 +68,7 @@
 
     is_granted: bool  #: and the state is on that disk
     disk_id: int  #: 0: the replica takes no part
-    promised_ballot: Ballot = NONE  #: the highest
+    promised_ballot: Ballot = NO_BALLOT  #: the highest
     needs_body: bool = False  #: nothing is accepted before the configuration's body comes along
     record_version: int = 0  #: of the record on the disk
 
--- a/mapleline/simulation/disk.py
+++ b/mapleline/simulation/disk.py
@@ -6,7 +6,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from ..balancer.control.snapshot import named
+from ..balancer.control.consensus import referenced_digests
+from ..balancer.control.snapshot import LoadedSnapshot
 from ..balancer.transport import messages
 
 if TYPE_CHECKING:
@@ -14,7 +15,7 @@
 
 
 class Disk:
-    """What outlasts a process (`balancer.control.snapshot.Store`)."""
+    """What outlasts a process (`balancer.control.snapshot.ReplicaStore`)."""
 
     def __init__(self, on_write: Callable[[bytes], None]) -> None:
         """Create an empty disk; `on_write` gets the bytes of each record that is written."""
@@ -24,9 +25,9 @@
         self.refuses_writes = False
         self.hangs_until = 0.0  #: moment until which a sync does not return, in seconds
 
-    def load(self) -> tuple[Record | None, dict[int, bytes], list[str]]:
+    def load(self) -> LoadedSnapshot:
         """Return the record, the contents that it names by digest, and no faults: this disk corrupts nothing."""
-        return self.record, dict(self.contents), []
+        return LoadedSnapshot(self.record, dict(self.contents), [])
 
     def save(self, record: Record, contents: dict[int, bytes]) -> None:
         """Keep the record and the contents that it names, unless a later record of this disk was saved before.
@@ -37,13 +38,13 @@
         if self.refuses_writes:
             raise OSError(errno.ENOSPC, "no space left")
         saved = self.record
-        if saved is None or saved.turn < record.turn:
+        if saved is None or saved.version < record.version:
             known = contents | self.contents
-            self.contents = {name: known[name] for name in named(record)}
+            self.contents = {name: known[name] for name in referenced_digests(record)}
             self.record = record
             self.on_write(messages.encode(record))
 
-    def put_aside(self) -> None:
+    def quarantine(self) -> None:
         """Empty the disk."""
         self.record = None
         self.contents = {}
--- a/tests/balancer/control/test_consensus_model.py
+++ b/tests/balancer/control/test_consensus_model.py
@@ -19,18 +19,33 @@
 
 from mapleline.balancer.control import commands, state
 from mapleline.balancer.control.commands import (
-    CONFLICT,
-    DONE,
+    CommandStatus,
     RemoveReplica,
     ReplaceConfiguration,
     SetEvacuation,
-    batch,
+    apply_all,
+)
+from mapleline.balancer.control.consensus import (
+    NO_BALLOT,
+    Acceptor,
+    Ballot,
+    NextStep,
+    Proposal,
+    Record,
+    referenced_digests,
 )
-from mapleline.balancer.control.consensus import NONE, Acceptor, Proposal, Record, Step
 from mapleline.balancer.control.read_lease import NEVER, ReadLease
-from mapleline.balancer.control.reconfiguration import ReplicaStatus, bears, due
-from mapleline.balancer.control.snapshot import named, whole
-from mapleline.balancer.control.state import Replica, founded, genesis, reformed, settled
+from mapleline.balancer.control.reconfiguration import FaultTolerance, ReplicaStatus, next_voters, tolerates_faults
+from mapleline.balancer.control.state import (
+    ConfigurationRef,
+    Replica,
+    ReplicaId,
+    begin_reconfiguration,
+    bootstrap,
+    finish_reconfiguration,
+    has_contents,
+    initial_state,
+)
 from mapleline.balancer.transport.messages import (
     Accept,
     Accepted,
@@ -72,9 +87,9 @@
 
     def save(self, record, contents):
         held = self.record
-        if held is not None and held.disk == record.disk and held.turn >= record.turn:
+        if held is not None and held.disk == record.disk and held.version >= record.version:
             return
-        wanted = named(record)
+        wanted = referenced_digests(record)
         if wanted - self.contents - contents:
             raise KeyError(wanted)
         self.record, self.contents = record, wanted
@@ -119,8 +134,8 @@
             return self.new_identity()
         self.acceptor, self.contents = Acceptor(record), set(self.disk.contents)
         self.world.durable(self, record)
-        if self.acceptor.decided is not None and whole(self.acceptor.decided, self.contents):
-            self.hold(self.acceptor.decided)
+        if self.acceptor.chosen_state is not None and has_contents(self.acceptor.chosen_state, self.contents):
+            self.hold(self.acceptor.chosen_state)
 
     def new_identity(self):
         acceptor, self.acceptor = Acceptor(Record(self.ip, next(self.world.disks))), None
@@ -143,12 +158,12 @@
 
     def sync(self, acceptor, done):
         if self.disk is None:
-            acceptor.synced(acceptor.record)
+            acceptor.on_record_saved(acceptor.record)
             self.world.durable(self, acceptor.record)
             return done(True)
         record = acceptor.record
-        assert named(record) <= self.contents, f"{self.ip} lacks what it accepts"
-        self.syncs.append((acceptor, record, named(record) & self.contents, done))
+        assert referenced_digests(record) <= self.contents, f"{self.ip} lacks what it accepts"
+        self.syncs.append((acceptor, record, referenced_digests(record) & self.contents, done))
 
     def keep(self):
         if self.acceptor is not None:
@@ -163,7 +178,7 @@
         except KeyError:
             ok = False
         if ok:
-            acceptor.synced(record)
+            acceptor.on_record_saved(record)
             self.world.durable(self, record)
         done(ok)
 
@@ -179,7 +194,7 @@
         )
 
     def since(self):
-        return self.contact.since(self.state)
+        return self.contact.valid_since(self.state)
 
     def number(self):
         return self.state.number if self.state is not None else 0
@@ -187,8 +202,12 @@
     def ask(self, ip):
         now = self.world.now
         if ip == self.ip:
-            if self.is_voter and self.acceptor.state is not None and self.acceptor.state.number <= self.state.number:
-                self.contact.agree(self.ip, self.acceptor.disk, now)
+            if (
+                self.is_voter
+                and self.acceptor.accepted_state is not None
+                and self.acceptor.accepted_state.number <= self.state.number
+            ):
+                self.contact.on_agreement(ReplicaId(self.ip, self.acceptor.disk), now)
             return
         nonce = next(self.world.nonces)
         self.probes[nonce] = ip, now
@@ -201,7 +220,7 @@
             acceptor is not None
             and self.disk is not None
             and probe.receiver_disk_id == acceptor.disk
-            and probe.receiver_record_version > acceptor.turn
+            and probe.receiver_record_version > acceptor.durable_version
         ):
             assert (self.ip, acceptor.disk) in self.world.stale, f"{self.ip} gives its disk up without cause"
             self.initial = self.machine.initial = False  # what was here may have voted on the first core
@@ -212,8 +231,16 @@
         number = self.number()
         if acceptor is None or self.disk is None:
             return self.world.send(self.ip, ip, (StateReport(probe.nonce, 0, 0, number, number, 0, age_ms), 0))
-        held = StateReport(probe.nonce, acceptor.disk, acceptor.turn, acceptor.accepted, number, acceptor.kept, age_ms)
-        self.world.send(self.ip, ip, (held, acceptor.turn))
+        held = StateReport(
+            probe.nonce,
+            acceptor.disk,
+            acceptor.durable_version,
+            acceptor.durable_accepted_number,
+            number,
+            acceptor.durable_chosen_number,
+            age_ms,
+        )
+        self.world.send(self.ip, ip, (held, acceptor.durable_version))
 
     def held(self, ip, told):
         held, turn = told
@@ -232,9 +259,9 @@
 
     def agree(self, ip, held, asked):
         if held.disk_id and held.accepted_number <= self.number():
-            self.contact.agree(ip, held.disk_id, asked)
+            self.contact.on_agreement(ReplicaId(ip, held.disk_id), asked)
         if held.staleness_ms >= 0 and held.committed_number <= self.number():
-            self.contact.relay(asked, held.staleness_ms / 1000)
+            self.contact.on_relayed_lease(asked, held.staleness_ms / 1000)
 
     # news
 
@@ -244,7 +271,7 @@
                 self.learn(reply.state, reply.configuration_body)
             then()
 
-        content = self.state.config[1] if self.state is not None and self.state.config is not None else 0
+        content = self.state.config.digest if self.state is not None and self.state.config is not None else 0
         self.world.call(self, ip, FetchState(self.number(), content, self.disk is not None), pulled)
 
     def learn(self, told, body):
@@ -253,7 +280,7 @@
         if self.disk is not None and told.config is not None and not told.past:
             return
         self.content(told, body)
-        if not whole(told, self.contents):
+        if not has_contents(told, self.contents):
             return
         if self.acceptor is not None and self.disk is not None:
             self.acceptor.learn(told)
@@ -262,18 +289,18 @@
 
     def content(self, told, body):
         if body is not None and told.config is not None:
-            self.contents.add(told.config[1])
+            self.contents.add(told.config.digest)
 
     def hold(self, told):
         self.world.held(told)
         before, self.state = self.state, told
         if before is None or before.epoch != told.epoch:
-            self.contact.keep(told)
-        proposed = self.proposal.state if self.proposal is not None else None
-        wanted = {held.config[1] for held in (told, proposed) if held is not None and held.config is not None}
-        wanted |= {one.order.content for one in self.orders if isinstance(one.order, ReplaceConfiguration)}
+            self.contact.retain_voters(told)
+        proposed = self.proposal.proposed_state if self.proposal is not None else None
+        wanted = {held.config.digest for held in (told, proposed) if held is not None and held.config is not None}
+        wanted |= {one.order.digest for one in self.orders if isinstance(one.order, ReplaceConfiguration)}
         if self.acceptor is not None:
-            wanted |= named(self.acceptor.record)
+            wanted |= referenced_digests(self.acceptor.record)
         self.contents &= wanted
 
     # as a replica
@@ -290,8 +317,8 @@
     def give(self, call, answer):
         held, told, body = self.state, None, None
         if held is not None and held.number > call.known_number:
-            told = held if call.wants_full_state else held.brief()
-            body = b"" if held.config is not None and held.config[1] != call.known_content else None
+            told = held if call.wants_full_state else held.without_past()
+            body = b"" if held.config is not None and held.config.digest != call.known_content else None
         answer(FetchedState(told, body))
 
     def votes(self):
@@ -300,7 +327,7 @@
 
     def remembers(self):
         """A disk that was empty at a later start has no part in a founding: what was there may have voted."""
-        return self.initial or self.state is not None or self.acceptor.state is not None
+        return self.initial or self.state is not None or self.acceptor.accepted_state is not None
 
     def prepare(self, call, answer, known):
         acceptor = self.acceptor
@@ -309,13 +336,13 @@
         ok, record = acceptor.prepare(call.ballot, known), acceptor.record
         body = None
         if (
-            record.state is not None
-            and record.state.config is not None
-            and record.state.config[1] != call.known_content
-            and record.state.config[1] in self.contents
+            record.accepted_state is not None
+            and record.accepted_state.config is not None
+            and record.accepted_state.config.digest != call.known_content
+            and record.accepted_state.config.digest in self.contents
         ):
             body = b""
-        reply = Promised(ok, record.disk, record.promised, record.ballot, record.state, body)
+        reply = Promised(ok, record.disk, record.promised, record.accepted_ballot, record.accepted_state, body)
         if not ok:
             return answer(reply)
         self.world.vouch(self, record)
@@ -326,7 +353,7 @@
         if not self.votes() or not self.remembers() and not call.state.is_voter(self.ip, acceptor.disk):
             return answer(Accepted(False, 0))
         self.content(call.state, call.configuration_body)
-        if not whole(call.state, self.contents):
+        if not has_contents(call.state, self.contents):
             return answer(Accepted(False, acceptor.disk, needs_body=True))
         ok, record = acceptor.accept(call.ballot, call.state), acceptor.record
         reply = Accepted(ok, record.disk, record.promised)
@@ -336,9 +363,9 @@
         self.sync(acceptor, lambda ok: answer(self.world.answered(self, reply, record) if ok else Accepted(False, 0)))
 
     def told_chosen(self, ip, told):
-        if self.acceptor is not None and self.acceptor.chosen(told.ballot, told.state_number):
+        if self.acceptor is not None and self.acceptor.mark_chosen(told.ballot, told.state_number):
             self.keep()
-            decided = self.acceptor.decided
+            decided = self.acceptor.chosen_state
             if decided.number > self.number():
                 self.hold(decided)
 
@@ -348,7 +375,7 @@
         if not self.is_voter:
             return
         if isinstance(order, ReplaceConfiguration):
-            self.contents.add(order.content)
+            self.contents.add(order.digest)
         self.orders.append(Asked(order, self.world.now + ORDER_S))
 
     def turn(self, mine):
@@ -357,11 +384,11 @@
             return
         if self.state is None:
             if self.initial:
-                self.begin(genesis(self.world.seeds), self.found)
+                self.begin(initial_state(self.world.seeds), self.found)
             return
         if not self.is_voter:
             return
-        limbo = self.acceptor.state is not None and self.acceptor.state.number > self.state.number
+        limbo = self.acceptor.accepted_state is not None and self.acceptor.accepted_state.number > self.state.number
         self.mine = mine
         if self.orders or self.wish or self.state.former and mine or limbo or self.due(self.state):
             self.begin(self.state, self.next)
@@ -379,7 +406,7 @@
             replica = Replica(ip, disk, ip) if fresh or ip not in known else known[ip]
             whole_ = fresh and kept > 0 and kept + NEAR >= base.number
             seen.append(ReplicaStatus(replica, whole_, self.world.machines[ip].leaving, self.world.silent(self.ip, ip)))
-        return due(base, seen, self.world.losses, 1, LOST_S)
+        return next_voters(base, seen, FaultTolerance(self.world.losses, 1), LOST_S)
 
     def found(self, base):
         core = [
@@ -387,30 +414,30 @@
             for ip in self.world.alive(self.ip)
             if ip == self.ip or ip in self.seen
         ]
-        return founded(base, next(self.world.systems), core)
+        return bootstrap(base, next(self.world.systems), core)
 
     def next(self, base):
         self.taken = [one for one in self.orders if one.status is None]
-        after = settled(base) if base == self.state else base
-        after, self.outcomes = batch(after, [one.order for one in self.taken], self.world.losses, 1)
+        after = finish_reconfiguration(base) if base == self.state else base
+        after, self.outcomes = apply_all(after, [one.order for one in self.taken], FaultTolerance(self.world.losses, 1))
         if self.wish:
-            after, self.wish = reformed(after, self.wish), None
+            after, self.wish = begin_reconfiguration(after, self.wish), None
         if not base.former and base == self.state:
             voters = self.due(after) if not after.former else None
             if voters is not None:
-                after = reformed(after, voters)
+                after = begin_reconfiguration(after, voters)
         return after
 
     def begin(self, known, change):
         self.taken, self.outcomes = [], []
-        self.round = max(self.round, self.acceptor.record.promised[0]) + 1
-        proposal = self.proposal = Proposal((self.round, self.ip, self.incarnation), known, change)
+        self.round = max(self.round, self.acceptor.record.promised.round) + 1
+        proposal = self.proposal = Proposal(Ballot(self.round, self.ip, self.incarnation), known, change)
         self.prepare_at(proposal)
 
     def prepare_at(self, proposal):
-        content = self.state.config[1] if self.state is not None and self.state.config is not None else 0
-        for ip in proposal.to_ask():
-            known = proposal.known.number
+        content = self.state.config.digest if self.state is not None and self.state.config is not None else 0
+        for ip in proposal.take_prepare_targets():
+            known = proposal.known_state.number
             self.call(ip, (Prepare(proposal.ballot, known, content), known), self.promised, proposal)
 
     def call(self, ip, call, then, proposal):
@@ -424,47 +451,45 @@
         if reply.accepted_state is not None:
             self.content(reply.accepted_state, reply.configuration_body)
         if reply.is_granted or reply.disk_id:
-            step = proposal.promised(
-                ip, reply.disk_id, reply.is_granted, reply.promised_ballot, reply.accepted_ballot, reply.accepted_state
-            )
+            step = proposal.on_prepare_reply(ip, reply)
             self.step(proposal, step)
 
     def step(self, proposal, step):
         match step:
-            case Step.ASK:
+            case NextStep.PREPARE:
                 self.prepare_at(proposal)
-            case Step.ACCEPT:
+            case NextStep.ACCEPT:
                 self.accept_at(proposal)
-            case Step.CHOSEN:
+            case NextStep.CHOSEN:
                 self.won(proposal)
-            case Step.LOST:
-                self.round = max(self.round, proposal.highest[0])
+            case NextStep.PREEMPTED:
+                self.round = max(self.round, proposal.highest_ballot.round)
                 self.proposal = None
 
     def accept_at(self, proposal):
-        if not whole(proposal.state, self.contents):
+        if not has_contents(proposal.proposed_state, self.contents):
             return
         self.world.proposed(proposal, self.taken)
-        fresh = proposal.state.config is not None and proposal.state.config != proposal.base.config
-        for ip in proposal.to_accept():
-            call = Accept(proposal.ballot, proposal.state, b"" if fresh else None)
+        fresh = proposal.proposed_state.config is not None and proposal.proposed_state.config != proposal.base.config
+        for ip in proposal.accept_targets():
+            call = Accept(proposal.ballot, proposal.proposed_state, b"" if fresh else None)
             self.call(ip, call, self.accepted, proposal)
 
     def accepted(self, proposal, ip, reply):
         if proposal is not self.proposal:
             return
         if reply.needs_body:
-            return self.call(ip, Accept(proposal.ballot, proposal.state, b""), self.accepted, proposal)
+            return self.call(ip, Accept(proposal.ballot, proposal.proposed_state, b""), self.accepted, proposal)
         if reply.is_granted or reply.disk_id:
-            self.step(proposal, proposal.accepted(ip, reply.disk_id, reply.is_granted, reply.promised_ballot))
+            self.step(proposal, proposal.on_accept_reply(ip, reply))
 
     def won(self, proposal):
-        self.proposal, told = None, proposal.state
-        for ip in proposal.to_accept():
+        self.proposal, told = None, proposal.proposed_state
+        for ip in proposal.accept_targets():
             if ip != self.ip:
                 self.world.send(self.ip, ip, Chosen(proposal.ballot, told.number))
         if self.acceptor is not None:
-            self.acceptor.chosen(proposal.ballot, told.number) or self.acceptor.learn(told)
+            self.acceptor.mark_chosen(proposal.ballot, told.number) or self.acceptor.learn(told)
             self.keep()
         if told.number > self.number():
             self.hold(told)
@@ -478,7 +503,7 @@
             self.disk is not None
             and self.acceptor is not None
             and self.state is not None
-            and self.acceptor.kept < self.state.number
+            and self.acceptor.durable_chosen_number < self.state.number
         ):
             self.acceptor.learn(self.state)
             self.keep()
@@ -553,7 +578,7 @@
         life.turn(mine)
         proposal = life.proposal
         for _ in range(50 if proposal is not None else 0):
-            reach = {ip, *(first if proposal.state is None else then)}
+            reach = {ip, *(first if proposal.proposed_state is None else then)}
             for to in reach - {ip} if lazy else reach:
                 if self.machines[to].life is not None and self.machines[to].life.syncs:
                     self.machines[to].life.written(0, True)
@@ -684,7 +709,7 @@
         older = machine.disk.older
         record, contents = older[nth % len(older)]
         high = max((one.high.get((ip, record.disk), 0) for one in self.lives() if one.ip != ip), default=0)
-        if record.turn < high:
+        if record.version < high:
             self.crash(ip, 0)
             machine.disk.record, machine.disk.contents = record, contents
             self.stale[ip, record.disk] = high
@@ -705,7 +730,7 @@
         if not machine.leaving:
             staying = [m for m in self.machines.values() if m.disk and not m.gone and not m.leaving]
             machine.leaving = len(staying) > 2 * self.losses + 1
-        elif not life.is_voter and ip not in [r.ip for r in life.state.members()] if life.state else False:
+        elif not life.is_voter and ip not in [r.ip for r in life.state.all_voters()] if life.state else False:
             if self.bearable(ip):
                 self.crash(ip, 0)
                 machine.gone = True
@@ -747,17 +772,17 @@
         assert link, f"answered of {told.number} before it is chosen"
         if not isinstance(order, ReplaceConfiguration):
             return
-        pair = order.version, order.content
-        if len(told.past) >= state.PAST_MOST and order.version < min(told.past)[0]:
+        pair = order.version, order.digest
+        if len(told.past) >= state.MAX_PAST_VERSIONS and order.version < min(told.past)[0]:
             return  # overtaken by so many that nobody remembers it
-        if status == DONE:
-            held = self.confirmed.setdefault(order.version, order.content)
-            assert held == order.content, f"{order.version} confirmed with two contents"
+        if status == CommandStatus.DONE:
+            held = self.confirmed.setdefault(order.version, order.digest)
+            assert held == order.digest, f"{order.version} confirmed with two contents"
             assert pair not in self.refused, f"{pair} confirmed after it was refused"
             assert pair in told.past, f"{pair} confirmed and not in the state"
-        elif status == CONFLICT:
+        elif status == CommandStatus.CONFLICT:
             self.refused.add(pair)
-            assert self.confirmed.get(order.version) != order.content, f"{pair} refused after it was confirmed"
+            assert self.confirmed.get(order.version) != order.digest, f"{pair} refused after it was confirmed"
             assert pair not in told.past
 
     # what holds at all times
@@ -765,20 +790,22 @@
     def proposed(self, proposal, taken):
         """A state goes out to be accepted."""
         if proposal.ballot in self.links:
-            assert self.links[proposal.ballot].state == proposal.state, "two states under one ballot"
+            assert self.links[proposal.ballot].state == proposal.proposed_state, "two states under one ballot"
             return
         base = proposal.base
-        parent = self.links.get(proposal.found_ballot) if proposal.found is base else None
+        parent = self.links.get(proposal.highest_accepted_ballot) if proposal.highest_accepted_state is base else None
         if parent is None:
             parent = next((one for one in self.links.values() if one.state == base), None)
         zones = {one.order.zone for one in taken if isinstance(one.order, SetEvacuation)}
-        self.links[proposal.ballot] = Link(parent, base, proposal.state, zones)
+        self.links[proposal.ballot] = Link(parent, base, proposal.proposed_state, zones)
 
     def durable(self, life, record):
         """That record is lasting, and its replica knows."""
         if life.disk is not None:
-            assert named(record) <= life.disk.contents or life.disk.record.turn > record.turn, "not whole"
-        link = self.links.get(record.ballot)
+            assert referenced_digests(record) <= life.disk.contents or life.disk.record.version > record.version, (
+                "not whole"
+            )
+        link = self.links.get(record.accepted_ballot)
         if link is not None and (record.ip, record.disk) not in link.by:
             link.by.add((record.ip, record.disk))
             if not link.chosen and agreed(link.base, link.by) and agreed(link.state, link.by):
@@ -803,11 +830,11 @@
         if top is None or told.number > top.number:
             assert top is None or told.epoch >= top.epoch and told.system == top.system
             past = dict(told.past)
-            floor = min(past) if len(past) >= state.PAST_MOST else 0
+            floor = min(past) if len(past) >= state.MAX_PAST_VERSIONS else 0
             for version, content in self.confirmed.items():
                 assert version < floor or past.get(version) == content, f"{version} was confirmed and is lost"
             if self.confirmed:
-                assert told.config[0] >= max(self.confirmed)
+                assert told.config.version >= max(self.confirmed)
             assert told.config not in self.refused, "what was refused is in force"
             self.top, self.top_link = told, link
             self.times.append(self.now)
@@ -816,21 +843,21 @@
     def held(self, told):
         """Somebody takes that for chosen."""
         assert any(
-            one.chosen and one.state.number == told.number and one.state.brief() == told.brief()
+            one.chosen and one.state.number == told.number and one.state.without_past() == told.without_past()
             for one in self.links.values()
         ), f"{told.number} is not chosen"
 
     def vouch(self, life, record):
         """An answer is made: not of less than was answered before."""
-        promised, ballot = self.said.get((record.ip, record.disk), (NONE, NONE))
-        assert record.promised >= promised and record.ballot >= ballot, f"{life.ip} has forgotten a promise"
+        promised, ballot = self.said.get((record.ip, record.disk), (NO_BALLOT, NO_BALLOT))
+        assert record.promised >= promised and record.accepted_ballot >= ballot, f"{life.ip} has forgotten a promise"
 
     def answered(self, life, reply, record=None):
         key = life.ip, reply.disk_id
-        promised, ballot = self.said.get(key, (NONE, NONE))
+        promised, ballot = self.said.get(key, (NO_BALLOT, NO_BALLOT))
         self.said[key] = (
             max(promised, reply.promised_ballot),
-            max(ballot, record.ballot if record else reply.accepted_ballot),
+            max(ballot, record.accepted_ballot if record else reply.accepted_ballot),
         )
         return reply
 
@@ -848,8 +875,10 @@
             if life.disk is not None and life.acceptor is not None and life.disk.record is not None:
                 record = life.disk.record
                 if record.disk == life.acceptor.disk:
-                    promised, ballot = self.said.get((life.ip, record.disk), (NONE, NONE))
-                    assert record.promised >= promised and record.ballot >= ballot, "answered, and not on the disk"
+                    promised, ballot = self.said.get((life.ip, record.disk), (NO_BALLOT, NO_BALLOT))
+                    assert record.promised >= promised and record.accepted_ballot >= ballot, (
+                        "answered, and not on the disk"
+                    )
 
     def check_quorums(self):
         """No two sets without a replica in common can both decide, by what is on their disks."""
@@ -864,19 +893,23 @@
                 records.append(m.life.acceptor.record)
             if m.life is not None:
                 known.add(m.life.state)
-        known = [one for one in known if one is not None] + [genesis(self.seeds)] * founder
+        known = [one for one in known if one is not None] + [initial_state(self.seeds)] * founder
         able = []
         for bits in range(1, 1 << len(records)):
             found = [r for n, r in enumerate(records) if bits >> n & 1]
             if any(not bits & other ^ other for other in able):
                 continue  # a part of it can
-            newest = max(found, key=lambda r: r.ballot)
+            newest = max(found, key=lambda r: r.accepted_ballot)
             heard = {(r.ip, r.disk) for r in found}
-            free = not any(Acceptor(r).decided for r in found)  # who knows a core takes no part in a founding
+            free = not any(Acceptor(r).chosen_state for r in found)  # who knows a core takes no part in a founding
             for one in known:
-                base = newest.state if newest.state is not None and newest.state.number >= one.number else one
+                base = (
+                    newest.accepted_state
+                    if newest.accepted_state is not None and newest.accepted_state.number >= one.number
+                    else one
+                )
                 if (
-                    (base is not one or newest.state is None and not one.number)
+                    (base is not one or newest.accepted_state is None and not one.number)
                     and agreed(base, heard)
                     and (one.number or free and all(self.votes_yet(r) for r in found))
                 ):
@@ -951,7 +984,10 @@
                 larger = voters | {mine}
                 held = m.ip in {r.ip for r in voters}
                 assert (
-                    mine in voters or not held and bears(voters, self.losses, 1) and not bears(larger, self.losses, 1)
+                    mine in voters
+                    or not held
+                    and tolerates_faults(voters, FaultTolerance(self.losses, 1))
+                    and not tolerates_faults(larger, FaultTolerance(self.losses, 1))
                 ), f"{m.ip} has no vote"
         assert not self.top.former, "a change of members is under way for ever"
 
@@ -962,7 +998,7 @@
         asked = at.orders[-1]
         for _ in range(5):
             self.round_of(lot)
-        assert asked.status == DONE, "a new order is not chosen"
+        assert asked.status == CommandStatus.DONE, "a new order is not chosen"
         assert self.top.config == (self.version, 100 * self.version + 9)
         for life in self.lives():
             assert life.state.config == self.top.config and self.now - life.since() < 1.0, f"{life.ip} is behind"
@@ -1158,29 +1194,34 @@
 # What the search has to find: each rule broken in one way.
 
 
-def _first_not_highest(self, ip, disk, ok, promised, ballot, told):
-    return PROMISED(self, ip, disk, ok, promised, NONE if self.found is not None else ballot, told)
+def _first_not_highest(self, ip, reply):
+    if self.highest_accepted_state is not None:
+        reply = state.msgspec.structs.replace(reply, accepted_ballot=NO_BALLOT)
+    return PROMISED(self, ip, reply)
 
 
-def _asks_known_only(self, ip, disk, ok, promised, ballot, told):
+def _asks_known_only(self, ip, reply):
     """Those of what it knows are enough, whatever their promises show."""
-    if self.over or self.state is not None or not ok:
-        return PROMISED(self, ip, disk, ok, promised, ballot, told)
-    self.promises.add((ip, disk))
-    if told is not None and ballot > self.found_ballot:
-        self.found, self.found_ballot = told, ballot
-    if not self.known.quorum(self.promises) or self.base is not self.found and self.known.number:
-        return Step.WAIT
-    self.state = self.change(self.base)
-    return Step.ACCEPT
-
-
-def _known_accepts(self, ip, disk, ok, promised):
+    if self.is_finished or self.proposed_state is not None or not reply.is_granted:
+        return PROMISED(self, ip, reply)
+    self._promised_by.add(ReplicaId(ip, reply.disk_id))
+    if reply.accepted_state is not None and reply.accepted_ballot > self.highest_accepted_ballot:
+        self.highest_accepted_state = reply.accepted_state
+        self.highest_accepted_ballot = reply.accepted_ballot
+    shows_known = self.base is self.highest_accepted_state or not self.known_state.number
+    if not self.known_state.has_quorum(self._promised_by) or not shows_known:
+        return NextStep.WAIT
+    self.proposed_state = self._change(self.base)
+    return NextStep.ACCEPT
+
+
+def _known_accepts(self, ip, reply):
     """A majority of what it knows is enough for what is new."""
-    step = ACCEPTED(self, ip, disk, ok, promised)
-    if step is Step.WAIT and ok and self.state is not None and not self.over and self.base.quorum(self.accepts):
-        self.over = True
-        return Step.CHOSEN
+    step = ACCEPTED(self, ip, reply)
+    is_open = self.proposed_state is not None and not self.is_finished
+    if step is NextStep.WAIT and reply.is_granted and is_open and self.base.has_quorum(self._accepted_by):
+        self.is_finished = True
+        return NextStep.CHOSEN
     return step
 
 
@@ -1189,20 +1230,20 @@
     if self.acceptor is not None and self.votes():
         record = self.acceptor.record
         ok = call.ballot == record.promised
-        reply = Promised(ok, record.disk, record.promised, record.ballot, record.state, b"")
+        reply = Promised(ok, record.disk, record.promised, record.accepted_ballot, record.accepted_state, b"")
         answer(self.world.answered(self, reply) if ok else reply)
 
 
 def _accepts_at_once(self, call, answer):
     ACCEPT(self, call, lambda reply: None)
-    if self.acceptor is not None and self.acceptor.record.ballot == call.ballot:
+    if self.acceptor is not None and self.acceptor.record.accepted_ballot == call.ballot:
         record = self.acceptor.record
         answer(self.world.answered(self, Accepted(True, record.disk, record.promised), record))
 
 
 def _settles_any(self, base):
     after = NEXT(self, base)
-    return settled(after) if base.former and after.former == base.former else after
+    return finish_reconfiguration(after) if base.former and after.former == base.former else after
 
 
 def _same_identity(self, ip):
@@ -1219,7 +1260,10 @@
         if content > past[version]:
             past[version] = content
             return state.msgspec.structs.replace(
-                one, number=one.number + 1, config=(version, content), past=tuple(sorted(past.items()))
+                one,
+                number=one.number + 1,
+                config=ConfigurationRef(version, content),
+                past=tuple(ConfigurationRef(*item) for item in sorted(past.items())),
             ), True
         return one, True
     return REPLACED(one, version, content)
@@ -1240,8 +1284,8 @@
 
 def _begins_as_anyone(self, known, change):
     self.taken, self.outcomes = [], []
-    self.round = max(self.round, self.acceptor.record.promised[0]) + 1
-    self.proposal = Proposal((self.round, 0, 0), known, change)
+    self.round = max(self.round, self.acceptor.record.promised.round) + 1
+    self.proposal = Proposal(Ballot(self.round, 0, 0), known, change)
     self.prepare_at(self.proposal)
 
 
@@ -1254,16 +1298,16 @@
     AGREE(self, ip, held, self.world.now)
 
 
-def _relays_from_now(self, asked, age):
-    RELAY(self, asked + 0.3, age)
+def _relays_from_now(self, asked_at, age_s):
+    RELAY(self, asked_at + 0.3, age_s)
 
 
 def _any_ballot(self, ballot, number):
-    return CHOSEN(self, self.record.ballot, number)
+    return CHOSEN(self, self.record.accepted_ballot, number)
 
 
 def _breaks_promise(self, ballot, told):
-    self.record = state.msgspec.structs.replace(self.record, promised=NONE)
+    self.record = state.msgspec.structs.replace(self.record, promised=NO_BALLOT)
     return TAKE(self, ballot, told)
 
 
@@ -1272,15 +1316,15 @@
 
 
 def _gives_accepted(self, call, answer):
-    held = self.acceptor.state if self.acceptor is not None else None
+    held = self.acceptor.accepted_state if self.acceptor is not None else None
     if held is None or held.number <= max(call.known_number, self.number()):
         return GIVE(self, call, answer)
-    answer(FetchedState(held if call.wants_full_state else held.brief(), b""))
+    answer(FetchedState(held if call.wants_full_state else held.without_past(), b""))
 
 
 def _answers_early(self, proposal):
     ACCEPT_AT(self, proposal)
-    if self.proposal is proposal and proposal.state is not None:
+    if self.proposal is proposal and proposal.proposed_state is not None:
         self.won(proposal)
 
 
@@ -1291,38 +1335,51 @@
 def _highest(self, record):
     """The highest number that this disk ever had accepted, as far as this life knows."""
     SYNCED(self, record)
-    self.highest = max(getattr(self, "highest", 0), record.state.number if record.state is not None else 0)
+    self.highest = max(
+        getattr(self, "highest", 0), record.accepted_state.number if record.accepted_state is not None else 0
+    )
     return self.highest
 
 
 def _turn_by_number(self, record):
-    self.turn = _highest(self, record)
+    self.durable_version = _highest(self, record)
 
 
 def _accepted_climbs(self, record):
-    self.accepted = _highest(self, record)
+    self.durable_accepted_number = _highest(self, record)
 
 
-SYNCED, PROMISE = Acceptor.synced, Acceptor.prepare
-PROMISED, ACCEPTED, CHOSEN, TAKE = Proposal.promised, Proposal.accepted, Acceptor.chosen, Acceptor.accept
+SYNCED, PROMISE = Acceptor.on_record_saved, Acceptor.prepare
+PROMISED, ACCEPTED, CHOSEN, TAKE = (
+    Proposal.on_prepare_reply,
+    Proposal.on_accept_reply,
+    Acceptor.mark_chosen,
+    Acceptor.accept,
+)
 PREPARE, ACCEPT, NEXT, BEGIN, AGREE, GIVE = Life.prepare, Life.accept, Life.next, Life.begin, Life.agree, Life.give
-ACCEPT_AT, PROBED, RELAY, WIPE, REPLACED = Life.accept_at, Life.probed, ReadLease.relay, World.wipe, state.replaced
-REFORMED, DUE = state.reformed, due
+ACCEPT_AT, PROBED, RELAY, WIPE, REPLACED = (
+    Life.accept_at,
+    Life.probed,
+    ReadLease.on_relayed_lease,
+    World.wipe,
+    state.replace_configuration,
+)
+REFORMED, DUE = state.begin_reconfiguration, next_voters
 HERE = sys.modules[__name__]
 MUTANTS = {
     "a quorum less one": [
         (
             state,
-            "majority",
-            lambda voters, heard: sum(any(r.is_at(*one) for one in heard) for r in voters) >= max(1, len(voters) // 2),
+            "has_majority",
+            lambda voters, heard: sum(any(r.matches(one) for one in heard) for r in voters) >= max(1, len(voters) // 2),
         )
     ],
     "contact with one less": [
         (
             ReadLease,
-            "_majority",
+            "_majority_asked_at",
             lambda self, voters: sorted(
-                (max((at for one, at in self.asked.items() if r.is_at(*one)), default=NEVER) for r in voters),
+                (max((at for one, at in self._asked_at.items() if r.matches(one)), default=NEVER) for r in voters),
                 reverse=True,
             )[max(0, len(voters) // 2 - 1)],
         )
@@ -1330,34 +1387,36 @@
     "a promise that is not on the disk": [(Life, "prepare", _prepares_at_once)],
     "an acceptance that is not on the disk": [(Life, "accept", _accepts_at_once)],
     "an acceptance after a higher promise": [(Acceptor, "accept", _breaks_promise)],
-    "the first accepted state, not the highest": [(Proposal, "promised", _first_not_highest)],
-    "its own change without what was accepted": [(Proposal, "base", property(lambda self: self.known))],
-    "asks those it knows, not those that promises show": [(Proposal, "promised", _asks_known_only)],
-    "the new voters are not asked to accept": [(Proposal, "accepted", _known_accepts)],
-    "voters change at once": [(where, "reformed", _reforms_at_once) for where in (commands, state, HERE)],
+    "the first accepted state, not the highest": [(Proposal, "on_prepare_reply", _first_not_highest)],
+    "its own change without what was accepted": [(Proposal, "base", property(lambda self: self.known_state))],
+    "asks those it knows, not those that promises show": [(Proposal, "on_prepare_reply", _asks_known_only)],
+    "the new voters are not asked to accept": [(Proposal, "on_accept_reply", _known_accepts)],
+    "voters change at once": [(where, "begin_reconfiguration", _reforms_at_once) for where in (commands, state, HERE)],
     "settled before it is chosen": [(Life, "next", _settles_any)],
-    "the new set alone": [(state.State, "quorum", lambda self, heard: state.majority(self.voters, heard))],
+    "the new set alone": [(state.State, "has_quorum", lambda self, heard: state.has_majority(self.voters, heard))],
     "a second change of members": [
-        (commands, "reformed", _reforms_again),
-        (HERE, "reformed", _reforms_again),
-        (HERE, "due", _due_again),
+        (commands, "begin_reconfiguration", _reforms_again),
+        (HERE, "begin_reconfiguration", _reforms_again),
+        (HERE, "next_voters", _due_again),
     ],
     "a wiped disk keeps its identity": [(World, "wipe", _same_identity)],
-    "another disk counts at once": [(Replica, "is_at", lambda self, ip, disk: self.ip == ip)],
+    "another disk counts at once": [(Replica, "matches", lambda self, replica_id: self.ip == replica_id[0])],
     "an older folder is believed": [(Life, "probed", _believes_older)],
-    "the highest content wins": [(commands, "replaced", _highest_content)],
+    "the highest content wins": [(commands, "replace_configuration", _highest_content)],
     "a ballot that others use": [(Life, "begin", _begins_as_anyone)],
     "a ballot that an earlier life used": [(Life, "begin", _begins_as_before)],
     "contact from when the answer came": [(Life, "agree", _agrees_from_now)],
-    "an age at second hand from the answer": [(ReadLease, "relay", _relays_from_now)],
-    "chosen under another ballot": [(Acceptor, "chosen", _any_ballot)],
+    "an age at second hand from the answer": [(ReadLease, "on_relayed_lease", _relays_from_now)],
+    "chosen under another ballot": [(Acceptor, "mark_chosen", _any_ballot)],
     "what was accepted is told as chosen": [(Life, "give", _gives_accepted)],
     "answered before it is chosen": [(Life, "accept_at", _answers_early)],
-    "accepted without its body": [(HERE, "whole", _learns_torn)],
-    "a disk is known by the number it accepted": [(Acceptor, "synced", _turn_by_number)],
-    "the highest number it ever accepted": [(Acceptor, "synced", _accepted_climbs)],
+    "accepted without its body": [(HERE, "has_contents", _learns_torn)],
+    "a disk is known by the number it accepted": [(Acceptor, "on_record_saved", _turn_by_number)],
+    "the highest number it ever accepted": [(Acceptor, "on_record_saved", _accepted_climbs)],
     "an empty disk founds again": [(Life, "remembers", lambda self: True)],
-    "who knows a core founds another": [(Acceptor, "prepare", lambda self, ballot, known: PROMISE(self, ballot))],
+    "who knows a core founds another": [
+        (Acceptor, "prepare", lambda self, ballot, known_number: PROMISE(self, ballot))
+    ],
 }
 
 
@@ -1427,7 +1486,7 @@
     world.replace(2, 0, 1)
     for _ in range(3):
         world.ballot(2, True, [3], [1, 3], _first)
-    assert world.machines[1].disk.record.state == world.top and world.top.number == 3
+    assert world.machines[1].disk.record.accepted_state == world.top and world.top.number == 3
     world.wire = []
     world.crash(3, 0)
     for ip in (1, 2):
@@ -1573,7 +1632,7 @@
         search(600)
 
     def test_hundreds_of_changes_in_a_row(self):
-        with mock.patch.object(state, "PAST_MOST", 6):
+        with mock.patch.object(state, "MAX_PAST_VERSIONS", 6):
             search(2, steps=1500)
 
     def test_hypothesis_finds_no_history_and_finds_a_mutant(self):
--- a/tests/balancer/control/test_recovery.py
+++ b/tests/balancer/control/test_recovery.py
@@ -12,9 +12,10 @@
 from twisted.internet.defer import maybeDeferred
 
 from mapleline.balancer.control import migration
-from mapleline.balancer.control.commands import DONE, ReplaceConfiguration
+from mapleline.balancer.control.commands import CommandStatus, ReplaceConfiguration
 from mapleline.balancer.control.replica import LocalReplica
-from mapleline.balancer.control.state import digest
+from mapleline.balancer.control.snapshot import FileFault, LoadedSnapshot
+from mapleline.balancer.control.state import content_digest
 from mapleline.balancer.membership.member import MemberFlags
 from mapleline.balancer.transport.messages import Accepted, Prepare, Promised, encode
 from mapleline.simulation.scenario import ZONES
@@ -60,15 +61,15 @@
         world, left = self.world, [changes]
 
         def next_one(outcome=None) -> None:
-            if outcome is not None and outcome.status == DONE:
+            if outcome is not None and outcome.status == CommandStatus.DONE:
                 left[0] -= 1
                 self.version += 1
             if left[0]:
                 body = body_of(self.version + 1)
                 machine = at if at is not None and at.is_running else self.up()[0]
-                order = ReplaceConfiguration(self.version + 1, digest(body))
+                order = ReplaceConfiguration(self.version + 1, content_digest(body))
                 machine.node.control_plane.submit_command(order, body, 4.5).addCallback(
-                    lambda outcome: world.after(0.0 if outcome.status == DONE else 0.2, next_one, outcome)
+                    lambda outcome: world.after(0.0 if outcome.status == CommandStatus.DONE else 0.2, next_one, outcome)
                 )
 
         next_one()
@@ -91,8 +92,8 @@
         if any(m.node.control_plane.state.former for m in self.up()):
             return False  # who votes is changing still
         record = machine.disk.record
-        kept = record.state if record.is_decided else record.decided
-        return kept is not None and kept.number == self.newest() and kept.config[0] == self.version
+        chosen = record.chosen_state
+        return chosen is not None and chosen.number == self.newest() and chosen.config.version == self.version
 
     def come_back(self, machine) -> Whole:
         """Started; until it is whole."""
@@ -185,13 +186,15 @@
 class TestUpgrade(Laboratory):
     def test_machines_with_folders_of_the_earlier_format_found_a_core(self):
         """Nothing there voted on a core of ours; a folder that was spoilt may have, and founds none."""
-        for fault, founded in ((migration.FAULT, True), ("torn, empty or foreign", False)):
+        legacy = FileFault("core, r-636f6e666967", migration.LEGACY_FAULT, is_legacy=True)
+        torn = FileFault("core, r-636f6e666967", "torn, empty or foreign")
+        for fault, founded in ((legacy, True), (torn, False)):
             world = World(9, Topology(ZONES, stateless_per_zone=0))
             for machine in world.control_replicas:
-                machine.disk.load = lambda fault=fault: (None, {}, [f"core, r-636f6e666967: {fault}"])
+                machine.disk.load = lambda fault=fault: LoadedSnapshot(None, {}, [fault])
             world.start()
             world.run(8.0)
-            with self.subTest(fault):
+            with self.subTest(str(fault)):
                 self.assertEqual({m.node.control_plane.state is not None for m in world.control_replicas}, {founded})
 
 
--- a/tests/balancer/control/test_snapshot.py
+++ b/tests/balancer/control/test_snapshot.py
@@ -15,9 +15,9 @@
 from mapleline.balancer.cli import data_folder
 from mapleline.balancer.control import audit_log, migration, snapshot
 from mapleline.balancer.control.audit_log import AuditLog
-from mapleline.balancer.control.consensus import Record
-from mapleline.balancer.control.snapshot import Snapshot, named
-from mapleline.balancer.control.state import Replica, State, digest
+from mapleline.balancer.control.consensus import Record, referenced_digests
+from mapleline.balancer.control.snapshot import SnapshotStore
+from mapleline.balancer.control.state import ConfigurationRef, Replica, State, content_digest
 
 ME, DISK = 1, 7
 
@@ -28,22 +28,22 @@
 
 def state(number: int, version: int, size: int = 0) -> State:
     voters = (Replica(ME, DISK), Replica(2, 8), Replica(3, 9))
-    return State(number, 99, 1, voters, config=(version, digest(body(version, size))))
+    return State(number, 99, 1, voters, config=ConfigurationRef(version, content_digest(body(version, size))))
 
 
 def bodies(*versions: int, size: int = 0) -> dict[int, bytes]:
-    return {digest(body(v, size)): body(v, size) for v in versions}
+    return {content_digest(body(v, size)): body(v, size) for v in versions}
 
 
 #: what one replica goes through: founded, a change accepted, chosen, two at once, a promise alone, back to no body
 STEPS = [
-    (Record(ME, DISK, turn=0), {}),
-    (Record(ME, DISK, (1, 1, 1), (1, 1, 1), state(1, 1), turn=1), bodies(1)),
-    (Record(ME, DISK, (1, 1, 1), (1, 1, 1), state(1, 1), None, True, turn=2), bodies(1)),
-    (Record(ME, DISK, (2, 1, 1), (2, 1, 1), state(2, 2), state(1, 1), turn=3), bodies(1, 2)),
-    (Record(ME, DISK, (3, 2, 1), (2, 1, 1), state(2, 2), state(1, 1), turn=4), bodies(1, 2)),
-    (Record(ME, DISK, (3, 2, 1), (2, 1, 1), state(2, 2), state(5, 3), turn=5), bodies(2, 3)),
-    (Record(ME, DISK, (9, 2, 1), (9, 2, 1), state(6, 4), state(5, 3), turn=6), bodies(3, 4)),
+    (Record(ME, DISK, version=0), {}),
+    (Record(ME, DISK, (1, 1, 1), (1, 1, 1), state(1, 1), version=1), bodies(1)),
+    (Record(ME, DISK, (1, 1, 1), (1, 1, 1), state(1, 1), None, True, version=2), bodies(1)),
+    (Record(ME, DISK, (2, 1, 1), (2, 1, 1), state(2, 2), state(1, 1), version=3), bodies(1, 2)),
+    (Record(ME, DISK, (3, 2, 1), (2, 1, 1), state(2, 2), state(1, 1), version=4), bodies(1, 2)),
+    (Record(ME, DISK, (3, 2, 1), (2, 1, 1), state(2, 2), state(5, 3), version=5), bodies(2, 3)),
+    (Record(ME, DISK, (9, 2, 1), (9, 2, 1), state(6, 4), state(5, 3), version=6), bodies(3, 4)),
 ]
 
 
@@ -183,16 +183,16 @@
     def listed(self):
         return sorted(path.name for path in self.word.iterdir())
 
-    def filled(self, upto: int = 3) -> Snapshot:
+    def filled(self, upto: int = 3) -> SnapshotStore:
         """A store that went through the first steps."""
-        store = Snapshot(str(self.folder))
+        store = SnapshotStore(str(self.folder))
         store.load()
         for record, contents in STEPS[: upto + 1]:
             store.save(record, contents)
         return store
 
     def loaded(self):
-        return Snapshot(str(self.folder)).load()
+        return SnapshotStore(str(self.folder)).load()
 
 
 class TestOrder(Folder):
@@ -203,7 +203,7 @@
         calls.lasting[self.word] = dict(calls.names[self.word])
         with mock.patch.object(snapshot, "os", calls):
             store.save(*STEPS[5])
-        old, new = (f"c-{digest(body(v)):016x}" for v in (1, 3))
+        old, new = (f"c-{content_digest(body(v)):016x}" for v in (1, 3))
 
         def written(name):
             beside = name + ".new"
@@ -227,7 +227,7 @@
     def play(self, root: Path, calls: Calls, first: int = 0):
         """(the last record that was acknowledged, the one on its way) at the moment of the end."""
         acknowledged = coming = None
-        store = Snapshot(str(root))
+        store = SnapshotStore(str(root))
         try:
             with mock.patch.object(snapshot, "os", calls):
                 acknowledged, _, bad = store.load()
@@ -246,12 +246,12 @@
                 (Path(other) / "word").mkdir()
                 for name, data in found.items():
                     (Path(other) / "word" / name).write_bytes(data)
-            record, contents, bad = Snapshot(other).load()
+            record, contents, bad = SnapshotStore(other).load()
             self.assertEqual(bad, [], note)
             self.assertIn(record, may_be, note)
             if record is not None:
-                self.assertEqual(set(contents), named(record), note)
-                self.assertEqual({digest(one) for one in contents.values()}, set(contents), note)
+                self.assertEqual(set(contents), referenced_digests(record), note)
+                self.assertEqual({content_digest(one) for one in contents.values()}, set(contents), note)
 
     def every_cut(self, first_life: int | None = None) -> int:
         """Ends at each call in turn; with `first_life`, that call ended an earlier process, and power lasted."""
@@ -301,10 +301,10 @@
             """Nothing."""
 
         def record_first(self, record, contents):
-            snapshot.write(self.folder / "replica", msgspec.msgpack.encode(record))
-            for content in sorted(named(record) - self._kept):
-                snapshot.write(self.folder / self._name(content), contents[content])
-                self._kept.add(content)
+            snapshot.write_file(self.folder / "replica", msgspec.msgpack.encode(record))
+            for content in sorted(referenced_digests(record) - self._digests):
+                snapshot.write_file(self.folder / snapshot.content_file(content), contents[content])
+                self._digests.add(content)
 
         def files_stay(self, fd, _):
             if isinstance(self.fds[fd], Path):
@@ -313,17 +313,17 @@
         synced = Calls._fsync
 
         def cleaned_first(self, record, contents):
-            for content in self._kept - named(record):
-                snapshot.os.unlink(self.folder / self._name(content))
-            for content in sorted(named(record) - self._kept):
-                snapshot.write(self.folder / self._name(content), contents[content])
-            self._kept = named(record)
-            snapshot.write(self.folder / "replica", msgspec.msgpack.encode(record))
+            for content in self._digests - referenced_digests(record):
+                snapshot.os.unlink(self.folder / snapshot.content_file(content))
+            for content in sorted(referenced_digests(record) - self._digests):
+                snapshot.write_file(self.folder / snapshot.content_file(content), contents[content])
+            self._digests = referenced_digests(record)
+            snapshot.write_file(self.folder / "replica", msgspec.msgpack.encode(record))
 
         for mutant in (
-            mock.patch.object(snapshot, "sync", unsynced),
-            mock.patch.object(Snapshot, "save", record_first),
-            mock.patch.object(Snapshot, "save", cleaned_first),
+            mock.patch.object(snapshot, "sync_folder", unsynced),
+            mock.patch.object(SnapshotStore, "save", record_first),
+            mock.patch.object(SnapshotStore, "save", cleaned_first),
             mock.patch.object(Calls, "_fsync", files_stay),
         ):
             with mutant, self.assertRaises(AssertionError):
@@ -336,7 +336,7 @@
         with tempfile.TemporaryDirectory() as root:
             calls = Calls(Path(root))
             with mock.patch.object(snapshot, "os", calls):
-                store = Snapshot(root)
+                store = SnapshotStore(root)
                 store.load()
                 begins = calls.at
                 for record, contents in STEPS:
@@ -348,7 +348,7 @@
                 calls.stop_at, calls.fault = at, OSError(errno.ENOSPC, "No space left on device")
                 refused, acknowledged = 0, None
                 with mock.patch.object(snapshot, "os", calls):
-                    store = Snapshot(root)
+                    store = SnapshotStore(root)
                     store.load()
                     for record, contents in STEPS:
                         try:
@@ -358,14 +358,14 @@
                             refused += 1
                             names = os.listdir(store.folder)
                             self.assertEqual([name for name in names if name.endswith(".new")], [])
-                            found, held, bad = Snapshot(root).load()
+                            found, held, bad = SnapshotStore(root).load()
                             self.assertEqual(bad, [])
                             self.assertIn(found, (acknowledged, record))
-                            self.assertEqual(set(held), named(found) if found is not None else set())
+                            self.assertEqual(set(held), referenced_digests(found) if found is not None else set())
                 self.assertLessEqual(refused, 1)
-                last_one = msgspec.structs.replace(STEPS[-1][0], turn=len(STEPS))
+                last_one = msgspec.structs.replace(STEPS[-1][0], version=len(STEPS))
                 store.save(last_one, STEPS[-1][1])
-                self.assertEqual(Snapshot(root).load(), (last_one, STEPS[-1][1], []))
+                self.assertEqual(SnapshotStore(root).load(), (last_one, STEPS[-1][1], []))
                 wanted = {"replica", *(f"c-{content:016x}" for content in STEPS[-1][1])}
                 self.assertEqual(set(os.listdir(Path(root) / "word")), wanted)
 
@@ -376,10 +376,10 @@
         with full:
             for n in range(3, 30):
                 with self.assertRaises(OSError):
-                    store.save(Record(ME, DISK, (n, 1, 1), (n, 1, 1), state(n, n), turn=n), bodies(n))
+                    store.save(Record(ME, DISK, (n, 1, 1), (n, 1, 1), state(n, n), version=n), bodies(n))
         self.assertEqual(self.listed(), before)
         self.assertEqual(self.loaded()[0], STEPS[2][0])
-        store.save(Record(ME, DISK, (30, 1, 1), (30, 1, 1), state(30, 30), turn=30), bodies(30))
+        store.save(Record(ME, DISK, (30, 1, 1), (30, 1, 1), state(30, 30), version=30), bodies(30))
         self.assertEqual(self.loaded()[1], bodies(30))
 
 
@@ -388,7 +388,7 @@
         store = self.filled(4)
         store.save(*STEPS[2])
         self.assertEqual(self.loaded()[:2], STEPS[4])
-        records = [(Record(ME, DISK, (n, 1, 1), (n, 1, 1), state(n, n), turn=n), bodies(n)) for n in range(10, 60)]
+        records = [(Record(ME, DISK, (n, 1, 1), (n, 1, 1), state(n, n), version=n), bodies(n)) for n in range(10, 60)]
         threads = [threading.Thread(target=store.save, args=one) for one in reversed(records)]
         for thread in threads:
             thread.start()
@@ -410,7 +410,7 @@
 class TestSpoilt(Folder):
     def test_torn_empty_foreign_swapped_and_missing_files_are_named_and_nothing_is_believed(self):
         self.filled(3)
-        one, two = (self.word / f"c-{digest(body(v)):016x}" for v in (1, 2))
+        one, two = (self.word / f"c-{content_digest(body(v)):016x}" for v in (1, 2))
         for path in (self.word / "replica", one):
             whole = path.read_bytes()
             another = two.read_bytes()
@@ -419,8 +419,8 @@
                     path.unlink() if spoilt is None else path.write_bytes(spoilt)
                     record, _, bad = self.loaded()
                     self.assertEqual((record, len(bad)), (None, 1))
-                    self.assertIn(path.name, bad[0])
-                    self.assertIn("missing" if spoilt is None else "", bad[0])
+                    self.assertIn(path.name, str(bad[0]))
+                    self.assertIn("missing" if spoilt is None else "", str(bad[0]))
                     found = data_folder.check_archive(self.folder)
                     self.assertTrue(found.is_error() and path.name in found.error and "\n" not in found.error)
                     if spoilt is not None:
@@ -434,28 +434,28 @@
         one.write_bytes(swapped[0])
         two.write_bytes(swapped[1])
         (self.word / "notes").write_text("not ours")
-        self.assertEqual(self.loaded()[2], ["notes: foreign"])
+        self.assertEqual([str(fault) for fault in self.loaded().faults], ["notes: foreign"])
 
     def test_leftovers_are_harmless_and_go_at_the_next_save(self):
         self.filled(3)
         (self.word / "replica.new").write_bytes(b"a write that power cut off")
         (self.word / "c-0123456789abcdef").write_bytes(b"torn, and nothing names it")
-        (self.word / f"c-{digest(body(9)):016x}").write_bytes(b"")
-        store = Snapshot(str(self.folder))
+        (self.word / f"c-{content_digest(body(9)):016x}").write_bytes(b"")
+        store = SnapshotStore(str(self.folder))
         self.assertEqual(store.load(), (*STEPS[3], []))
         self.assertIn("of system 99", data_folder.check_archive(self.folder).ok)
         self.assertEqual(len(self.listed()), 6)
         store.save(*STEPS[4])
         self.assertEqual(self.listed(), sorted(["replica", *(f"c-{c:016x}" for c in STEPS[4][1])]))
 
-    def test_what_is_put_aside_can_be_looked_at_and_makes_room(self):
+    def test_what_is_quarantine_can_be_looked_at_and_makes_room(self):
         for _ in range(2):
             self.filled(3)
             (self.word / "replica").write_bytes(b"torn")
             (self.word / "core.d").mkdir()
-            store = Snapshot(str(self.folder))
+            store = SnapshotStore(str(self.folder))
             self.assertTrue(store.load()[2])
-            store.put_aside()
+            store.quarantine()
             self.assertEqual(self.listed(), [])
             self.assertEqual((self.folder / "spoilt" / "replica").read_bytes(), b"torn")
             self.assertEqual(store.load(), (None, {}, []))
@@ -480,7 +480,7 @@
         store = self.filled(3)
         self.assertEqual([store.scrub({}) for _ in range(6)], [None] * 6)
         self.assertEqual(self.loaded(), (*STEPS[3], []))
-        (self.word / f"c-{digest(body(2)):016x}").write_bytes(b"")
+        (self.word / f"c-{content_digest(body(2)):016x}").write_bytes(b"")
         with self.assertRaises(OSError):
             for _ in range(3):
                 store.scrub({})
@@ -496,18 +496,18 @@
 
 class TestBounds(Folder):
     def test_after_a_thousand_changes_the_folder_holds_what_two_states_name(self):
-        store, size, most = Snapshot(str(self.folder)), 50_000, 0
+        store, size, most = SnapshotStore(str(self.folder)), 50_000, 0
         store.load()
         before = None
         with mock.patch.object(snapshot.os, "fsync"):
             for n in range(1, 1001):
                 new = state(n, n, size)
-                store.save(Record(ME, DISK, (n, 1, 1), (n, 1, 1), new, before, turn=n), bodies(n - 1, n, size=size))
+                store.save(Record(ME, DISK, (n, 1, 1), (n, 1, 1), new, before, version=n), bodies(n - 1, n, size=size))
                 most = max(most, sum(path.stat().st_size for path in self.word.iterdir()))
                 before = new
         self.assertEqual(len(self.listed()), 3)
         self.assertLess(most, 2 * (size + 100) + 1000)
-        self.assertEqual(self.loaded()[0].state.number, 1000)
+        self.assertEqual(self.loaded()[0].accepted_state.number, 1000)
 
 
 class TestOperatorsTools(Folder):
@@ -528,9 +528,9 @@
         self.assertEqual(data_folder.dump_config(self.folder).ok, body(1).decode())
         with tempfile.TemporaryDirectory() as other:
             self.assertEqual(data_folder.restore_archive(Path(other), dump.encode()).ok, "state 1 written")
-            record, contents, bad = Snapshot(other).load()
-            self.assertEqual((record.decided, contents, bad), (state(1, 1), bodies(1), []))
-            self.assertEqual((record.ip, record.disk, record.state), (0, 0, None))
+            record, contents, bad = SnapshotStore(other).load()
+            self.assertEqual((record.earlier_chosen, contents, bad), (state(1, 1), bodies(1), []))
+            self.assertEqual((record.ip, record.disk, record.accepted_state), (0, 0, None))
             self.assertIn("no voter of 3", data_folder.check_archive(Path(other)).ok)
             self.assertIn("already", data_folder.restore_archive(Path(other), dump.encode()).error)
         for text, why in (
@@ -573,7 +573,7 @@
         head = b"mapleline word 1\n%08x %d\n" % (snapshot.crc32(data), len(data))
         (self.word / name).write_bytes(head + data)
 
-    def test_it_is_named_never_believed_put_aside_whole_and_its_configuration_carried_over(self):
+    def test_it_is_named_never_believed_quarantine_whole_and_its_configuration_carried_over(self):
         was = {path.name: path.read_bytes() for path in self.word.iterdir()}
         for at in (self.folder, self.folder):
             fault = data_folder.check_archive(at).error
@@ -582,12 +582,13 @@
             self.assertEqual(data_folder.dump_config(at).ok, body(7).decode())
             self.assertEqual(json.loads(data_folder.dump_archive(at).ok)["mapleline"], 1)
             self.assertEqual({p.name: p.read_bytes() for p in self.word.iterdir()}, was)
-        store = Snapshot(str(self.folder))
+        store = SnapshotStore(str(self.folder))
         record, _, bad = store.load()
         self.assertEqual((record, len(bad)), (None, 1))
-        self.assertIn("earlier format", bad[0])
-        store.put_aside()
-        self.assertEqual({p.name: p.read_bytes() for p in (self.folder / migration.FOLDER).iterdir()}, was)
+        self.assertIn("earlier format", str(bad[0]))
+        self.assertTrue(bad[0].is_legacy)
+        store.quarantine()
+        self.assertEqual({p.name: p.read_bytes() for p in (self.folder / migration.LEGACY_FOLDER).iterdir()}, was)
         store.save(*STEPS[0])
         self.assertEqual(self.loaded(), (STEPS[0][0], {}, []))
         # still to be had until there is one in the new format
@@ -613,12 +614,12 @@
         bodies = {n: os.urandom(1000) for n in range(1, 5)}
         for n, said in bodies.items():
             for _ in range(2):
-                self.history.keep(100.0 + n, "config", n, "t", said)
-        self.history.order(105.0, "config", 4, True, 0.08)
-        rows = self.history.rows()
+                self.history.record_change(100.0 + n, "config", n, "t", said)
+        self.history.record_command(105.0, "config", 4, True, 0.08)
+        rows = self.history.history()
         kept = [(row["version"], row["kept"]) for row in rows["word"]]
         self.assertEqual(kept, [(4, True), (3, True), (2, False), (1, False)])
-        self.assertEqual([self.history.body(n) for n in (4, 2, 9)], [bodies[4], None, None])
+        self.assertEqual([self.history.configuration(n) for n in (4, 2, 9)], [bodies[4], None, None])
         self.assertEqual(
             rows["orders"], [{"at": 105.0, "key": "config", "version": 4, "acknowledged": True, "took_s": 0.08}]
         )
@@ -626,26 +627,26 @@
     def test_rows_and_bytes_are_bounded_however_many_changes_came(self):
         def grown(changes: range) -> int:
             for n in changes:
-                self.history.keep(float(n), "config", n, "t", os.urandom(200))
-                self.history.order(float(n), "config", n, True, 0.1)
+                self.history.record_change(float(n), "config", n, "t", os.urandom(200))
+                self.history.record_command(float(n), "config", n, True, 0.1)
             return self.history.path.stat().st_size
 
-        with mock.patch.object(audit_log, "ROWS_MOST", 40), mock.patch.object(audit_log, "ORDERS_MOST", 40):
+        with mock.patch.object(audit_log, "MAX_CHANGES", 40), mock.patch.object(audit_log, "MAX_COMMANDS", 40):
             after_few = grown(range(1, 101))
             after_many = grown(range(101, 501))
-            rows = self.history.rows(1000)
+            rows = self.history.history(1000)
         self.assertEqual((len(rows["word"]), len(rows["orders"])), (40, 40))
         self.assertEqual(rows["word"][0]["version"], 500)
         self.assertLessEqual(after_many, after_few + 4096)
 
-    def test_a_history_that_cannot_be_read_is_put_aside(self):
-        self.history.keep(1.0, "config", 1, "", b"one")
+    def test_a_history_that_cannot_be_read_is_quarantine(self):
+        self.history.record_change(1.0, "config", 1, "", b"one")
         self.history.path.write_bytes(b"torn" * 2000)
-        self.history.keep(2.0, "config", 2, "", b"two")
-        self.assertEqual([r["version"] for r in self.history.rows()["word"]], [2])
+        self.history.record_change(2.0, "config", 2, "", b"two")
+        self.assertEqual([r["version"] for r in self.history.history()["word"]], [2])
         self.assertTrue(self.history.path.with_suffix(".bad").exists())
 
     def test_a_disk_that_refuses_is_told_as_such(self):
         self.history.path = self.history.path.parent / "none" / "history.sqlite"
         with self.assertRaises(OSError):
-            self.history.rows()
+            self.history.history()
--- a/tests/balancer/golden_samples.py
+++ b/tests/balancer/golden_samples.py
@@ -22,8 +22,8 @@
 from mapleline.balancer.control.audit_log import AuditLog
 from mapleline.balancer.control.commands import RemoveReplica, ReplaceConfiguration, SetEvacuation
 from mapleline.balancer.control.consensus import Record
-from mapleline.balancer.control.snapshot import Snapshot
-from mapleline.balancer.control.state import Replica, State, digest
+from mapleline.balancer.control.snapshot import SnapshotStore
+from mapleline.balancer.control.state import ConfigurationRef, Replica, State, content_digest
 from mapleline.balancer.discovery.endpoints import EndpointList, ListedInstance
 from mapleline.balancer.membership.member import Member, MemberFlags
 from mapleline.balancer.membership.table import MembershipTable
@@ -62,7 +62,7 @@
 
 def contents(*versions: int) -> dict[int, bytes]:
     """Bodies of configurations by their digest."""
-    return {digest(config_body(version)): config_body(version) for version in versions}
+    return {content_digest(config_body(version)): config_body(version) for version in versions}
 
 
 def voters() -> tuple[Replica, ...]:
@@ -74,8 +74,8 @@
 
 def agreed_state(number: int, version: int) -> State:
     """A state that is in force, with no change of members under way."""
-    past = tuple((one, digest(config_body(one))) for one in range(OLD_VERSION, version + 1))
-    config = (version, digest(config_body(version)))
+    past = tuple(ConfigurationRef(one, content_digest(config_body(one))) for one in range(OLD_VERSION, version + 1))
+    config = ConfigurationRef(version, content_digest(config_body(version)))
     return State(
         number=number,
         system=SYSTEM,
@@ -91,7 +91,7 @@
 
 def full_state() -> State:
     """A state with every field away from its default."""
-    config = (NEW_VERSION, digest(config_body(NEW_VERSION)))
+    config = ConfigurationRef(NEW_VERSION, content_digest(config_body(NEW_VERSION)))
     former = (Replica(ip=0x0A040001, disk=0x44444444, zone=3), Replica(ip=0x0A050001, disk=0, zone=4))
     return State(
         number=9,
@@ -102,7 +102,7 @@
         config=config,
         evacuated=("a1", "a3"),
         changed=(("a1", 8), ("a3", 4)),
-        past=((6, 600), (7, 700)),
+        past=(ConfigurationRef(6, 600), ConfigurationRef(7, 700)),
     )
 
 
@@ -174,23 +174,25 @@
     """Each call, and each order of an operator that one carries."""
     ballot = (4, SENDER, DISKS[0])
     return {
-        "prepare": messages.Prepare(ballot=ballot, known_number=6, known_content=digest(config_body(NEW_VERSION))),
+        "prepare": messages.Prepare(
+            ballot=ballot, known_number=6, known_content=content_digest(config_body(NEW_VERSION))
+        ),
         "prepare_bare": messages.Prepare(ballot=ballot, known_number=6),
         "accept": messages.Accept(ballot=ballot, state=full_state(), configuration_body=b'{"config_version": 7}'),
         "accept_bare": messages.Accept(ballot=ballot, state=bare_state()),
         "propose_replace": messages.Propose(
-            command=ReplaceConfiguration(version=7, content=0xFEDCBA9876543210),
+            command=ReplaceConfiguration(version=7, digest=0xFEDCBA9876543210),
             configuration_body=b'{"config_version": 7}',
         ),
-        "propose_replace_bare": messages.Propose(command=ReplaceConfiguration(version=7, content=0xFEDCBA9876543210)),
+        "propose_replace_bare": messages.Propose(command=ReplaceConfiguration(version=7, digest=0xFEDCBA9876543210)),
         "propose_evacuate": messages.Propose(
-            command=SetEvacuation(zone="a3", begin=True, known=6), configuration_body=b"body"
+            command=SetEvacuation(zone="a3", is_evacuated=True, known_number=6), configuration_body=b"body"
         ),
-        "propose_evacuate_bare": messages.Propose(command=SetEvacuation(zone="a3", begin=False)),
+        "propose_evacuate_bare": messages.Propose(command=SetEvacuation(zone="a3", is_evacuated=False)),
         "propose_forget": messages.Propose(command=RemoveReplica(ip=RECEIVER), configuration_body=b"body"),
         "pull": messages.FetchState(
             known_number=6,
-            known_content=digest(config_body(NEW_VERSION)),
+            known_content=content_digest(config_body(NEW_VERSION)),
             wants_full_state=True,
             wants_state=False,
             wants_endpoints=True,
@@ -380,18 +382,51 @@
     first, second, third = ({"ip": ip, "disk": disk} for ip, disk in zip(ADDRESSES, DISKS, strict=True))
     return {
         "machine_1": SnapshotSample(
-            Record(**first, promised=ballot, ballot=ballot, state=new, decided=None, is_decided=True, turn=12),
+            Record(
+                **first,
+                promised=ballot,
+                accepted_ballot=ballot,
+                accepted_state=new,
+                earlier_chosen=None,
+                is_accepted_chosen=True,
+                version=12,
+            ),
             contents(NEW_VERSION),
         ),
         "machine_2": SnapshotSample(
-            Record(**second, promised=ballot, ballot=ballot, state=new, decided=old, is_decided=False, turn=11), both
+            Record(
+                **second,
+                promised=ballot,
+                accepted_ballot=ballot,
+                accepted_state=new,
+                earlier_chosen=old,
+                is_accepted_chosen=False,
+                version=11,
+            ),
+            both,
         ),
         "machine_3": SnapshotSample(
-            Record(**third, promised=higher, ballot=ballot, state=new, decided=None, is_decided=True, turn=13),
+            Record(
+                **third,
+                promised=higher,
+                accepted_ballot=ballot,
+                accepted_state=new,
+                earlier_chosen=None,
+                is_accepted_chosen=True,
+                version=13,
+            ),
             contents(NEW_VERSION),
         ),
         "every_field": SnapshotSample(
-            Record(**first, promised=higher, ballot=ballot, state=full_state(), decided=old, is_decided=True, turn=99),
+            Record(
+                **first,
+                promised=higher,
+                accepted_ballot=ballot,
+                accepted_state=full_state(),
+                earlier_chosen=old,
+                is_accepted_chosen=True,
+                version=99,
+            ),
             both,
         ),
         "empty": SnapshotSample(Record(**first), {}),
@@ -406,11 +441,11 @@
             ip=0,
             disk=0,
             promised=none,
-            ballot=none,
-            state=None,
-            decided=agreed_state(6, NEW_VERSION),
-            is_decided=False,
-            turn=1,
+            accepted_ballot=none,
+            accepted_state=None,
+            earlier_chosen=agreed_state(6, NEW_VERSION),
+            is_accepted_chosen=False,
+            version=1,
         ),
         contents(NEW_VERSION),
     )
@@ -418,7 +453,7 @@
 
 def write_snapshot(folder: Path, sample: SnapshotSample) -> None:
     """The folder as today's sources write it."""
-    store = Snapshot(str(folder))
+    store = SnapshotStore(str(folder))
     store.load()
     store.save(sample.record, sample.contents)
 
@@ -427,9 +462,9 @@
     """A history as today's sources write it: two configurations and two orders."""
     history = AuditLog(str(folder), 1 << 20)
     for version in (OLD_VERSION, NEW_VERSION):
-        history.keep(1.7e9 + version, "config", version, f"{version:x}", config_body(version))
-    history.order(1.7e9 + 10, "config", NEW_VERSION, True, 0.25)
-    history.order(1.7e9 + 11, "evacuation/a3", 1, False, 6.0)
+        history.record_change(1.7e9 + version, "config", version, f"{version:x}", config_body(version))
+    history.record_command(1.7e9 + 10, "config", NEW_VERSION, True, 0.25)
+    history.record_command(1.7e9 + 11, "evacuation/a3", 1, False, 6.0)
     return history
 
 
--- a/tests/balancer/test_golden_bytes.py
+++ b/tests/balancer/test_golden_bytes.py
@@ -16,7 +16,7 @@
 from mapleline.balancer.control import migration, snapshot
 from mapleline.balancer.control.audit_log import AuditLog
 from mapleline.balancer.control.replica import LocalReplica
-from mapleline.balancer.control.snapshot import Snapshot
+from mapleline.balancer.control.snapshot import SnapshotStore
 from mapleline.balancer.discovery.endpoints import EndpointList
 from mapleline.balancer.membership.member import Member
 from mapleline.balancer.membership.table import MembershipTable
@@ -187,7 +187,7 @@
     def test_a_golden_folder_is_read_as_the_record_and_its_contents(self):
         for name, sample in samples.snapshot_samples().items():
             with self.subTest(name):
-                store = Snapshot(str(self.copied(samples.SNAPSHOTS / name, name)))
+                store = SnapshotStore(str(self.copied(samples.SNAPSHOTS / name, name)))
                 self.assertEqual(store.load(), (sample.record, sample.contents, []))
 
     def test_the_same_record_is_written_to_the_same_files(self):
@@ -200,9 +200,9 @@
         copy = self.copied(samples.SNAPSHOTS / "machine_1")
         golden = samples.files_of(copy)
         (copy / "word" / "replica").write_bytes(b"torn")
-        store = Snapshot(str(copy))
-        self.assertEqual(store.load()[2], ["replica: torn, empty or foreign"])
-        store.put_aside()
+        store = SnapshotStore(str(copy))
+        self.assertEqual([str(fault) for fault in store.load().faults], ["replica: torn, empty or foreign"])
+        store.quarantine()
         aside = {name.replace("word/", "spoilt/"): data for name, data in golden.items()}
         self.assertEqual(samples.files_of(copy), aside | {"spoilt/replica": b"torn"})
 
@@ -211,7 +211,7 @@
         self.assertEqual(data_folder.dump_archive(copy).ok, golden)
         self.assertEqual(data_folder.dump_config(copy).ok, samples.config_body(samples.NEW_VERSION).decode())
         self.assertTrue(data_folder.restore_archive(self.folder / "restored", golden.encode()).is_ok())
-        record, contents, bad = Snapshot(str(self.folder / "restored")).load()
+        record, contents, bad = SnapshotStore(str(self.folder / "restored")).load()
         sample = samples.restored_sample()
         self.assertEqual((record, contents, bad), (sample.record, sample.contents, []))
 
@@ -221,16 +221,16 @@
 
     def test_a_golden_database_is_read_and_written_on(self):
         history = AuditLog(str(self.copied(samples.HISTORY)), 1 << 20)
-        self.assertEqual(history.rows(), samples.HISTORY_ROWS)
+        self.assertEqual(history.history(), samples.HISTORY_ROWS)
         for version in (samples.OLD_VERSION, samples.NEW_VERSION):
-            self.assertEqual(history.body(version), samples.config_body(version))
-        history.keep(1.7e9 + 20, "config", 8, "8", b"the next")
-        self.assertEqual([row["version"] for row in history.rows()["word"]], [8, 7, 6])
+            self.assertEqual(history.configuration(version), samples.config_body(version))
+        history.record_change(1.7e9 + 20, "config", 8, "8", b"the next")
+        self.assertEqual([row["version"] for row in history.history()["word"]], [8, 7, 6])
         self.assertEqual([path.name for path in history.path.parent.iterdir()], ["history.sqlite"])
 
     def test_a_new_database_has_the_golden_tables_and_rows(self):
         history = samples.write_history(self.folder)
-        self.assertEqual(history.rows(), samples.HISTORY_ROWS)
+        self.assertEqual(history.history(), samples.HISTORY_ROWS)
         [golden] = samples.HISTORY.iterdir()
         self.assertEqual(history.path.name, golden.name)
         self.assertEqual(database(history.path), database(self.copied(samples.HISTORY) / golden.name))
@@ -258,7 +258,7 @@
 
     def test_it_is_read_for_its_configuration_and_dumped_as_before(self):
         copy = self.copied(samples.EARLIER)
-        found = migration.load(copy)
+        found = migration.load_legacy(copy)
         entries = [tuple(msgspec.msgpack.decode(msgspec.msgpack.encode(entry))) for entry in found.entries]
         self.assertEqual(sorted(entries), sorted(samples.EARLIER_ENTRIES))
         self.assertEqual(found.config, found.entries[entries.index(samples.EARLIER_ENTRIES[0])])
@@ -268,17 +268,17 @@
         self.assertEqual(json.loads(samples.EARLIER_DUMP_FILE.read_text())["mapleline"], 1)
 
     def test_nothing_of_it_is_believed_and_it_is_put_aside_whole(self):
-        store = Snapshot(str(self.copied(samples.EARLIER)))
+        store = SnapshotStore(str(self.copied(samples.EARLIER)))
         golden = samples.files_of(samples.EARLIER)
         record, contents, bad = store.load()
         self.assertEqual((record, contents, len(bad)), (None, {}, 1))
-        self.assertTrue(bad[0].endswith(migration.FAULT))
-        store.put_aside()
+        self.assertTrue(str(bad[0]).endswith(migration.LEGACY_FAULT))
+        store.quarantine()
         aside = {name.replace("word/", "word-1/"): data for name, data in golden.items()}
         self.assertEqual(samples.files_of(self.folder / "copy"), aside)
 
 
-class SnapshotDisk(Snapshot):
+class SnapshotDisk(SnapshotStore):
     """A real data folder in the place of a simulated machine's disk: it refuses nothing and never hangs."""
 
     refuses_writes, hangs_until = False, 0.0
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -6,8 +6,8 @@
 
 from twisted.internet.defer import succeed
 
-from mapleline.balancer.control.reconfiguration import due
-from mapleline.balancer.control.state import _numbered, replaced
+from mapleline.balancer.control.reconfiguration import next_voters
+from mapleline.balancer.control.state import ConfigurationRef, remember_version, replace_configuration
 
 BALANCER = "mapleline.balancer."
 CONTROL = BALANCER + "control."
@@ -28,8 +28,8 @@
 def accept_half_as_a_majority():
     """Let half of the voters decide."""
     return mock.patch(
-        CONTROL + "state.majority",
-        lambda voters, heard: 2 * len([r for r in voters if any(r.is_at(*one) for one in heard)]) >= len(voters),
+        CONTROL + "state.has_majority",
+        lambda voters, heard: 2 * len([r for r in voters if any(r.matches(one) for one in heard)]) >= len(voters),
     )
 
 
@@ -41,7 +41,7 @@
             self.environment.run_in_thread(self.store.save, acceptor.record, dict(self.committed.contents)).addErrback(
                 lambda _: None
             )
-        acceptor.synced(acceptor.record)
+        acceptor.on_record_saved(acceptor.record)
         return succeed(None)
 
     return mock.patch(CONTROL + "replica.LocalReplica._sync", sync)
@@ -49,17 +49,17 @@
 
 def never_change_voters():
     """Keep the initial voters."""
-    return mock.patch(CONTROL + "replica_monitor.due", lambda *_: None)
+    return mock.patch(CONTROL + "replica_monitor.next_voters", lambda *_: None)
 
 
 def never_remove_voters():
     """Add voters, but remove none."""
 
     def grows(state, *rest):
-        voters = due(state, *rest)
+        voters = next_voters(state, *rest)
         return voters if voters is None or len(voters) > len(state.voters) else None
 
-    return mock.patch(CONTROL + "replica_monitor.due", grows)
+    return mock.patch(CONTROL + "replica_monitor.next_voters", grows)
 
 
 def forget_known_members():
@@ -71,33 +71,34 @@
     """Confirm each content under a version; the last one stays."""
 
     def replaced_without_check(state, version, content):
-        if state.config is not None and version < state.config[0]:
+        if state.config is not None and version < state.config.version:
             return state, True
-        return _numbered(state, version, content, (version, content)), True
+        confirmed = ConfigurationRef(version, content)
+        return remember_version(state, confirmed, confirmed), True
 
-    return mock.patch(CONTROL + "commands.replaced", replaced_without_check)
+    return mock.patch(CONTROL + "commands.replace_configuration", replaced_without_check)
 
 
 def remember_only_the_version_in_force():
     """Remember the content of the version in force alone."""
 
     def replaced_with_check(state, version, content):
-        if state.config is not None and version < state.config[0]:
+        if state.config is not None and version < state.config.version:
             return state, True
-        return replaced(state, version, content)
+        return replace_configuration(state, version, content)
 
-    return mock.patch(CONTROL + "commands.replaced", replaced_with_check)
+    return mock.patch(CONTROL + "commands.replace_configuration", replaced_with_check)
 
 
 def reject_repeated_commands():
     """Reject each version that is not higher, also what was confirmed before."""
 
     def replaced_with_check(state, version, content):
-        if state.config is not None and version <= state.config[0]:
+        if state.config is not None and version <= state.config.version:
             return state, False
-        return replaced(state, version, content)
+        return replace_configuration(state, version, content)
 
-    return mock.patch(CONTROL + "commands.replaced", replaced_with_check)
+    return mock.patch(CONTROL + "commands.replace_configuration", replaced_with_check)
 
 
 def execute_commands_of_disconnected_callers():
--- a/tests/simulation/test_scenario.py
+++ b/tests/simulation/test_scenario.py
@@ -137,14 +137,19 @@
             return check_read_back(scenario)
 
         self.assertEqual(lost(), [])
-        with mock.patch.object(state, "majority", lambda voters, heard: bool(heard)):
+        with mock.patch.object(state, "has_majority", lambda voters, heard: bool(heard)):
             self.assertIs(lost()[0].rule, Rule.LOST)
 
     def test_the_configuration_in_force_never_goes_back(self):
         def replaced(held, version, content):
-            return state._numbered(held, version, content, (version, content)), True
+            confirmed = state.ConfigurationRef(version, content)
+            return state.remember_version(held, confirmed, confirmed), True
 
-        self.breaks(Rule.CONFIGURATION, concurrent_configurations, mock.patch.object(commands, "replaced", replaced))
+        self.breaks(
+            Rule.CONFIGURATION,
+            concurrent_configurations,
+            mock.patch.object(commands, "replace_configuration", replaced),
+        )
 
     def test_the_others_tolerate_a_loss_again_after_a_replica_was_removed(self):
         def schedule(scenario):
@@ -153,7 +158,7 @@
 
             def sample_voters():
                 running = [machine for machine in world.machines.values() if machine.is_running]
-                voters.extend(machine.node.control_plane.committed.voters() for machine in running)
+                voters.extend(machine.node.control_plane.committed.voter_ips() for machine in running)
 
             scenario.faults.kill([removed], 60.0)
             world.after(3.0, scenario.operators.remove_replica, removed)
@@ -175,8 +180,8 @@
             scenario.world.after(3.0, setattr, disk, "refuses_writes", False)
 
         scenario = self.holds(schedule, 10.0)
-        kept = [Acceptor(replica.disk.record).decided for replica in scenario.world.control_replicas]
-        self.assertEqual({state.config[0] for state in kept}, {scenario.operators.version})
+        kept = [Acceptor(replica.disk.record).chosen_state for replica in scenario.world.control_replicas]
+        self.assertEqual({state.config.version for state in kept}, {scenario.operators.version})
 
     def test_every_machine_fetches_a_configuration_from_control_replicas(self):
         def schedule(scenario):
@@ -224,7 +229,10 @@
             Rule.FAILBACK, restarted_zone, mock.patch.object(Proxy, "is_warming_up", lambda *_: False), 4.0, load=2.0
         )
         self.breaks(
-            Rule.EVACUATION, evacuated_zone, mock.patch.object(commands, "emptied", lambda held, zone, begin: held), 9.0
+            Rule.EVACUATION,
+            evacuated_zone,
+            mock.patch.object(commands, "set_evacuation", lambda held, zone, begin: held),
+            9.0,
         )
         self.breaks(Rule.HOME, no_faults, mock.patch.object(Proxy, "_allowed_regions", lambda *_: None), 1.0)
 
