--- a/mapleline/simulation/machine.py
+++ b/mapleline/simulation/machine.py
@@ -259,8 +259,8 @@
         """Call an ingress; the result fires with the reply, or with why there is none within the time-out."""
         if self.port is None:
             raise NotRunningError(self.name)
-        call = RemoteCall(self, self._running_reactor(), self.port.fence, self.world.machine_at(ip))
-        call.send(ip, message, timeout_s)
+        call = RemoteCall(self, self._running_reactor(), self.port.fence, ip, message)
+        call.send(timeout_s)
         return call.result
 
     def run_in_thread(self, work: Callable[..., Result], *args: object) -> Deferred[Result]:
--- a/mapleline/simulation/remote_call.py
+++ b/mapleline/simulation/remote_call.py
@@ -26,31 +26,31 @@
     Both processes may end or freeze meanwhile: what happens at either happens on the reactor of its incarnation.
     """
 
-    def __init__(self, caller: Machine, reactor: ProcessReactor, fence: Fence, target: Machine | None) -> None:
+    def __init__(self, caller: Machine, reactor: ProcessReactor, fence: Fence, ip: int, message: messages.Call) -> None:
         """Prepare a call.
 
         Args:
             caller: The machine that calls.
             reactor: That of the calling process.
             fence: That of the calling process.
-            target: The machine that is called; None where no machine has the address.
+            ip: Whom it calls; there may be no such machine.
+            message: What is to be carried out there.
         """
         self.result: Deferred[messages.Reply] = Deferred()
         self._caller = caller
         self._reactor = reactor
         self._fence = fence
-        self._target = target
+        self._ip = ip
+        self._message_type = type(message).__name__
+        self._outstanding, self._data = fence.stamp_call(ip, message)
         self._world = caller.world
         self._network = caller.world.network
 
-    def send(self, ip: int, message: messages.Call, timeout_s: float) -> None:
-        """Send the message; `result` fires with the reply, or with why there is none within the time-out."""
-        world, network, caller, target = self._world, self._network, self._caller, self._target
-        self._outstanding, self._data = self._fence.stamp_call(ip, message)
-        network.bytes_sent["calls"] += len(self._data) + CALL_OVERHEAD_BYTES
-        target_name = target.name if target is not None else ""
-        network.calls.append(CallRecord(world.now, caller.name, target_name, type(message).__name__))
-        world.observe("call", caller.name, str(ip), self._data)
+    def send(self, timeout_s: float) -> None:
+        """Send the call; `result` fires with the reply, or with why there is none within the time-out."""
+        world, network, caller = self._world, self._network, self._caller
+        target = world.machine_at(self._ip)
+        self._record(target)
         world.after(timeout_s, self._fail, _timed_out())
         if target is None or network.is_partitioned(caller.name, target.name):
             return
@@ -59,6 +59,14 @@
             arrival_s = CONNECTED_CALL_DELAYS * delay_s + network.extra_delay_s()
             world.after(arrival_s, self._arrive, target, delay_s)
 
+    def _record(self, target: Machine | None) -> None:
+        """Record the call, and show it to the observer."""
+        world, network, caller = self._world, self._network, self._caller
+        network.bytes_sent["calls"] += len(self._data) + CALL_OVERHEAD_BYTES
+        target_name = target.name if target is not None else ""
+        network.calls.append(CallRecord(world.now, caller.name, target_name, self._message_type))
+        world.observe("call", caller.name, str(self._ip), self._data)
+
     def _fail(self, error: Exception) -> None:
         """Fail the call on the caller's reactor, unless it has a result."""
         if not self.result.called:
