--- a/mapleline/balancer/discovery/endpoint_poller.py
+++ b/mapleline/balancer/discovery/endpoint_poller.py
@@ -1,6 +1,6 @@
 """Who asks the platform for the endpoint list, and when: the leader by election, others when the list grows old.
 
-One node polls for all; docs/design/system.md, "The one duty", gives the rules and what was weighed.
+One node polls for all; docs/design/system.md, "The polling leader", gives the rules and what was weighed.
 """
 
 from __future__ import annotations
--- a/mapleline/balancer/quota/placement.py
+++ b/mapleline/balancer/quota/placement.py
@@ -1,7 +1,7 @@
 """Where a tenant's counters are: the two replicas of its shard, and which of them do not answer.
 
 A shard of tenants has two replicas, in different regions if the tenant's homes allow it, else in different zones, so
-that one of them survives the loss of a region (docs/design/system.md, Tallies).
+that one of them survives the loss of a region (docs/design/system.md, Quota counters).
 """
 
 from __future__ import annotations
