--- a/mapleline/__main__.py
+++ b/mapleline/__main__.py
@@ -1,35 +1,58 @@
-"""`python -m mapleline` serves; with arguments it is the command line, which imports more."""
+"""`python -m mapleline`: the ingress, a node of the balancer (`balancer`), or the command line with other arguments.
+
+Both services start without modules of the standard library that they import through Twisted and do not use: an empty
+module stands in for each while they are imported, and is taken out afterwards, so that a later import gets the real
+one.
+"""
+
+from __future__ import annotations
 
 import sys
 import types
 
-UNUSED = "http.cookiejar"  # Twisted's compat module imports it, and with it email and urllib.request
+#: `desk` is the hidden alias of `balancer`, its first name.
+BALANCER_ARGUMENTS = (["balancer"], ["desk"])
+#: Twisted's `compat` module imports it, and with it `email` and `urllib.request`: a tenth of what a start costs.
+COOKIE_MODULE = "http.cookiejar"
+#: Twisted's `Deferred` takes three names of it: a tenth of a process's memory.
+ASYNCIO_MODULE = "asyncio"
 
 
 def main() -> int:
-    if sys.argv[1:] in (
-        ["balancer"],
-        ["desk"],
-    ):  # the role of the global load balancer starts without the command line's packages
-        stand_in = types.ModuleType("asyncio")  # three names that Twisted's Deferred takes, for what we don't use:
-        stand_in.AbstractEventLoop = stand_in.Future = type("Unused", (), {})  # a tenth of a process's memory
-        stand_in.iscoroutine = lambda value: isinstance(value, types.CoroutineType)
-        held = sys.modules.setdefault("asyncio", stand_in)
-        from .balancer.process import main as serve_balancer
-
-        if held is stand_in:
-            del sys.modules["asyncio"]
-        return serve_balancer()
+    """Run what the arguments ask for; return the exit code."""
+    if sys.argv[1:] in BALANCER_ARGUMENTS:
+        return _serve_balancer()
     if len(sys.argv) > 1:
-        from .cli import main as command
+        from .cli import main as run_command
+
+        return run_command()
+    return _serve_ingress()
+
+
+def _serve_balancer() -> int:
+    """Run a node of the global load balancer, without the command line's packages."""
+    stand_in = types.ModuleType(ASYNCIO_MODULE)
+    unused = type("Unused", (), {})
+    stand_in.__dict__.update(AbstractEventLoop=unused, Future=unused, iscoroutine=_is_coroutine)
+    installed = sys.modules.setdefault(ASYNCIO_MODULE, stand_in)
+    from .balancer.process import main as serve
+
+    if installed is stand_in:
+        del sys.modules[ASYNCIO_MODULE]
+    return serve()
+
+
+def _is_coroutine(value: object) -> bool:
+    return isinstance(value, types.CoroutineType)
+
 
-        return command()
-    # A tenth of what a start costs, and each start counts after a release: done without, then left as it was.
-    empty = sys.modules.setdefault(UNUSED, types.ModuleType(UNUSED))
+def _serve_ingress() -> int:
+    """Run the ingress."""
+    stand_in = sys.modules.setdefault(COOKIE_MODULE, types.ModuleType(COOKIE_MODULE))
     from .ingress import main as serve
 
-    if sys.modules.get(UNUSED) is empty:
-        del sys.modules[UNUSED]
+    if sys.modules.get(COOKIE_MODULE) is stand_in:
+        del sys.modules[COOKIE_MODULE]
     return serve()
 
 
