--- a/mapleline/balancer/control/committed_state.py
+++ b/mapleline/balancer/control/committed_state.py
@@ -16,6 +16,7 @@
     """
 
     def __init__(self) -> None:
+        """Begin without a state."""
         self.state: State | None = None
         self.contents: dict[int, bytes] = {}
 
--- a/mapleline/balancer/control/read_lease.py
+++ b/mapleline/balancer/control/read_lease.py
@@ -18,6 +18,7 @@
     """Collects the answers of voters, and what other nodes pass on of theirs; all times are steady seconds."""
 
     def __init__(self) -> None:
+        """Begin without a lease."""
         self._asked_at: dict[ReplicaId, float] = {}
         self._relayed_since = NEVER
 
--- a/tests/balancer/control/consensus_model/convergence.py
+++ b/tests/balancer/control/consensus_model/convergence.py
@@ -118,6 +118,6 @@
     assert submitted.status == CommandStatus.DONE, "a new order is not chosen"
     assert world.newest_chosen.config == config
     for node in world.running_nodes():
-        is_current = node.state.config == world.newest_chosen.config
-        assert is_current and world.now - node.lease_valid_since() < FRESH_LEASE_S, f"{node.ip} is behind"
+        assert node.state.config == world.newest_chosen.config, f"{node.ip} is behind"
+        assert world.now - node.lease_valid_since() < FRESH_LEASE_S, f"{node.ip} is behind"
     world.invariants.check_nodes()
--- a/tests/balancer/control/consensus_model/directed_histories.py
+++ b/tests/balancer/control/consensus_model/directed_histories.py
@@ -27,7 +27,8 @@
     world.want_voters(3, [3, 4, 5])
     world.run_ballot(3, True, [2, 3, 4, 5], [2, 3, 4, 5], first)
     world.run_ballot(3, True, [2, 3, 4, 5], [2, 3, 4, 5], first)
-    assert [voter.ip for voter in world.newest_chosen.voters] == [3, 4, 5] and not world.newest_chosen.former
+    assert [voter.ip for voter in world.newest_chosen.voters] == [3, 4, 5]
+    assert not world.newest_chosen.former
     world.wire = []
     world.replace_configuration(3, 0, 0)
     world.run_ballot(3, False, [4, 5], [4, 5], first)
@@ -67,7 +68,8 @@
     world.replace_configuration(2, 0, 1)
     for _ in range(3):
         world.run_ballot(2, True, [3], [1, 3], first)
-    assert world.machines[1].disk.record.accepted_state == world.newest_chosen and world.newest_chosen.number == 3
+    assert world.machines[1].disk.record.accepted_state == world.newest_chosen
+    assert world.newest_chosen.number == 3
     world.wire = []
     world.crash(3, 0)
     for ip in (1, 2):
@@ -90,7 +92,8 @@
     for _ in range(2):
         world.node(3).proposer.propose_if_due(True)
         deliver_all(world)
-    assert [voter.ip for voter in world.newest_chosen.voters] == [3] and world.newest_chosen.epoch == 2
+    assert [voter.ip for voter in world.newest_chosen.voters] == [3]
+    assert world.newest_chosen.epoch == 2
     world.crash(2, 0)
     world.machines[2].disk.clear()
     world.machines[2].is_initial_start = False
--- a/tests/balancer/control/consensus_model/invariants.py
+++ b/tests/balancer/control/consensus_model/invariants.py
@@ -111,7 +111,9 @@
         newest = self.newest_chosen
         if newest is not None and state.number <= newest.number:
             return
-        assert newest is None or state.epoch >= newest.epoch and state.system == newest.system
+        if newest is not None:
+            assert state.epoch >= newest.epoch, f"the epoch of {state.number} goes back"
+            assert state.system == newest.system, f"{state.number} is of another system"
         self._check_confirmed(state)
         self.newest_chosen = state
         self._newest_link = link
@@ -125,9 +127,8 @@
             return
         if state.number > newest.number:
             ancestor = link.ancestor_not_above(newest.number)
-            assert ancestor is not None and ancestor.state == newest, (
-                f"{state.number} does not stand on {newest.number}"
-            )
+            base = ancestor.state if ancestor is not None else None
+            assert base == newest, f"{state.number} does not stand on {newest.number}"
             return
         same = [one for one in self.proposed.values() if one.is_chosen and one.state.number == state.number]
         assert all(one.state == state for one in same), f"two contents under {state.number}"
@@ -175,7 +176,8 @@
     def on_reply_made(self, node, record):
         """A reply is made: not of less than an earlier one."""
         promised, accepted = self._replied.get((record.ip, record.disk), NO_BALLOTS)
-        assert record.promised >= promised and record.accepted_ballot >= accepted, f"{node.ip} has forgotten a promise"
+        assert record.promised >= promised, f"{node.ip} has forgotten a promise"
+        assert record.accepted_ballot >= accepted, f"{node.ip} has forgotten what it accepted"
 
     def on_reply_sent(self, node, reply, accepted_ballot):
         """A reply leaves, so that what it says has to be on the disk from now on."""
@@ -195,7 +197,9 @@
         """What a process knows never goes back."""
         known = node.number, node.state.epoch if node.state is not None else 0
         earlier_node, earlier = self._last_seen.get(node.ip, (None, (0, 0)))
-        assert earlier_node is not node or known >= earlier and known[1] >= earlier[1]
+        if earlier_node is node:
+            assert known >= earlier, f"{node.ip} knows an older state than before"
+            assert known[1] >= earlier[1], f"{node.ip} knows an older epoch than before"
         self._last_seen[node.ip] = node, known
 
     def _check_lease(self, node):
@@ -213,4 +217,5 @@
         record = node.disk.record
         if record.disk == node.acceptor.disk:
             promised, accepted = self._replied.get((node.ip, record.disk), NO_BALLOTS)
-            assert record.promised >= promised and record.accepted_ballot >= accepted, "answered, and not on the disk"
+            assert record.promised >= promised, "answered, and not on the disk"
+            assert record.accepted_ballot >= accepted, "answered, and not on the disk"
--- a/tests/balancer/control/consensus_model/world.py
+++ b/tests/balancer/control/consensus_model/world.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from contextlib import suppress
 from dataclasses import dataclass
 from itertools import count
 from typing import NamedTuple
@@ -241,10 +242,8 @@
             return
         made = saves_made % (len(node.pending_saves) + 1)
         for save in node.pending_saves[:made]:
-            try:
+            with suppress(KeyError):
                 machine.disk.save(save.record, save.contents)
-            except KeyError:
-                pass
         machine.node = None
         machine.down_since = self.now
 
@@ -337,10 +336,16 @@
         if not machine.is_leaving:
             staying = [m for m in self.machines.values() if m.disk and not m.is_removed and not m.is_leaving]
             machine.is_leaving = len(staying) > 2 * self.machine_losses + 1
-        elif node.state is not None and ip not in {voter.ip for voter in node.state.all_voters()}:
-            if not node.is_voter and self.take_disk_loss(ip):
-                self.crash(ip, 0)
-                machine.is_removed = True
+        elif self._is_released(node) and self.take_disk_loss(ip):
+            self.crash(ip, 0)
+            machine.is_removed = True
+
+    @staticmethod
+    def _is_released(node):
+        """Whether a node knows that the others do without it."""
+        if node.is_voter or node.state is None:
+            return False
+        return node.ip not in {voter.ip for voter in node.state.all_voters()}
 
     # -- operators --
 
