--- a/mapleline/balancer/cli/trial/scenario.py
+++ b/mapleline/balancer/cli/trial/scenario.py
@@ -243,7 +243,7 @@
         """Return whether the torn file was logged and put aside, and the node votes again."""
         log = self._cluster.log_path(name).read_text()
         put_aside = list((self._cluster.folder / name / QUARANTINE_FOLDER).glob("c-*"))
-        return self.is_formed(name) and "archive: bad file" in log and bool(put_aside)
+        return self.is_formed(name) and "replica: corrupt file" in log and bool(put_aside)
 
     def join(self) -> None:
         """Start a fourth node."""
--- a/mapleline/balancer/context.py
+++ b/mapleline/balancer/context.py
@@ -27,6 +27,11 @@
     started_at: float
     """When the node was made, in seconds on its steady clock."""
 
+    @property
+    def local_ip(self) -> int:
+        """The address of this node."""
+        return self.membership.local_member.ip
+
     def now(self) -> float:
         """Return the time in seconds on the steady clock."""
         return self.reactor.seconds()
--- a/mapleline/balancer/control/api.py
+++ b/mapleline/balancer/control/api.py
@@ -1,185 +1,232 @@
-"""The operator's calls: one dispatch on method and path segments.
+"""The operators' HTTP calls: one dispatch on method and path segments.
 
-Nothing is said for the system without fresh contact with a majority: 200 and 409 come out of a ballot, what is read is
-known to be the newest, and all else is 503 (docs/design/control.md).
+Nothing is said for the system without a fresh read lease: 200 and 409 come out of a ballot, what is read is known to be
+the newest, and all else is 503 (docs/design/control.md).
 """
 
 from __future__ import annotations
 
+import logging
 from collections.abc import Callable
-from typing import Any
-
-from twisted.internet.defer import Deferred
+from dataclasses import dataclass
+from functools import partial
+from typing import TYPE_CHECKING
 
 from ...http1.messages import Request
 from ..configuration import ConfigurationError, parse_configuration
-from ..logs import say
 from ..membership.member import MemberFlags
-from ..proxy.listener import ClientConnection
 from ..transport.addresses import ip_from_int, ip_to_int
-from .audit_log import AuditLog
+from .audit_log import CONFIG_KEY
 from .commands import Command, CommandResult, CommandStatus, ReplaceConfiguration, SetEvacuation
-from .control_plane import ControlPlane
 from .state import content_digest
 
-JSON = b"Content-Type: application/json\r\n"
-HUNG_UP_S = 0.01  # a turn of the reactor: then it knows of an end that came behind a request
-ORDER_SHARE = 0.75  # of `ack_timeout`: then the operator had better ask another
+if TYPE_CHECKING:
+    from twisted.internet.defer import Deferred
+
+    from ..proxy.listener import ClientConnection
+    from .audit_log import AuditLog
+    from .control_plane import ControlPlane
+
+logger = logging.getLogger(__name__)
+
+JSON_HEADER = b"Content-Type: application/json\r\n"
+RETRY_HEADER = b"Retry-After: 0.3\r\n"
+DISCONNECT_GRACE_S = 0.01  # one tick of the reactor: then it has seen a connection's end that came behind a request
+COMMAND_SHARE = 0.75  # of `ack_timeout`: after that an operator had better ask another node
+OUTCOMES: dict[int, str] = {CommandStatus.DONE: "acknowledged", CommandStatus.CONFLICT: "refused"}
+
+
+@dataclass(frozen=True, slots=True)
+class CommandLabel:
+    """What the log and the audit log call a command."""
+
+    key: str
+    version: int | str  #: of a configuration; else what is to be done
+
+
+@dataclass(frozen=True, slots=True)
+class OperatorCommand:
+    """A command as an operator's request gives it."""
+
+    command: Command
+    body: bytes | None
+    label: CommandLabel
 
 
 class ControlApi:
-    """Answers for one ingress; `status()` tells what else people may want to know of it."""
+    """Answers the operators' requests at one node."""
 
-    def __init__(self, control_plane: ControlPlane, status: Callable[[], dict[str, Any]]) -> None:
-        self.control_plane, self.status, self.settings = control_plane, status, control_plane.settings
+    def __init__(self, control_plane: ControlPlane, node_status: Callable[[], dict[str, object]]) -> None:
+        """Create the API; `node_status` returns what `GET /status` shows beside the control state."""
+        self._control_plane = control_plane
+        self._context = control_plane.context
+        self._node_status = node_status
 
     def handle_request(self, client_conn: ClientConnection, request: Request) -> None:
+        """Answer one request, at once or when the replicas have decided."""
         path = request.target.partition(b"?")[0].decode("latin-1")
         match request.method.decode(), path.strip("/").split("/"):
             case "POST", ["config", "replace"]:
-                self.replace(client_conn, request.body)
+                self._replace_configuration(client_conn, request.body)
             case "GET", ["config", "read"]:
-                self.with_read_lease(client_conn, self.read)
+                self.with_read_lease(client_conn, partial(self._read_configuration, client_conn))
             case "GET", ["config", "history"]:
-                self.with_read_lease(
-                    client_conn, lambda client_conn: self.history(client_conn, path, lambda kept: kept.history())
-                )
+                self.with_read_lease(client_conn, partial(self._read_audit_log, client_conn, path, _read_history))
             case "GET", ["config", "history", version] if version.isdigit():
-                self.with_read_lease(
-                    client_conn,
-                    lambda client_conn: self.history(client_conn, path, lambda kept: kept.configuration(int(version))),
-                )
-            case "POST", ["evacuations", zone, "begin" | "finish" as order]:
-                if zone not in self.settings.zones:
-                    return self.with_read_lease(
-                        client_conn, lambda client_conn: client_conn.reply(404, b"no such zone: " + zone.encode())
-                    )
-                self.with_read_lease(client_conn, lambda client_conn: self.evacuate(client_conn, zone, order))
+                query = partial(_read_body, version)
+                self.with_read_lease(client_conn, partial(self._read_audit_log, client_conn, path, query))
+            case "POST", ["evacuations", zone, "begin" | "finish" as action]:
+                self.with_read_lease(client_conn, partial(self._set_evacuation, client_conn, zone, action))
             case "POST", ["core", address, "forget"]:
-                self.forget(client_conn, address)
+                self._remove_replica(client_conn, address)
             case "GET", ["status"]:
-                self.reply_json(client_conn, self.control_plane.status() | self.status())
+                self._reply_json(client_conn, self._control_plane.status() | self._node_status())
             case _:
                 client_conn.reply(404, b"no such call")
 
-    def reply_json(self, client_conn: ClientConnection, said: Any) -> None:
-        import msgspec
+    # -- what every call needs ---------------------------------------------------------------------------------
 
-        client_conn.reply(200, msgspec.json.encode(said), JSON)
+    def with_read_lease(self, client_conn: ClientConnection, handle: Callable[[], None]) -> None:
+        """Call `handle` once the read lease is younger than the request; answer 503 where it can't be had."""
 
-    def with_read_lease(self, client_conn: ClientConnection, then: Callable[[ClientConnection], None]) -> None:
-        """Only with contact that is younger than the call."""
-        self.control_plane.acquire_read_lease().addCallback(
-            lambda known: then(client_conn) if known else self.unsure(client_conn)
-        )
+        def proceed(is_acquired: bool) -> None:
+            if is_acquired:
+                handle()
+            else:
+                self._reply_uncertain(client_conn)
 
-    def unsure(self, client_conn: ClientConnection, text: str = "") -> None:
-        client_conn.reply(
-            CommandStatus.UNCERTAIN, text.encode() or b"no majority of the core can be reached", b"Retry-After: 0.3\r\n"
-        )
+        self._control_plane.acquire_read_lease().addCallback(proceed)
 
-    def submit(self, client_conn: ClientConnection, order: Command, body: bytes | None, key: str, version: Any) -> None:
-        """An order that is put to the core, unless its caller has hung up: a process that was frozen finds orders in
-        its sockets that were given to others, and overtaken, long ago.
-        """
+    def submit(self, client_conn: ClientConnection, request: OperatorCommand) -> None:
+        """Submit a command, unless its caller hangs up.
 
-        def put() -> None:
-            if client_conn.connected:
-                self._reply_when_decided(
-                    client_conn, self.control_plane.submit_command(order, body, self._command_timeout_s), key, version
-                )
-            else:
-                say("archive", "order dropped: its caller has hung up", key=key, version=version)
+        A process that was frozen finds requests in its sockets that were sent to other nodes, and overtaken, since.
+        """
+        self._context.reactor.callLater(DISCONNECT_GRACE_S, self._submit_if_connected, client_conn, request)
 
-        self.control_plane.reactor.callLater(HUNG_UP_S, put)
+    def _submit_if_connected(self, client_conn: ClientConnection, request: OperatorCommand) -> None:
+        if not client_conn.connected:
+            label = request.label
+            logger.info("command dropped: its caller has hung up", extra={"key": label.key, "version": label.version})
+            return
+        decided = self._control_plane.submit_command(request.command, request.body, self.command_timeout_s)
+        self.reply_when_decided(client_conn, decided, request.label)
 
     @property
-    def _command_timeout_s(self) -> float:
-        return ORDER_SHARE * self.settings.protocol_bounds.ack_timeout
-
-    def _reply_when_decided(self, client_conn: ClientConnection, done: Deferred, key: str, version: Any) -> None:
-        control_plane = self.control_plane
-        began = control_plane.reactor.seconds()
-
-        def answered(outcome: CommandResult) -> None:
-            took = round(control_plane.reactor.seconds() - began, 3)
-            text = {CommandStatus.DONE: "acknowledged", CommandStatus.CONFLICT: "refused"}.get(
-                outcome.status, "not acknowledged"
-            )
-            say("archive", text, key=key, version=version, took=took)
-            if control_plane.audit_log is not None:
-                kept = outcome.status == CommandStatus.DONE
-                number = version if isinstance(version, int) else 0
-                control_plane.recall(
-                    control_plane.audit_log.record_command,
-                    control_plane.environment.unix_time(),
-                    key,
-                    number,
-                    kept,
-                    took,
-                )
-            if outcome.status == CommandStatus.DONE:
-                client_conn.reply(CommandStatus.DONE, b"{}", JSON)
-            elif outcome.status == CommandStatus.UNCERTAIN:
-                self.unsure(client_conn, outcome.text)
-            else:
-                client_conn.reply(outcome.status, outcome.text.encode())
+    def command_timeout_s(self) -> float:
+        """Seconds after which a command that is not decided is answered with 503."""
+        return COMMAND_SHARE * self._context.settings.protocol_bounds.ack_timeout
+
+    def reply_when_decided(
+        self, client_conn: ClientConnection, decided: Deferred[CommandResult], label: CommandLabel
+    ) -> None:
+        """Answer with a command's result, and record it."""
+        submitted_at = self._context.now()
+
+        def reply(result: CommandResult) -> None:
+            took_s = round(self._context.now() - submitted_at, 3)
+            self._record(label, result, took_s)
+            self._reply_result(client_conn, result)
+
+        decided.addCallback(reply)
+
+    def _record(self, label: CommandLabel, result: CommandResult, took_s: float) -> None:
+        outcome = OUTCOMES.get(result.status, "not acknowledged")
+        logger.info("command %s", outcome, extra={"key": label.key, "version": label.version, "took_s": took_s})
+        version = label.version if isinstance(label.version, int) else 0
+        self._control_plane.audit.record_command(label.key, version, result.status == CommandStatus.DONE, took_s)
+
+    def _reply_result(self, client_conn: ClientConnection, result: CommandResult) -> None:
+        if result.status == CommandStatus.DONE:
+            client_conn.reply(CommandStatus.DONE, b"{}", JSON_HEADER)
+        elif result.status == CommandStatus.UNCERTAIN:
+            self._reply_uncertain(client_conn, result.text)
+        else:
+            client_conn.reply(result.status, result.text.encode())
+
+    def _reply_uncertain(self, client_conn: ClientConnection, text: str = "") -> None:
+        body = text.encode() or b"no majority of the core can be reached"
+        client_conn.reply(CommandStatus.UNCERTAIN, body, RETRY_HEADER)
+
+    def _reply_json(self, client_conn: ClientConnection, answer: object) -> None:
+        import msgspec
 
-        done.addCallback(answered)
+        client_conn.reply(200, msgspec.json.encode(answer), JSON_HEADER)
 
-    def replace(self, client_conn: ClientConnection, body: bytes) -> None:
-        """A whole configuration."""
+    # -- the calls ---------------------------------------------------------------------------------------------
+
+    def _replace_configuration(self, client_conn: ClientConnection, body: bytes) -> None:
         try:
             config = parse_configuration(body)
         except ConfigurationError as err:
-            return client_conn.reply(400, str(err).encode())
+            client_conn.reply(400, str(err).encode())
+            return
         version = config.config_version
-        self.submit(client_conn, ReplaceConfiguration(version, content_digest(body)), body, "config", version)
-
-    def evacuate(self, client_conn: ClientConnection, zone: str, order: str) -> None:
-        known = self.control_plane.committed.number
-        self.submit(client_conn, SetEvacuation(zone, order == "begin", known), None, f"evacuation/{zone}", order)
+        command = ReplaceConfiguration(version, content_digest(body))
+        self.submit(client_conn, OperatorCommand(command, body, CommandLabel(CONFIG_KEY, version)))
 
-    def read(self, client_conn: ClientConnection) -> None:
-        body = self.control_plane.committed.body
+    def _read_configuration(self, client_conn: ClientConnection) -> None:
+        body = self._control_plane.committed.body
         if body is None:
-            return client_conn.reply(404, b"no configuration yet")
-        client_conn.reply(200, body, JSON)
-
-    def forget(self, client_conn: ClientConnection, address: str) -> None:
-        """A machine of the core that is gone for good votes no longer."""
+            client_conn.reply(404, b"no configuration yet")
+        else:
+            client_conn.reply(200, body, JSON_HEADER)
+
+    def _set_evacuation(self, client_conn: ClientConnection, zone: str, action: str) -> None:
+        if zone not in self._context.settings.zones:
+            client_conn.reply(404, b"no such zone: " + zone.encode())
+            return
+        command = SetEvacuation(zone, action == "begin", self._control_plane.committed.number)
+        self.submit(client_conn, OperatorCommand(command, None, CommandLabel(f"evacuation/{zone}", action)))
+
+    def _remove_replica(self, client_conn: ClientConnection, address: str) -> None:
         try:
             ip = ip_to_int(address)
         except OSError:
-            return client_conn.reply(400, b"no address: " + address.encode())
-
-        def known(client_conn: ClientConnection) -> None:
-            self._reply_when_decided(
-                client_conn, self.control_plane.remove_replica(ip, self._command_timeout_s), f"core/{address}", "forget"
-            )
-
-        self.with_read_lease(client_conn, known)
-
-    def history(self, client_conn: ClientConnection, path: str, read: Callable[[AuditLog], Any]) -> None:
-        """What this machine's history says; one without a disk names one that has it."""
-        control_plane = self.control_plane
-        if control_plane.audit_log is None:
-            others = [
-                m.ip
-                for m in control_plane.membership.alive(control_plane.reactor.seconds(), MemberFlags.CAN_PROPOSE)
-                if m.ip != control_plane.me
-            ]
-            if not others:
-                return self.unsure(client_conn)
-            to = f"http://{ip_from_int(control_plane.rng.choice(others))}:{self.settings.listen_addresses.control_addr[1]}{path}"
-            return client_conn.reply(307, b"", b"Location: %b\r\n" % to.encode())
-
-        def found(answer: Any) -> None:
+            client_conn.reply(400, b"no address: " + address.encode())
+            return
+
+        def remove() -> None:
+            decided = self._control_plane.remove_replica(ip, self.command_timeout_s)
+            self.reply_when_decided(client_conn, decided, CommandLabel(f"core/{address}", "forget"))
+
+        self.with_read_lease(client_conn, remove)
+
+    def _read_audit_log(self, client_conn: ClientConnection, path: str, query: Callable[[AuditLog], object]) -> None:
+        """Answer from this node's audit log; a node without a disk redirects to one that has one."""
+        if not self._control_plane.audit.has_audit_log:
+            self._redirect_to_replica(client_conn, path)
+            return
+
+        def reply(answer: object) -> None:
             if answer is None:
                 client_conn.reply(404, b"not in this history (or it can't be read: see the log)")
             elif isinstance(answer, bytes):
-                client_conn.reply(200, answer, JSON)
+                client_conn.reply(200, answer, JSON_HEADER)
             else:
-                self.reply_json(client_conn, answer)
+                self._reply_json(client_conn, answer)
+
+        self._control_plane.audit.read(query).addCallback(reply)
+
+    def _redirect_to_replica(self, client_conn: ClientConnection, path: str) -> None:
+        context = self._context
+        replicas = [
+            member.ip
+            for member in context.membership.alive(context.now(), MemberFlags.CAN_PROPOSE)
+            if member.ip != context.local_ip
+        ]
+        control_addr = context.settings.listen_addresses.control_addr
+        if not replicas or control_addr is None:
+            self._reply_uncertain(client_conn)
+            return
+        port = control_addr[1]
+        url = f"http://{ip_from_int(context.rng.choice(replicas))}:{port}{path}"
+        client_conn.reply(307, b"", b"Location: %b\r\n" % url.encode())
+
+
+def _read_history(audit_log: AuditLog) -> object:
+    return audit_log.history()
+
 
-        control_plane.recall(read, control_plane.audit_log).addCallback(found)
+def _read_body(version: str, audit_log: AuditLog) -> object:
+    return audit_log.configuration(int(version))
--- /dev/null
+++ b/mapleline/balancer/control/command_router.py
@@ -0,0 +1,116 @@
+"""Brings operators' commands to the replica that proposes, and takes in those that other nodes forward.
+
+Commands go to one coordinator so that ballots do not collide; nothing that is decided hangs on it.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from twisted.internet.defer import Deferred
+
+from ..transport.messages import Propose, Proposed, Reply
+from .commands import Command, CommandResult, CommandStatus, ReplaceConfiguration
+from .pending_commands import PendingCommand
+from .state import content_digest
+
+if TYPE_CHECKING:
+    from ..context import NodeContext
+    from .proposer import Proposer
+    from .replica import LocalReplica
+    from .replica_monitor import ReplicaMonitor
+
+HEDGE_DELAY_S = 0.6  # without an answer, the command is forwarded to the next replica as well
+FORWARD_TIMEOUT_S = 1.2
+FORWARDED_COMMAND_TIMEOUT_S = 3 * FORWARD_TIMEOUT_S
+SLOW_LINK_BYTES_PER_S = 100_000  # both times above are longer by what a body takes on such a link
+RETRY_DELAY_S = 0.05  # after an answer that decides nothing
+NO_PROPOSER_DELAY_S = 0.2  # before all replicas are tried again
+
+
+@dataclass(eq=False, slots=True)
+class _ForwardAttempt:
+    """A command that was forwarded to one replica."""
+
+    pending: PendingCommand
+    ip: int
+    attempted_ips: frozenset[int]  #: those that were tried before
+    is_over: bool = False  #: the next replica was tried
+
+
+class CommandRouter:
+    """Routes commands from this node's operators, and accepts those of other nodes."""
+
+    def __init__(
+        self, context: NodeContext, replica: LocalReplica, monitor: ReplicaMonitor, proposer: Proposer
+    ) -> None:
+        """Create a router without commands."""
+        self._context = context
+        self._replica = replica
+        self._monitor = monitor
+        self._proposer = proposer
+
+    def submit(self, command: Command, body: bytes | None, timeout_s: float) -> Deferred[CommandResult]:
+        """Fire with the result of an operator's command: UNCERTAIN if no majority decided it in time."""
+        pending = self._pending_command(command, body, timeout_s)
+        self._route(pending, frozenset())
+        return pending.decided
+
+    def handle_forwarded(self, call: Propose) -> Reply | Deferred[Reply]:
+        """Propose a command that another node has forwarded, and answer with its result."""
+        if not self._replica.is_voter or not _has_body(call):
+            return Proposed(CommandStatus.UNCERTAIN)
+        pending = self._pending_command(call.command, call.configuration_body, FORWARDED_COMMAND_TIMEOUT_S)
+        self._proposer.enqueue(pending)
+        return pending.decided.addCallback(_to_reply)
+
+    def _pending_command(self, command: Command, body: bytes | None, timeout_s: float) -> PendingCommand:
+        pending = PendingCommand(command, body, self._context.now() + timeout_s)
+        self._context.reactor.callLater(timeout_s, pending.resolve, CommandResult(CommandStatus.UNCERTAIN))
+        return pending
+
+    def _route(self, pending: PendingCommand, attempted_ips: frozenset[int]) -> None:
+        """Propose the command here, or forward it to the first proposer that was not tried yet."""
+        now = self._context.now()
+        if pending.is_resolved or now > pending.deadline:
+            return
+        proposers = [member.ip for member in self._monitor.proposers(now) if member.ip not in attempted_ips]
+        if proposers and proposers[0] == self._context.local_ip:
+            self._proposer.enqueue(pending)
+        elif proposers:
+            self._forward(_ForwardAttempt(pending, proposers[0], attempted_ips))
+        elif self._proposer.is_without_read_lease(now):
+            pending.resolve(CommandResult(CommandStatus.UNCERTAIN))
+        else:
+            self._context.reactor.callLater(NO_PROPOSER_DELAY_S, self._route, pending, frozenset())
+
+    def _forward(self, attempt: _ForwardAttempt) -> None:
+        pending = attempt.pending
+        transfer_s = len(pending.body or b"") / SLOW_LINK_BYTES_PER_S
+        self._context.reactor.callLater(HEDGE_DELAY_S + transfer_s, self._try_next, attempt)
+        call = Propose(pending.command, pending.body)
+        reply = self._context.environment.call(attempt.ip, call, FORWARD_TIMEOUT_S + transfer_s)
+        reply.addBoth(self._receive_result, attempt)
+
+    def _try_next(self, attempt: _ForwardAttempt) -> None:
+        if not attempt.is_over and not attempt.pending.is_resolved:
+            attempt.is_over = True
+            self._route(attempt.pending, attempt.attempted_ips | {attempt.ip})
+
+    def _receive_result(self, reply: object, attempt: _ForwardAttempt) -> None:
+        if isinstance(reply, Proposed) and reply.status != CommandStatus.UNCERTAIN:
+            attempt.pending.resolve(CommandResult(reply.status, reply.text))
+        else:
+            self._context.reactor.callLater(RETRY_DELAY_S, self._try_next, attempt)
+
+
+def _to_reply(result: CommandResult) -> Reply:
+    return Proposed(result.status, result.text)
+
+
+def _has_body(call: Propose) -> bool:
+    """Whether the body that the command needs came with it."""
+    if not isinstance(call.command, ReplaceConfiguration):
+        return True
+    return call.configuration_body is not None and content_digest(call.configuration_body) == call.command.digest
--- a/mapleline/balancer/control/proposer.py
+++ b/mapleline/balancer/control/proposer.py
@@ -1,325 +1,281 @@
-"""Puts orders and changes of the members to the replicas, a ballot at a time; passes on what others had better put."""
+"""Proposes commands and changes of the voters to the replicas, one ballot at a time.
+
+The rules of a ballot are in `consensus`; this is their driver: timers, calls, retries and the backoff after a lost
+ballot.
+"""
 
 from __future__ import annotations
 
-import random
+import logging
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from twisted.internet.defer import Deferred, maybeDeferred
 
-from ..environment import Environment
-from ..logs import say
-from ..settings import Settings
 from ..transport.addresses import ip_to_int
-from ..transport.messages import Accept, Accepted, Call, Chosen, Prepare, Promised, Propose, Proposed
-from .commands import Command, CommandResult, CommandStatus, ReplaceConfiguration, apply_all
-from .committed_state import CommittedState
+from ..transport.messages import Accept, Accepted, Chosen, Prepare, Promised
+from .commands import CommandResult, CommandStatus, ReplaceConfiguration, apply_all
 from .consensus import NO_BALLOT, Ballot, NextStep, Proposal
-from .replica import LocalReplica
-from .replica_monitor import ReplicaMonitor
-from .state import (
-    State,
-    begin_reconfiguration,
-    bootstrap,
-    content_digest,
-    finish_reconfiguration,
-    has_contents,
-    initial_state,
-)
-
-CALL_S = 1.5
-AGAIN_S = 0.15  # after a call that failed
-ROUND_S = 1.2  # after which a ballot that found no majority is given up
-TURN_S = 0.25  # how often a replica looks for what is to be proposed
-LIMBO_S = 0.4  # after which what was accepted, and is not known to be chosen, is proposed anew
-REST_S, REST_MOST_S = 0.2, 1.0  # after a ballot that was lost, twice as long after each more
-LOST_MOST = 8  # counted: two to the power of more than a thousand is no float any more
-HEDGE_S, RELAY_S = 0.6, 1.2  # an order that was passed on and not answered goes to the next as well; is given up there
-OUT_S = 2.5  # without contact: a question a second, and one of them lost
-
-
-class _Asked:
-    """One order on its way."""
-
-    __slots__ = ("body", "done", "end", "order")
-
-    def __init__(self, order: Command, body: bytes | None, end: float) -> None:
-        self.order, self.body, self.end = order, body, end
-        self.done: Deferred = Deferred()
-
-    def answer(self, outcome: CommandResult) -> None:
-        if not self.done.called:
-            self.done.callback(outcome)
+from .state import State, begin_reconfiguration, bootstrap, finish_reconfiguration, has_contents, initial_state
+
+if TYPE_CHECKING:
+    from twisted.python.failure import Failure
+
+    from ..context import NodeContext
+    from .committed_state import CommittedState
+    from .pending_commands import PendingCommand
+    from .replica import LocalReplica
+    from .replica_monitor import ReplicaMonitor
+
+logger = logging.getLogger(__name__)
+
+CALL_TIMEOUT_S = 1.5
+CALL_RETRY_DELAY_S = 0.15
+BALLOT_TIMEOUT_S = 1.2  # a ballot that found no majority by then is given up
+TICK_INTERVAL_S = 0.25
+TICK_JITTER = 0.1  # share of the interval
+UNDECIDED_TIMEOUT_S = 0.4  # to twice that: then a state accepted here and not known to be chosen is proposed anew
+MIN_BACKOFF_S = 0.02
+BACKOFF_S = 0.2  # the longest after the first lost ballot; doubled by each more in a row
+MAX_BACKOFF_S = 1.0
+MAX_COUNTED_LOSSES = 8  # 2 ** n overflows a float for large n
+BACKOFF_MARGIN_S = 0.001  # so that the timer fires after the backoff's end, not at it
+LEASE_LOST_S = 2.5  # without a read lease: two queries at one a second, and one of them lost
+SYSTEM_ID_BITS = 31
 
 
 class Proposer:
-    """`won(state)` is called with each state that a ballot from here has seen chosen."""
+    """The queue of commands at this node, and the one ballot that is in progress."""
 
     def __init__(
         self,
-        reactor: Any,
-        settings: Settings,
-        environment: Environment,
-        rng: random.Random,
-        held: CommittedState,
+        context: NodeContext,
+        committed: CommittedState,
         replica: LocalReplica,
-        members: ReplicaMonitor,
-        won: Callable[[State], None],
+        monitor: ReplicaMonitor,
+        on_chosen: Callable[[State], None],
     ) -> None:
-        self.reactor, self.settings, self.environment, self.rng = reactor, settings, environment, rng
-        self.committed, self.replica, self.monitor, self.won = held, replica, members, won
-        self.me = replica.me
-        self.orders: list[_Asked] = []
-        self.taken: list[_Asked] = []  #: orders in the ballot that is out
-        self.outcomes: list[CommandResult] = []
-        self.proposal: Proposal | None = None
-        self.round = 0  #: the highest that was seen
-        self.rest_until, self.lost = 0.0, 0  #: and how many ballots on end
-        #: accepted, not known to be chosen, and when that is too long
-        self.limbo: tuple[Ballot, float] = (NO_BALLOT, 0.0)
-
-    # -- orders --------------------------------------------------------------------------------------------
-
-    def submit(self, order: Command, body: bytes | None, timeout_s: float) -> Deferred:
-        """Fires with the outcome of an operator's order: UNSURE if a majority could not be reached in time."""
-        asked = _Asked(order, body, self.reactor.seconds() + timeout_s)
-        self.reactor.callLater(timeout_s, asked.answer, CommandResult(CommandStatus.UNCERTAIN))
-        self._route(asked, set())
-        return asked.done
-
-    def _route(self, asked: _Asked, tried: set[int]) -> None:
-        """To the coordinator; to the next of the voters if that one does not answer."""
-        now = self.reactor.seconds()
-        if asked.done.called or now > asked.end:
-            return
-        untried = [m.ip for m in self.monitor.proposers(now) if m.ip not in tried]
-        if not untried:
-            if self._is_without_read_lease(now):
-                return asked.answer(CommandResult(CommandStatus.UNCERTAIN))
-            return self.reactor.callLater(0.2, self._route, asked, set())
-        ip = untried[0]
-        if ip == self.me:
-            return self._take(asked)
-        over: list[bool] = []
-
-        def further() -> None:
-            if not over and not asked.done.called:
-                over.append(True)
-                self._route(asked, tried | {ip})
-
-        def answered(reply: Any) -> None:
-            if isinstance(reply, Proposed) and reply.status != CommandStatus.UNCERTAIN:
-                asked.answer(CommandResult(reply.status, reply.text))
-            else:
-                self.reactor.callLater(0.05, further)
-
-        size = len(asked.body or b"") / 100_000  # seconds that a thin link takes
-        self.reactor.callLater(HEDGE_S + size, further)  # the same order twice is one
-        self.environment.call(ip, Propose(asked.order, asked.body), RELAY_S + size).addBoth(answered)
-
-    def passed_on(self, call: Propose) -> Any:
-        """Another ingress passes an order on: what it is to be told, or a Deferred of that."""
-        if not self.replica.is_voter:
-            return Proposed(CommandStatus.UNCERTAIN)
-        if isinstance(call.command, ReplaceConfiguration) and (
-            call.configuration_body is None or content_digest(call.configuration_body) != call.command.digest
-        ):
-            return Proposed(CommandStatus.UNCERTAIN)
-        asked = _Asked(call.command, call.configuration_body, self.reactor.seconds() + 3 * RELAY_S)
-        self.reactor.callLater(3 * RELAY_S, asked.answer, CommandResult(CommandStatus.UNCERTAIN))
-        self._take(asked)
-        return asked.done.addCallback(lambda outcome: Proposed(*outcome))
-
-    def _take(self, asked: _Asked) -> None:
-        """An order that this one proposes itself."""
-        if isinstance(asked.order, ReplaceConfiguration) and asked.body is not None:
-            self.committed.contents[asked.order.digest] = asked.body
-        self.orders.append(asked)
-        self.look()
-
-    def names(self) -> set[int]:
-        """Contents that must not be forgotten."""
-        wanted = {one.order.digest for one in self.orders if isinstance(one.order, ReplaceConfiguration)}
-        proposed = self.proposal.proposed_state if self.proposal is not None else None
-        return wanted | ({proposed.config.digest} if proposed is not None and proposed.config is not None else set())
-
-    def _is_without_read_lease(self, now: float) -> bool:
-        """Whether who asks here had better ask another: there was no contact for some questions on end."""
-        return now - self.monitor.current_as_of() > OUT_S
-
-    # -- when to propose -----------------------------------------------------------------------------------
-
-    def turn(self) -> None:
-        """Look again and again for what is to be proposed."""
-        self.reactor.callLater(TURN_S * self.rng.uniform(0.9, 1.1), self.turn)
-        self.look()
-
-    def look(self) -> None:
-        """Begin a ballot if there is something to propose, and none is out."""
-        now, state = self.reactor.seconds(), self.committed.state
-        self.orders = [one for one in self.orders if not one.done.called and one.end > now]
-        if self.proposal is not None or now < self.rest_until or not self.replica.disk:
+        """Create an idle proposer; `on_chosen` is called with each state that a ballot from here has seen chosen."""
+        self._context = context
+        self._committed = committed
+        self._replica = replica
+        self._monitor = monitor
+        self._on_chosen = on_chosen
+        self._queue: list[PendingCommand] = []
+        self._proposal: Proposal | None = None
+        self._proposed_commands: list[PendingCommand] = []  #: those in the ballot that is in progress
+        self._results: list[CommandResult] = []  #: theirs, once its state is chosen
+        self._highest_round = 0
+        self._backoff_until = 0.0
+        self._losses = 0  #: ballots lost in a row
+        self._undecided_ballot: Ballot = NO_BALLOT  #: of the state accepted here and not known to be chosen
+        self._undecided_deadline = 0.0
+
+    def enqueue(self, pending: PendingCommand) -> None:
+        """Propose a command from here, with the next ballot."""
+        if isinstance(pending.command, ReplaceConfiguration) and pending.body is not None:
+            self._committed.contents[pending.command.digest] = pending.body
+        self._queue.append(pending)
+        self.begin_ballot_if_due()
+
+    def referenced_contents(self) -> set[int]:
+        """Return the digests of the configurations that commands at hand or the ballot name."""
+        contents = {
+            pending.command.digest for pending in self._queue if isinstance(pending.command, ReplaceConfiguration)
+        }
+        proposed = self._proposal.proposed_state if self._proposal is not None else None
+        if proposed is not None and proposed.config is not None:
+            contents.add(proposed.config.digest)
+        return contents
+
+    def is_without_read_lease(self, now: float) -> bool:
+        """Whether the read lease was lost for so long that an operator had better ask another node."""
+        return now - self._monitor.current_as_of() > LEASE_LOST_S
+
+    # -- when to propose ---------------------------------------------------------------------------------------
+
+    def tick(self) -> None:
+        """Look for something to propose, and set the timer of the next look."""
+        jitter = self._context.rng.uniform(1 - TICK_JITTER, 1 + TICK_JITTER)
+        self._context.reactor.callLater(TICK_INTERVAL_S * jitter, self.tick)
+        self.begin_ballot_if_due()
+
+    def begin_ballot_if_due(self) -> None:
+        """Begin a ballot if there is something to propose and none is in progress."""
+        now = self._context.now()
+        self._queue = [pending for pending in self._queue if not pending.is_resolved and pending.deadline > now]
+        if self._proposal is not None or now < self._backoff_until or not self._replica.disk_id:
             return
+        state = self._committed.state
         if state is None:
-            if self.monitor.may_found(now):
-                self._begin(initial_state(ip_to_int(at) for at, _ in self.settings.seed_nodes), self._found)
-        elif self.replica.is_voter and (
-            self.orders
-            or self._in_limbo(now)
-            or state.former
-            and self.monitor.is_coordinator(now)
-            or self.monitor.due(state, now)
-        ):
-            self._begin(state, self._next)
-
-    def _in_limbo(self, now: float) -> bool:
-        """Something was accepted here, and whether it is chosen is not known: who proposed it may be gone."""
-        record = self.replica.acceptor.record
-        if record.accepted_state is None or record.accepted_state.number <= self.committed.number:
+            if self._monitor.bootstrap.is_due(now):
+                seeds = self._context.settings.seed_nodes
+                self._begin_ballot(initial_state(ip_to_int(host) for host, _ in seeds), self._bootstrap)
+        elif self._replica.is_voter and self._is_change_due(state, now):
+            self._begin_ballot(state, self._next_state)
+
+    def _is_change_due(self, state: State, now: float) -> bool:
+        if self._queue or self._is_undecided_overdue(now):
+            return True
+        if state.former and self._monitor.is_coordinator(now):
+            return True
+        return bool(self._monitor.due_voters(state, now))
+
+    def _is_undecided_overdue(self, now: float) -> bool:
+        """Whether a state accepted here is not known to be chosen for long: its proposer may be gone."""
+        record = self._replica.accepted_record()
+        if record is None or record.accepted_state is None or record.accepted_state.number <= self._committed.number:
             return False
-        if self.limbo[0] != record.accepted_ballot:
-            self.limbo = record.accepted_ballot, now + LIMBO_S * self.rng.uniform(1.0, 2.0)
-        return now > self.limbo[1]
-
-    def _found(self, base: State) -> State:
-        """The first core; another's, if one was accepted already."""
-        return bootstrap(base, self.rng.getrandbits(31) | 1, self.monitor.first(self.reactor.seconds()))
-
-    def _next(self, base: State) -> State:
-        """What the orders at hand make of a state, and the members' change that is due."""
-        known = base == self.committed.state  # so that it is known to be chosen
-        self.taken = [one for one in self.orders if not one.done.called]
-        state, self.outcomes = apply_all(
-            finish_reconfiguration(base) if known else base,
-            [one.order for one in self.taken],
-            self.monitor.tolerance,
-        )
-        if known and not base.former and not state.former:
-            voters = self.monitor.due(state, self.reactor.seconds())
-            state = begin_reconfiguration(state, voters) if voters is not None else state
+        if self._undecided_ballot != record.accepted_ballot:
+            self._undecided_ballot = record.accepted_ballot
+            self._undecided_deadline = now + UNDECIDED_TIMEOUT_S * self._context.rng.uniform(1.0, 2.0)
+        return now > self._undecided_deadline
+
+    # -- what to propose ---------------------------------------------------------------------------------------
+
+    def _bootstrap(self, base: State) -> State:
+        """Return the system's first state; `base`, if another node's was accepted already."""
+        system = self._context.rng.getrandbits(SYSTEM_ID_BITS) | 1
+        return bootstrap(base, system, self._monitor.bootstrap.initial_voters(self._context.now()))
+
+    def _next_state(self, base: State) -> State:
+        """Return what the queued commands make of a state, with the change of the voters that is due."""
+        is_known_chosen = base == self._committed.state
+        self._proposed_commands = [pending for pending in self._queue if not pending.is_resolved]
+        commands = [pending.command for pending in self._proposed_commands]
+        state = finish_reconfiguration(base) if is_known_chosen else base
+        state, self._results = apply_all(state, commands, self._monitor.tolerance)
+        if is_known_chosen and not base.former and not state.former:
+            voters = self._monitor.due_voters(state, self._context.now())
+            if voters is not None:
+                state = begin_reconfiguration(state, voters)
         return state
 
-    # -- one ballot ----------------------------------------------------------------------------------------
+    # -- one ballot --------------------------------------------------------------------------------------------
+
+    def _begin_ballot(self, known: State, change: Callable[[State], State]) -> None:
+        self._proposed_commands = []
+        self._results = []
+        self._highest_round = max(self._highest_round, self._replica.promised_round()) + 1
+        ballot = Ballot(self._highest_round, self._context.local_ip, self._replica.disk_id)
+        proposal = Proposal(ballot, known, change)
+        self._proposal = proposal
+        self._context.reactor.callLater(BALLOT_TIMEOUT_S, self._give_up, proposal)
+        own_promise = self._send(self._context.local_ip, self._prepare_call(proposal))
+        own_promise.addCallback(self._receive_own_promise, proposal).addErrback(_log_fault)
+
+    def _receive_own_promise(self, reply: object, proposal: Proposal) -> None:
+        """Ask the others once the ballot is on this disk, so that no later incarnation uses it again."""
+        if isinstance(reply, Promised) and reply.is_granted and proposal is self._proposal:
+            self._send_prepares(proposal)
+        else:
+            self._give_up(proposal)
 
-    def _begin(self, known: State, change: Callable[[State], State]) -> None:
-        self.taken, self.outcomes = [], []
-        self.round = max(self.round, self.replica.acceptor.record.promised.round) + 1
-        proposal = self.proposal = Proposal(Ballot(self.round, self.me, self.replica.disk), known, change)
-        self.reactor.callLater(ROUND_S, self._give_up, proposal)
+    def _prepare_call(self, proposal: Proposal) -> Prepare:
+        return Prepare(proposal.ballot, proposal.known_state.number, self._committed.digest)
 
-        def first(reply: Promised) -> None:
-            """The ballot is on the own disk before anybody hears of it: no later life uses it again."""
-            if reply.is_granted and proposal is self.proposal:
-                self._ask(proposal)
-            else:
-                self._give_up(proposal)
+    def _send_prepares(self, proposal: Proposal) -> None:
+        for ip in proposal.take_prepare_targets():
+            self._call(ip, self._prepare_call(proposal), proposal)
 
-        own = maybeDeferred(
-            self.replica.prepare, Prepare(proposal.ballot, proposal.known_state.number, self.committed.digest)
-        )
-        own.addCallback(first).addErrback(self._fault)
+    def _send_accepts(self, proposal: Proposal, state: State) -> None:
+        """Send the state, and the body of its configuration where that is new."""
+        body = None
+        if state.config is not None and state.config != proposal.base.config:
+            body = self._committed.contents[state.config.digest]
+        for ip in proposal.accept_targets():
+            self._call(ip, Accept(proposal.ballot, state, body), proposal)
 
-    def _ask(self, proposal: Proposal) -> None:
-        for ip in proposal.take_prepare_targets():
-            self._call(
-                ip,
-                Prepare(proposal.ballot, proposal.known_state.number, self.committed.digest),
-                self._promised,
-                proposal,
-            )
-
-    def _call(self, ip: int, call: Call, then: Callable[..., None], proposal: Proposal) -> None:
-        if ip == self.me:
-            take = self.replica.prepare if isinstance(call, Prepare) else self.replica.accept
-            done = maybeDeferred(take, call)
-        else:
-            done = self.environment.call(ip, call, CALL_S)
-        known = dict(self.monitor.high)
+    def _call(self, ip: int, call: Prepare | Accept, proposal: Proposal) -> None:
+        """Send one replica a call of a ballot; it is repeated until it is answered or the ballot is over."""
+        known_versions = dict(self._monitor.highest_versions)
 
-        def answered(reply: Any) -> None:
+        def receive(reply: object) -> None:
             if isinstance(reply, Promised | Accepted) and reply.is_granted:
-                if reply.record_version < known.get((ip, reply.disk_id), 0):
-                    return  # an older folder was put back there
-                self.monitor.record_turn(ip, reply.disk_id, reply.record_version)
-            then(proposal, ip, reply)
-
-        done.addCallbacks(answered, lambda _: self._call_again(ip, call, then, proposal))
-        done.addErrback(self._fault)
+                if reply.record_version < known_versions.get((ip, reply.disk_id), 0):
+                    return  # that disk was rolled back: its vote must not count
+                self._monitor.observe_record_version(ip, reply.disk_id, reply.record_version)
+            if isinstance(call, Prepare):
+                self._receive_promise(proposal, ip, reply)
+            else:
+                self._receive_acceptance(proposal, ip, reply)
 
-    def _call_again(self, ip: int, call: Call, then: Callable[..., None], proposal: Proposal) -> None:
-        """No answer, or none that is believed: the same once more, for as long as the ballot is out."""
+        def retry_later(_: Failure) -> None:
+            self._context.reactor.callLater(CALL_RETRY_DELAY_S, self._retry, ip, call, proposal)
 
-        def again() -> None:
-            if proposal is self.proposal:
-                self._call(ip, call, then, proposal)
+        self._send(ip, call).addCallbacks(receive, retry_later).addErrback(_log_fault)
 
-        self.reactor.callLater(AGAIN_S, again)
+    def _send(self, ip: int, call: Prepare | Accept) -> Deferred[Any]:
+        if ip != self._context.local_ip:
+            return self._context.environment.call(ip, call, CALL_TIMEOUT_S)
+        if isinstance(call, Prepare):
+            return maybeDeferred(self._replica.prepare, call)
+        return maybeDeferred(self._replica.accept, call)
 
-    def _fault(self, reason: Any) -> None:
-        say("node", "fault", trace=reason.getTraceback())
+    def _retry(self, ip: int, call: Prepare | Accept, proposal: Proposal) -> None:
+        if proposal is self._proposal:
+            self._call(ip, call, proposal)
 
-    def _promised(self, proposal: Proposal, ip: int, reply: Any) -> None:
-        if (
-            not isinstance(reply, Promised)
-            or proposal is not self.proposal
-            or not reply.is_granted
-            and not reply.disk_id
-        ):
+    def _receive_promise(self, proposal: Proposal, ip: int, reply: object) -> None:
+        if not isinstance(reply, Promised) or proposal is not self._proposal:
             return
+        if not reply.is_granted and not reply.disk_id:
+            return  # that replica has no vote at present
         if reply.accepted_state is not None:
-            self.committed.add_body(reply.accepted_state, reply.configuration_body)
-        self._step(
-            proposal,
-            proposal.on_prepare_reply(ip, reply),
-        )
-
-    def _accepted(self, proposal: Proposal, ip: int, reply: Any) -> None:
-        if not isinstance(reply, Accepted) or proposal is not self.proposal:
+            self._committed.add_body(reply.accepted_state, reply.configuration_body)
+        self._take_step(proposal, proposal.on_prepare_reply(ip, reply))
+
+    def _receive_acceptance(self, proposal: Proposal, ip: int, reply: object) -> None:
+        if not isinstance(reply, Accepted) or proposal is not self._proposal:
             return
-        if reply.needs_body:
-            body = self.committed.contents[proposal.proposed_state.config.digest]
-            self._call(ip, Accept(proposal.ballot, proposal.proposed_state, body), self._accepted, proposal)
+        state = proposal.proposed_state
+        if reply.needs_body and state is not None and state.config is not None:
+            body = self._committed.contents[state.config.digest]
+            self._call(ip, Accept(proposal.ballot, state, body), proposal)
         elif reply.is_granted or reply.disk_id:
-            self._step(proposal, proposal.on_accept_reply(ip, reply))
+            self._take_step(proposal, proposal.on_accept_reply(ip, reply))
 
-    def _step(self, proposal: Proposal, step: NextStep) -> None:
+    def _take_step(self, proposal: Proposal, step: NextStep) -> None:
+        state = proposal.proposed_state
         match step:
             case NextStep.PREPARE:
-                self._ask(proposal)
-            case NextStep.ACCEPT if has_contents(proposal.proposed_state, self.committed.contents):
-                base, state = proposal.base, proposal.proposed_state
-                fresh = state.config is not None and state.config != base.config
-                body = self.committed.contents[state.config.digest] if fresh else None
-                for ip in proposal.accept_targets():
-                    self._call(ip, Accept(proposal.ballot, state, body), self._accepted, proposal)
-            case NextStep.CHOSEN:
-                self._won(proposal)
+                self._send_prepares(proposal)
+            case NextStep.ACCEPT if state is not None and has_contents(state, self._committed.contents):
+                self._send_accepts(proposal, state)
+            case NextStep.CHOSEN if state is not None:
+                self._finish(proposal, state)
             case NextStep.PREEMPTED:
-                self.round = max(self.round, proposal.highest_ballot.round)
+                self._highest_round = max(self._highest_round, proposal.highest_ballot.round)
                 self._give_up(proposal)
 
-    def _won(self, proposal: Proposal) -> None:
-        """The state is chosen: all who voted are told."""
-        self.lost = 0
-        self.proposal, chosen = None, Chosen(proposal.ballot, proposal.proposed_state.number)
+    def _finish(self, proposal: Proposal, state: State) -> None:
+        """Notify all who accepted that the state is chosen, and resolve its commands."""
+        self._losses = 0
+        self._proposal = None
+        chosen = Chosen(proposal.ballot, state.number)
         for ip in proposal.accept_targets():
-            if ip != self.me:
-                self.environment.send(ip, chosen)
-        self.won(proposal.proposed_state)
-        for one, outcome in zip(self.taken, self.outcomes, strict=True):
-            one.answer(outcome)
-        self.look()
+            if ip != self._context.local_ip:
+                self._context.send(ip, chosen)
+        self._on_chosen(state)
+        for pending, result in zip(self._proposed_commands, self._results, strict=True):
+            pending.resolve(result)
+        self.begin_ballot_if_due()
 
     def _give_up(self, proposal: Proposal) -> None:
-        """Lost to a higher ballot, or no majority: again after a while that differs from the others'."""
-        if proposal is not self.proposal:
+        """End a ballot that was lost or found no majority; the next begins after a random backoff."""
+        if proposal is not self._proposal:
             return
-        self.proposal, now = None, self.reactor.seconds()
-        if self._is_without_read_lease(now) or self.replica.fault is not None:
-            for one in self.orders:
-                one.answer(CommandResult(CommandStatus.UNCERTAIN))
-        rest = self.rng.uniform(0.02, min(REST_MOST_S, REST_S * 2**self.lost))
-        self.lost = min(self.lost + 1, LOST_MOST)
-        self.rest_until = now + rest
-        self.reactor.callLater(rest + 0.001, self.look)
+        self._proposal = None
+        now = self._context.now()
+        if self.is_without_read_lease(now) or self._replica.disk_error is not None:
+            for pending in self._queue:
+                pending.resolve(CommandResult(CommandStatus.UNCERTAIN))
+        longest_s = min(MAX_BACKOFF_S, BACKOFF_S * 2**self._losses)
+        backoff_s = self._context.rng.uniform(MIN_BACKOFF_S, longest_s)
+        self._losses = min(self._losses + 1, MAX_COUNTED_LOSSES)
+        self._backoff_until = now + backoff_s
+        self._context.reactor.callLater(backoff_s + BACKOFF_MARGIN_S, self.begin_ballot_if_due)
+
+
+def _log_fault(reason: Failure) -> None:
+    logger.info("unexpected exception", extra={"trace": reason.getTraceback()})
--- a/mapleline/balancer/control/replica.py
+++ b/mapleline/balancer/control/replica.py
@@ -1,244 +1,288 @@
-"""One machine's replica: its acceptor with its disk.  Nothing is answered before it is lasting."""
+"""This node's replica of the control state: its acceptor with its disk.  Nothing is answered before it is durable."""
 
 from __future__ import annotations
 
-import random
+import logging
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING
 
 from twisted.internet.defer import Deferred, succeed
 
-from ..environment import Environment
-from ..logs import say
 from ..transport.messages import Accept, Accepted, Chosen, Prepare, Promised, Reply
-from .committed_state import CommittedState
 from .consensus import Acceptor, Record, referenced_digests
+from .rollback_check import RollbackCheck
+from .snapshot import FileFault, LoadedSnapshot
 from .state import State, has_contents
 
-AGAIN_S = 1.0
-VOUCH_S = 1.0  # some questions on end: who has not answered by then is not there
+if TYPE_CHECKING:
+    from twisted.python.failure import Failure
+
+    from ..context import NodeContext
+    from .committed_state import CommittedState
+
+logger = logging.getLogger(__name__)
+
+SAVE_RETRY_DELAY_S = 1.0
+DISK_ID_BITS = 31
+NOT_DURABLE = -1  # version of a record of which nothing is on the disk yet
+
+VoteReply = Promised | Accepted
 
 
 class LocalReplica:
-    """`decided(state)` is called when what was accepted here is known to be chosen.  `seed`: without a disk, this one
-    may vote on the first core.
-    """
-
-    def __init__(
-        self,
-        reactor: Any,
-        environment: Environment,
-        me: int,
-        seed: bool,
-        rng: random.Random,
-        held: CommittedState,
-        decided: Callable[[State], None],
-    ) -> None:
-        self.reactor, self.environment, self.me, self.seed, self.rng = reactor, environment, me, seed, rng
-        self.committed, self.decided = held, decided
-        self.store = environment.snapshot_store()
-        self.acceptor: Acceptor | None = None  #: none until the identity of the disk is lasting
-        self.fault: str | None = None  #: why the disk last refused, until it takes something
-        self.is_verified = True  #: it has all that it once had, as far as the others know
-        self._vouchers: dict[int, float] = {}  #: who said so, and when
+    """The acceptor of this node, with its store; a node without a disk votes as a seed at the bootstrap alone."""
 
-    def load(self) -> State | None:
-        """What an earlier life left on the disk: the newest state that it knew to be chosen."""
-        record, contents, bad = None, {}, []
-        if self.store is not None:
-            try:
-                record, contents, bad = self.store.load()
-                if bad:
-                    self.store.quarantine()
-            except OSError as err:
-                say("archive", "disk cannot be read", error=str(err))
-            for fault in bad:
-                say("archive", "bad file", file=str(fault))
-        elif not self.seed:
-            return None
-        if record is not None and record.ip != self.me:
-            say("archive", "bad file", file="replica: another machine's, or restored from a dump")
-        if record is None or record.ip != self.me:
-            spoilt = [fault for fault in bad if not fault.is_legacy]  # that voted on no core of ours
-            self.seed = self.seed and not spoilt and record is None  # what was here may have voted on the first core
-            self._renew(record.version if record is not None else 0)
-            return None
-        self.acceptor, self.committed.contents = Acceptor(record), contents
-        self.is_verified = not any(self._others())
-        state = self.acceptor.chosen_state
-        return state if has_contents(state, contents) else None
+    def __init__(self, context: NodeContext, committed: CommittedState, on_committed: Callable[[State], None]) -> None:
+        """Create a replica that has read nothing yet.
+
+        `on_committed` is called with a state accepted here, when it is known to be chosen.
+        """
+        self._context = context
+        self._committed = committed
+        self._on_committed = on_committed
+        self._rollback_check = RollbackCheck()
+        self._may_bootstrap = context.settings.initial_start  #: may vote on the system's first state
+        self.store = context.environment.snapshot_store()
+        self.acceptor: Acceptor | None = None  #: None until the identity of the disk is durable
+        self.disk_error: str | None = None  #: why the disk refused the last save; None after one that succeeded
+        self.is_verified = True  #: the disk has all that it once had, as far as its peers know
 
     @property
-    def disk(self) -> int:
-        """The identity of the disk; 0 where there is none, or it is not lasting yet."""
+    def disk_id(self) -> int:
+        """The identity of the disk; 0 where there is none, or it is not durable yet."""
         return self.acceptor.disk if self.acceptor is not None and self.store is not None else 0
 
     @property
     def is_voter(self) -> bool:
-        state = self.committed.state
-        return bool(self.disk) and self.is_verified and state is not None and state.is_voter(self.me, self.disk)
-
-    def _renew(self, turn: int) -> None:
-        """An empty disk is another replica than whatever was here before: it has promised nothing."""
-        acceptor = Acceptor(Record(self.me, self.rng.getrandbits(31) | 1, version=turn + 1))
-        acceptor.durable_version = -1  # nothing of it is on the disk yet
-        self.acceptor, self.is_verified = None, True
+        """Whether this replica has a vote on the next state."""
+        state = self._committed.state
+        if not self.disk_id or not self.is_verified or state is None:
+            return False
+        return state.is_voter(self._context.local_ip, self.disk_id)
+
+    def promised_round(self) -> int:
+        """Return the round of the highest ballot promised here; 0 for none."""
+        return self.acceptor.record.promised.round if self.acceptor is not None else 0
+
+    def accepted_record(self) -> Record | None:
+        """Return the acceptor's record; None before the identity of the disk is durable."""
+        return self.acceptor.record if self.acceptor is not None else None
+
+    def referenced_contents(self) -> set[int]:
+        """Return the digests of the configurations that the record names."""
+        return referenced_digests(self.acceptor.record) if self.acceptor is not None else set()
+
+    # -- start -------------------------------------------------------------------------------------------------
+
+    def load(self) -> State | None:
+        """Read what an earlier incarnation left on the disk; return the newest state that it knew to be chosen."""
+        if self.store is None and not self._may_bootstrap:
+            return None
+        snapshot = self._read_store()
+        record = snapshot.record
+        if record is None or record.ip != self._context.local_ip:
+            self._reject_store(record, snapshot.faults)
+            return None
+        acceptor = Acceptor(record)
+        self.acceptor = acceptor
+        self._committed.contents = snapshot.contents
+        self.is_verified = not any(self._peer_sets(acceptor))
+        state = acceptor.chosen_state
+        return state if has_contents(state, snapshot.contents) else None
+
+    def _read_store(self) -> LoadedSnapshot:
+        snapshot = LoadedSnapshot(None, {}, [])
         if self.store is None:
-            self.acceptor = acceptor  # a seed's part in the founding
+            return snapshot
+        try:
+            snapshot = self.store.load()
+            if snapshot.faults:
+                self.store.quarantine()
+        except OSError as err:
+            logger.info("disk cannot be read", extra={"error": str(err)})
+        for fault in snapshot.faults:
+            logger.info("corrupt file", extra={"file": str(fault)})
+        return snapshot
+
+    def _reject_store(self, record: Record | None, faults: list[FileFault]) -> None:
+        """Begin as a new replica; whatever was on the disk may have voted, so it takes no part in a bootstrap."""
+        if record is not None:
+            logger.info("corrupt file", extra={"file": "replica: another machine's, or restored from a dump"})
+        # files of the legacy format cast no votes on this system's states
+        has_voted = record is not None or any(not fault.is_legacy for fault in faults)
+        self._may_bootstrap = self._may_bootstrap and not has_voted
+        self._draw_identity(record.version if record is not None else 0)
+
+    def _draw_identity(self, last_version: int) -> None:
+        """Become another replica than whatever was on this disk before: one that has promised nothing."""
+        disk_id = self._context.rng.getrandbits(DISK_ID_BITS) | 1
+        acceptor = Acceptor(Record(self._context.local_ip, disk_id, version=last_version + 1))
+        acceptor.durable_version = NOT_DURABLE
+        self.acceptor = None
+        self.is_verified = True
+        if self.store is None:
+            self.acceptor = acceptor  # a seed's part in the bootstrap
             return
 
-        def kept(_: object) -> None:
+        def adopt(_: object) -> None:
             if self.acceptor is None:
                 self.acceptor = acceptor
-                if self.committed.state is not None:
-                    self.learn(self.committed.state)
+                if self._committed.state is not None:
+                    self.learn_state(self._committed.state)
 
-        def refused(reason: Any) -> None:
-            self.refused(reason)
-            self.reactor.callLater(AGAIN_S, self._renew, turn)
+        def retry_later(reason: Failure) -> None:
+            self._handle_disk_error(reason)
+            self._context.reactor.callLater(SAVE_RETRY_DELAY_S, self._draw_identity, last_version)
 
-        self._sync(acceptor).addCallbacks(kept, refused)
+        self._save(acceptor).addCallbacks(adopt, retry_later)
 
-    def check_rollback(self, ip: int, disk: int, seen: int) -> None:
-        """Another one last heard from that disk here, and that its record had come so far; disk 0: it knows of none.
+    # -- rollback of the disk ----------------------------------------------------------------------------------
 
-        After a start nothing is promised, accepted or proposed until so many of the voters have spoken that no majority
-        with this one is without one of them; or, where these are not there, for a while after the first has.
-        """
-        if disk and disk == self.disk and seen > self.acceptor.durable_version:
-            return self._disown(seen)
-        if self.is_verified or self.acceptor is None or disk not in (0, self.disk):
+    def check_rollback(self, ip: int, disk_id: int, record_version: int) -> None:
+        """Compare this disk with what a peer last heard of it: its identity, 0 for none, and its record's version."""
+        acceptor = self.acceptor
+        if acceptor is not None and disk_id and disk_id == self.disk_id and record_version > acceptor.durable_version:
+            self._abandon_identity(acceptor, record_version)
             return
-        now, others = self.reactor.seconds(), [one for one in self._others() if one]
-        if any(ip in one for one in others):
-            self._vouchers.setdefault(ip, now)
-        heard = self._vouchers.keys()
-        enough = all(len(one & heard) > len(one) // 2 for one in others)
-        self.is_verified = enough or bool(heard) and now - min(self._vouchers.values()) > VOUCH_S
-
-    def _others(self) -> list[set[int]]:
-        """Whose word counts beside this one's, in each set that has to agree; of what was accepted where no more is
-        known; none where nothing was.
-        """
-        state = self.committed.state or self.acceptor.chosen_state or self.acceptor.accepted_state
-        sets = (state.voters, state.former) if state is not None else ()
-        return [{r.ip for r in one} - {self.me} for one in sets]
-
-    def _disown(self, seen: int) -> None:
-        """Others have heard more from this disk than is on it: an older folder was put back.  What it promised can't be
-        vouched for, so that it goes on as another replica, without a vote.
-        """
-        say("archive", "this folder is older than what it once held", seen=seen, held=self.acceptor.durable_version)
-        self.seed = False
-        self._renew(self.acceptor.record.version)
-
-    # -- the disk ------------------------------------------------------------------------------------------
+        if self.is_verified or acceptor is None or disk_id not in (0, self.disk_id):
+            return
+        now = self._context.now()
+        peer_sets = [peers for peers in self._peer_sets(acceptor) if peers]
+        if any(ip in peers for peers in peer_sets):
+            self._rollback_check.record_confirmation(ip, now)
+        self.is_verified = self._rollback_check.is_complete(now, peer_sets)
+
+    def _abandon_identity(self, acceptor: Acceptor, known_version: int) -> None:
+        """Go on as another replica, without a vote: promises made after the copy was taken are forgotten."""
+        logger.info(
+            "disk was rolled back", extra={"known_version": known_version, "version_on_disk": acceptor.durable_version}
+        )
+        self._may_bootstrap = False
+        self._draw_identity(acceptor.record.version)
 
-    def _sync(self, acceptor: Acceptor) -> Deferred:
-        """Fires once the record, as it is now, is on the disk."""
-        record = acceptor.record
+    def _peer_sets(self, acceptor: Acceptor) -> list[set[int]]:
+        """Return the other voters of each set that has to agree, by the newest state known, chosen or accepted."""
+        state = self._committed.state or acceptor.chosen_state or acceptor.accepted_state
+        if state is None:
+            return []
+        return [
+            {replica.ip for replica in voters} - {self._context.local_ip} for voters in (state.voters, state.former)
+        ]
 
-        def synced(_: object) -> None:
-            self.fault = None
-            acceptor.on_record_saved(record)
+    # -- the disk ----------------------------------------------------------------------------------------------
 
-        if self.store is None or record.version <= acceptor.durable_version and not self.fault:
-            return succeed(None).addCallback(synced)
-        contents = {
-            name: self.committed.contents[name]
-            for name in referenced_digests(record)
-            if name in self.committed.contents
-        }
-        return self.environment.run_in_thread(self.store.save, record, contents).addCallback(synced)
-
-    def keep(self) -> None:
-        """What is held goes to the disk; nothing waits for it."""
-        if self.acceptor is not None:
-            self._sync(self.acceptor).addErrback(self.refused)
-
-    def refused(self, reason: Any) -> None:
-        self.fault = reason.getErrorMessage()
-        say("archive", "disk refused", error=self.fault)
-
-    def names(self) -> set[int]:
-        """Contents that must not be forgotten."""
-        return referenced_digests(self.acceptor.record) if self.acceptor is not None else set()
+    def learn_state(self, state: State) -> None:
+        """Save a chosen state, whose contents are all here; nothing waits for the disk."""
+        if self.acceptor is not None and self.store is not None:
+            self.acceptor.learn(state)
+            self._save_in_background(self.acceptor)
 
-    def mend(self) -> None:
-        """What is held and not lasting is written again, and one file that lies still is read."""
-        acceptor, state = self.acceptor, self.committed.state
+    def repair(self) -> None:
+        """Save a committed state that is not durable yet, and check one file, which is rewritten if it is corrupt."""
+        acceptor = self.acceptor
+        state = self._committed.state
         if self.store is None or acceptor is None:
             return
         if state is not None and acceptor.durable_chosen_number < state.number:
-            self.learn(state)
+            self.learn_state(state)
+        contents = dict(self._committed.contents)
+        scrubbed = self._context.environment.run_in_thread(self.store.scrub, contents)
+        scrubbed.addCallbacks(_log_repair, self._handle_disk_error)
 
-        def scrubbed(name: str | None) -> None:
-            if name is not None:
-                say("archive", "bad file mended", file=name)
+    def _save(self, acceptor: Acceptor) -> Deferred[None]:
+        """Fire once the record, as it is now, is on the disk."""
+        record = acceptor.record
 
-        self.environment.run_in_thread(self.store.scrub, dict(self.committed.contents)).addCallbacks(
-            scrubbed, self.refused
-        )
+        def mark_durable(_: object) -> None:
+            self.disk_error = None
+            acceptor.on_record_saved(record)
 
-    # -- its part in the agreement -------------------------------------------------------------------------
+        is_durable = record.version <= acceptor.durable_version and not self.disk_error
+        if self.store is None or is_durable:
+            return succeed(None).addCallback(mark_durable)
+        committed = self._committed.contents
+        contents = {digest: committed[digest] for digest in referenced_digests(record) if digest in committed}
+        return self._context.environment.run_in_thread(self.store.save, record, contents).addCallback(mark_durable)
 
-    def votes(self) -> bool:
-        """Whether its promises may count: with a disk, or as a seed until the founding is over.  Who knows of no core,
-        and has accepted none, takes part in a founding at the first start alone: else its disk may be another.
-        """
-        acceptor, state = self.acceptor, self.committed.state
-        if acceptor is None or not self.is_verified:
-            return False
-        if state is None:
-            return self.seed or acceptor.accepted_state is not None or acceptor.chosen_state is not None
-        return self.store is not None or any(r.ip == self.me for r in state.former)
+    def _save_in_background(self, acceptor: Acceptor) -> None:
+        self._save(acceptor).addErrback(self._handle_disk_error)
 
-    def prepare(self, call: Prepare) -> Any:
-        """A promise, once it is on the disk."""
-        acceptor = self.acceptor
-        if not self.votes():
+    def _handle_disk_error(self, reason: Failure) -> None:
+        self.disk_error = reason.getErrorMessage()
+        logger.info("disk error", extra={"error": self.disk_error})
+
+    # -- votes -------------------------------------------------------------------------------------------------
+
+    def prepare(self, call: Prepare) -> Reply | Deferred[Reply]:
+        """Answer with a promise, once it is on the disk."""
+        acceptor = self._voting_acceptor()
+        if acceptor is None:
             return Promised(False, 0)
-        ok, record = acceptor.prepare(call.ballot, call.known_number), acceptor.record
-        state, body = record.accepted_state, None
+        ok = acceptor.prepare(call.ballot, call.known_number)
+        record = acceptor.record
+        state = record.accepted_state
+        body = None
         if state is not None and state.config is not None and state.config.digest != call.known_content:
-            body = self.committed.contents.get(state.config.digest)
-        reply = Promised(
-            ok, record.disk, record.promised, record.accepted_ballot, state, body, record.version if ok else 0
-        )
-        return self._answer(ok, reply, Promised(False, 0))
-
-    def accept(self, call: Accept) -> Any:
-        """A state, once it and its body are on the disk."""
-        acceptor = self.acceptor
-        if not self.votes():
+            body = self._committed.contents.get(state.config.digest)
+        version = record.version if ok else 0
+        reply = Promised(ok, record.disk, record.promised, record.accepted_ballot, state, body, version)
+        return self._reply_when_durable(acceptor, reply, Promised(False, 0))
+
+    def accept(self, call: Accept) -> Reply | Deferred[Reply]:
+        """Accept a state, once it and its body are on the disk."""
+        acceptor = self._voting_acceptor()
+        if acceptor is None:
             return Accepted(False, 0)
-        if not self.committed.add_body(call.state, call.configuration_body):
+        if not self._committed.add_body(call.state, call.configuration_body):
             return Accepted(False, acceptor.disk, needs_body=True)
-        ok, record = acceptor.accept(call.ballot, call.state), acceptor.record
-        return self._answer(
-            ok, Accepted(ok, record.disk, record.promised, record_version=record.version), Accepted(False, 0)
-        )
+        ok = acceptor.accept(call.ballot, call.state)
+        record = acceptor.record
+        reply = Accepted(ok, record.disk, record.promised, record_version=record.version)
+        return self._reply_when_durable(acceptor, reply, Accepted(False, 0))
 
-    def _answer(self, ok: bool, reply: Reply, failed: Reply) -> Any:
-        if not ok:
-            return reply
+    def handle_chosen(self, message: Chosen) -> None:
+        """Take notice that the state accepted here under a ballot is chosen."""
+        acceptor = self.acceptor
+        if acceptor is None or not acceptor.mark_chosen(message.ballot, message.state_number):
+            return
+        self._save_in_background(acceptor)
+        if acceptor.chosen_state is not None:
+            self._on_committed(acceptor.chosen_state)
 
-        def refused(reason: Any) -> Reply:
-            self.refused(reason)
-            return failed
+    def _voting_acceptor(self) -> Acceptor | None:
+        """Return the acceptor if its votes may count: with a disk, or as a seed until the bootstrap is over.
 
+        A node that knows of no state, and has accepted none, takes part in a bootstrap at its first start alone: later
+        its disk may be another one than that which voted.
+        """
         acceptor = self.acceptor
-        # what was promised under an identity that was given up meanwhile counts for nothing
-        return self._sync(acceptor).addCallbacks(lambda _: reply if acceptor is self.acceptor else failed, refused)
+        if acceptor is None or not self.is_verified:
+            return None
+        state = self._committed.state
+        if state is None:
+            may_vote = self._may_bootstrap or acceptor.accepted_state is not None or acceptor.chosen_state is not None
+        else:
+            may_vote = self.store is not None or any(replica.ip == self._context.local_ip for replica in state.former)
+        return acceptor if may_vote else None
+
+    def _reply_when_durable(
+        self, acceptor: Acceptor, reply: VoteReply, rejection: VoteReply
+    ) -> Reply | Deferred[Reply]:
+        """Return a refusal at once; a vote fires once it is on the disk, and is a rejection where that fails."""
+        if not reply.is_granted:
+            return reply
 
-    def handle_chosen(self, message: Chosen) -> None:
-        """What was accepted here under that ballot is chosen."""
-        if self.acceptor is not None and self.acceptor.mark_chosen(message.ballot, message.state_number):
-            self.keep()
-            self.decided(self.acceptor.chosen_state)
+        def confirm(_: object) -> Reply:
+            # a vote under an identity that was abandoned meanwhile counts for nothing
+            return reply if acceptor is self.acceptor else rejection
 
-    def learn(self, state: State) -> None:
-        """A chosen state, of which all is held here."""
-        if self.acceptor is not None and self.store is not None:
-            self.acceptor.learn(state)
-            self.keep()
+        def reject(reason: Failure) -> Reply:
+            self._handle_disk_error(reason)
+            return rejection
+
+        return self._save(acceptor).addCallbacks(confirm, reject)
+
+
+def _log_repair(file: str | None) -> None:
+    if file is not None:
+        logger.info("corrupt file rewritten", extra={"file": file})
--- a/mapleline/balancer/control/replica_monitor.py
+++ b/mapleline/balancer/control/replica_monitor.py
@@ -1,197 +1,223 @@
-"""Watches who votes: what each machine with a disk has said of itself, and which change of the members is due."""
+"""Watches the replicas: what each has said of itself, who coordinates, and which change of the voters is due."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING
 
 from ..membership.member import Member, MemberFlags
-from ..membership.table import MembershipTable
-from ..settings import Settings
 from ..transport.addresses import ip_from_int
-from .committed_state import CommittedState
+from .bootstrap_policy import BootstrapPolicy
 from .reconfiguration import FaultTolerance, ReplicaStatus, next_voters, tolerates_faults
-from .replica import LocalReplica
+from .replica_reports import NO_REPORT, ReplicaReport
 from .state import Replica, ReplicaId, State
 
-FRESH_S = 2.0  # what a machine said of itself longer ago does not count
-LEARNER_S = 10.0  # for which one without a vote is asked often
-NEAR = 8  # states that a learner may be behind: what it then accepts is whole
-FOUND_LEAST_S, FOUND_QUIET_S, FOUND_MOST_S = 1.5, 1.0, 5.0
+if TYPE_CHECKING:
+    from ..context import NodeContext
+    from .committed_state import CommittedState
+    from .replica import LocalReplica
+
+MAX_REPORT_AGE_S = 2.0  # an older report counts for nothing
+NEW_LEARNER_S = 10.0  # for which a replica without a vote is queried often
+MAX_LAG = 8  # states that a learner may be behind: whatever it then accepts is complete
 
 
 class ReplicaMonitor:
-    """`since()`: everything chosen before that moment is held here."""
+    """The replicas as this node knows them."""
 
     def __init__(
         self,
-        reactor: Any,
-        settings: Settings,
-        membership: MembershipTable,
-        held: CommittedState,
+        context: NodeContext,
+        committed: CommittedState,
         replica: LocalReplica,
-        since: Callable[[], float],
+        current_as_of: Callable[[], float],
     ) -> None:
-        self.reactor, self.settings, self.membership, self.committed, self.replica = (
-            reactor,
-            settings,
-            membership,
-            held,
-            replica,
-        )
-        self.current_as_of, self.me, self.started = since, membership.local_member.ip, reactor.seconds()
-        self.tolerance = FaultTolerance(settings.fault_tolerance.machine_losses, settings.fault_tolerance.zones)
-        self.lost_s = settings.protocol_bounds.contact_window + settings.protocol_bounds.catch_up
-        self.high: dict[tuple[int, int], int] = {}  #: by address and disk: the highest turn that it told
-        self.seen: dict[int, tuple[int, int, float]] = {}  #: by address: its disk, what it has kept, when it said so
-        self._learners: dict[int, float] = {}  #: without a vote, and since when this one sees to them
-        self._epoch = (0, 0.0)  #: that of the voters as they are held here, and since when
-        self._disks = (0, self.started)  #: how many were heard of, and since when so many
-
-    def record_report(self, ip: int, disk: int, turn: int, kept: int, asked: float) -> bool:
-        """What a machine with a disk says of itself; False if it has less than it once had, under the same identity."""
-        if not self.record_turn(ip, disk, turn):
-            return False  # the next question will tell it so
-        if asked >= self.seen.get(ip, (0, 0, 0.0))[2]:
-            self.seen[ip] = disk, kept, asked
+        """Create a monitor without reports.
+
+        `current_as_of` returns the moment before which every chosen state is known here.
+        """
+        self._context = context
+        self._committed = committed
+        self._replica = replica
+        self.current_as_of = current_as_of
+        tolerance = context.settings.fault_tolerance
+        bounds = context.settings.protocol_bounds
+        self.tolerance = FaultTolerance(tolerance.machine_losses, tolerance.zones)
+        self._lost_after_s = bounds.contact_window + bounds.catch_up
+        self._started_at = context.now()
+        self.highest_versions: dict[tuple[int, int], int] = {}  #: of each replica's record, by address and disk
+        self._reports: dict[int, ReplicaReport] = {}  #: the newest of each, by address
+        self._learners_since: dict[int, float] = {}  #: replicas without a vote, while this node coordinates
+        self._epoch = 0  #: of the voters as they are known here
+        self._epoch_since = 0.0
+        self.bootstrap = BootstrapPolicy(context, replica, self._reports, self._started_at)
+
+    # -- reports -----------------------------------------------------------------------------------------------
+
+    def record_report(self, ip: int, report: ReplicaReport, record_version: int) -> bool:
+        """Record what a replica says of itself; return False if its disk was rolled back."""
+        if not self.observe_record_version(ip, report.disk_id, record_version):
+            return False  # the next query to it names the version that was known
+        if report.asked_at >= self._report(ip).asked_at:
+            self._reports[ip] = report
         return True
 
-    def record_turn(self, ip: int, disk: int, turn: int) -> bool:
-        """How far the record of a machine's disk has come, as it says; False if that is less than it once was."""
-        high = self.high.get((ip, disk), 0)
-        self.high[ip, disk] = max(high, turn)
-        return turn >= high
+    def observe_record_version(self, ip: int, disk_id: int, version: int) -> bool:
+        """Note the version of a replica's record; return False if that is lower than it once was."""
+        highest = self.highest_versions.get((ip, disk_id), 0)
+        self.highest_versions[ip, disk_id] = max(highest, version)
+        return version >= highest
 
-    def known(self, ip: int) -> tuple[int, int]:
-        """The disk that is known there, and the highest turn that it told; zeros for none."""
-        disk = self.seen.get(ip, (0,))[0]
-        return disk, self.high.get((ip, disk), 0)
+    def last_known(self, ip: int) -> tuple[int, int]:
+        """Return the disk that is known at an address, and the highest version of its record; zeros for none."""
+        disk_id = self._report(ip).disk_id
+        return disk_id, self.highest_versions.get((ip, disk_id), 0)
 
-    # -- who can_propose --------------------------------------------------------------------------------------
+    def _report(self, ip: int) -> ReplicaReport:
+        return self._reports.get(ip, NO_REPORT)
+
+    # -- who proposes ------------------------------------------------------------------------------------------
 
     @property
     def can_propose(self) -> bool:
-        """Whether orders may well be passed on to this one: it has a vote, and its disk takes what it is given."""
-        return self.replica.is_voter and self.replica.fault is None
+        """Whether commands may be forwarded to this node: it has a vote, and its disk takes what it is given."""
+        return self._replica.is_voter and self._replica.disk_error is None
 
     def proposers(self, now: float) -> list[Member]:
-        """The voters that are there, in the order in which they are asked to propose."""
-        voters = set(self.committed.voter_ips())
+        """Return the voters that are alive, in the order in which they are asked to propose."""
+        voters = set(self._committed.voter_ips())
         able = [
-            m
-            for m in self.membership.alive(now, MemberFlags.HAS_DISK)
-            if m.ip in voters and (self.can_propose if m.ip == self.me else m.can_propose)
+            member
+            for member in self._context.membership.alive(now, MemberFlags.HAS_DISK)
+            if member.ip in voters and self._is_able(member)
         ]
-        staying = [m for m in able if not m.is_leaving]
-        return sorted(staying or able, key=lambda m: m.ring_position)
+        staying = [member for member in able if not member.is_leaving]
+        return sorted(staying or able, key=lambda member: member.ring_position)
+
+    def _is_able(self, member: Member) -> bool:
+        if member.ip == self._context.local_ip:
+            return self.can_propose
+        return member.can_propose
 
     def coordinator(self, now: float) -> int:
-        """Who can_propose, so that ballots do not meet: the first of those.  Only a habit: others do no harm."""
-        return next((m.ip for m in self.proposers(now)), 0)
+        """Return the address of the first proposer, so that ballots do not collide; others do no harm."""
+        return next((member.ip for member in self.proposers(now)), 0)
 
     def is_coordinator(self, now: float) -> bool:
-        """Whether this one is to see to the members."""
-        return self.replica.is_voter and self.coordinator(now) == self.me
+        """Whether this node is to see to the change of the voters."""
+        return self._replica.is_voter and self.coordinator(now) == self._context.local_ip
 
-    def learners(self, now: float) -> bool:
-        """Whether this one sees to the members, and a machine with a disk has had no vote for a little while."""
-        if not self.is_coordinator(now):
+    def has_new_learners(self, now: float) -> bool:
+        """Whether this node coordinates, and a replica has had no vote for a short while."""
+        state = self._committed.state
+        if state is None or not self.is_coordinator(now):
             return False
-        voters = {(r.ip, r.disk) for r in self.committed.state.voters}
+        voters = {(voter.ip, voter.disk) for voter in state.voters}
         learners = {
-            m.ip
-            for m in self.membership.alive(now, MemberFlags.HAS_DISK)
-            if m.ip != self.me and not m.is_leaving and (m.ip, self.seen.get(m.ip, (0,))[0]) not in voters
+            member.ip
+            for member in self._context.membership.alive(now, MemberFlags.HAS_DISK)
+            if member.ip != self._context.local_ip
+            and not member.is_leaving
+            and (member.ip, self._report(member.ip).disk_id) not in voters
         }
-        self._learners = {ip: self._learners.get(ip, now) for ip in learners}
-        return any(now - since < LEARNER_S for since in self._learners.values())
+        self._learners_since = {ip: self._learners_since.get(ip, now) for ip in learners}
+        return any(now - since < NEW_LEARNER_S for since in self._learners_since.values())
 
-    # -- changes -------------------------------------------------------------------------------------------
+    # -- changes of the voters ---------------------------------------------------------------------------------
 
-    def due(self, state: State, now: float) -> tuple[Replica, ...] | None:
-        """Other voters, if this one is to see to that."""
-        if state.epoch != self._epoch[0]:
-            self._epoch = state.epoch, now
-        if not self.is_coordinator(now) or now - self.current_as_of() > FRESH_S:
+    def due_voters(self, state: State, now: float) -> tuple[Replica, ...] | None:
+        """Return the next set of voters; None where the present one stays, or another node sees to that."""
+        if state.epoch != self._epoch:
+            self._epoch = state.epoch
+            self._epoch_since = now
+        if not self.is_coordinator(now) or now - self.current_as_of() > MAX_REPORT_AGE_S:
             return None
-        known = {r.ip: r for r in state.voters}
-        ips = known.keys() | {m.ip for m in self.membership.alive(now, MemberFlags.HAS_DISK)}
-        return next_voters(
-            state,
-            [self._seen(ip, known.get(ip), state, now) for ip in sorted(ips)],
-            self.tolerance,
-            self.lost_s,
-        )
-
-    def _seen(self, ip: int, voter: Replica | None, state: State, now: float) -> ReplicaStatus:
-        member = self.membership.members.get(ip)
-        disk, kept, at = self.seen.get(ip, (0, 0, 0.0))
-        if ip == self.me:
-            disk, kept, at = self.replica.disk, state.number, now
-        # who was let in since may be what was said before by the disk that it replaced
-        fresh = bool(disk) and now - at < FRESH_S and (at >= self._epoch[1] or ip == self.me)
-        zone = member.zone if member is not None else voter.zone
-        silent = 0.0
-        if member is None or now - member.last_heartbeat > self.membership.failure_timeout_s:
-            silent = now - max(self.started, member.last_heartbeat if member is not None else 0.0)
-        whole = fresh and kept > 0 and kept + NEAR >= state.number
-        leaving = member is not None and member.is_leaving
-        return ReplicaStatus(Replica(ip, disk, zone) if fresh or voter is None else voter, whole, leaving, silent)
-
-    def may_found(self, now: float) -> bool:
-        """The first core: every zone has shown a machine with a disk, and no other has come for a while.  The first of
-        them founds it; the others too if that takes too long.
-        """
-        disks = self.membership.alive(now, MemberFlags.HAS_DISK)
-        if len(disks) != self._disks[0]:
-            self._disks = len(disks), now
-        if not self.settings.initial_start or not self.settings.seed_nodes or not self.replica.disk or not disks:
-            return False
-        lived = now - self.started
-        if min(disks, key=lambda m: m.ring_position).ip != self.me and lived < FOUND_MOST_S:
-            return False
-        every_zone = len({m.zone for m in disks}) == len(self.settings.zones)
-        known = all(m.ip in self.seen for m in disks if m.ip != self.me)
-        quiet = now - self._disks[1] > FOUND_QUIET_S
-        return lived > FOUND_LEAST_S and quiet and known and (every_zone or lived > FOUND_MOST_S)
-
-    def first(self, now: float) -> list[Replica]:
-        """Who the first core is to be."""
-        return [
-            Replica(m.ip, self.replica.disk if m.ip == self.me else self.seen[m.ip][0], m.zone)
-            for m in self.membership.alive(now, MemberFlags.HAS_DISK)
-            if m.ip == self.me or m.ip in self.seen
-        ]
+        voters = {voter.ip: voter for voter in state.voters}
+        ips = voters.keys() | {member.ip for member in self._context.membership.alive(now, MemberFlags.HAS_DISK)}
+        statuses = [self._status(ip, voters.get(ip), state, now) for ip in sorted(ips)]
+        return next_voters(state, statuses, self.tolerance, self._lost_after_s)
+
+    def _status(self, ip: int, voter: Replica | None, state: State, now: float) -> ReplicaStatus:
+        member = self._context.membership.members.get(ip)
+        report = self._fresh_report(ip, state, now)
+        if voter is not None and report is None:
+            replica = voter
+        else:
+            disk_id = report.disk_id if report is not None else self._report(ip).disk_id
+            replica = Replica(ip, disk_id, self._zone(member, voter))
+        durable_number = report.durable_number if report is not None else 0
+        is_complete = durable_number > 0 and durable_number + MAX_LAG >= state.number
+        is_leaving = member is not None and member.is_leaving
+        return ReplicaStatus(replica, is_complete, is_leaving, self._unreachable_s(member, now))
+
+    def _fresh_report(self, ip: int, state: State, now: float) -> ReplicaReport | None:
+        """Return what is known of a replica at present; None where its report is too old to count."""
+        if ip == self._context.local_ip:
+            return ReplicaReport(self._replica.disk_id, state.number, now) if self._replica.disk_id else None
+        report = self._report(ip)
+        # a report from before the last change of the voters may be that of the disk that was replaced
+        is_fresh = now - report.asked_at < MAX_REPORT_AGE_S and report.asked_at >= self._epoch_since
+        return report if report.disk_id and is_fresh else None
+
+    @staticmethod
+    def _zone(member: Member | None, voter: Replica | None) -> int:
+        if member is not None:
+            return member.zone
+        return voter.zone if voter is not None else 0
+
+    def _unreachable_s(self, member: Member | None, now: float) -> float:
+        """Return for how long a member has not been heard of; 0 while it is alive."""
+        membership = self._context.membership
+        if member is not None and now - member.last_heartbeat <= membership.failure_timeout_s:
+            return 0.0
+        return now - max(self._started_at, member.last_heartbeat if member is not None else 0.0)
 
     def is_released(self) -> bool:
-        """Whether the core does without this one: it has no vote any more; or, where the others could then not bear a
-        loss and it keeps its vote, a majority without it holds all that is decided.
+        """Whether the others can do without this node, so that it may end.
+
+        It has no vote any more; or, where the others could not bear a loss and it keeps its vote, a majority without it
+        has the newest state on its disks.
         """
-        if not self.replica.is_voter:
+        state = self._committed.state
+        if state is None or not self._replica.is_voter:
             return True
-        state = self.committed.state
-        if tolerates_faults([r for r in state.voters if r.ip != self.me], self.tolerance):
+        local_ip = self._context.local_ip
+        remaining = [voter for voter in state.voters if voter.ip != local_ip]
+        if tolerates_faults(remaining, self.tolerance):
             return False
         return state.has_quorum(
-            {ReplicaId(ip, disk) for ip, (disk, kept, _) in self.seen.items() if ip != self.me and kept >= state.number}
+            {
+                ReplicaId(ip, report.disk_id)
+                for ip, report in self._reports.items()
+                if ip != local_ip and report.durable_number >= state.number
+            }
         )
 
-    # -- for people ----------------------------------------------------------------------------------------
-
-    def rows(self) -> list[dict[str, Any]]:
-        """Who votes and who does not, as this one knows it."""
-        now, state = self.reactor.seconds(), self.committed.state
-        alive = {m.ip: m for m in self.membership.alive(now, MemberFlags.HAS_DISK)}
-        voters = {r.ip: r for r in (state.all_voters() if state is not None else ())}
-        rows = []
-        for ip in sorted(voters.keys() | alive.keys()):
-            disk, kept, _ = self.seen.get(ip, (0, 0, 0.0))
-            if ip == self.me and self.replica.disk:
-                disk, kept = self.replica.disk, self.replica.acceptor.durable_chosen_number
-            part = "voter" if ip in voters and disk in (0, voters[ip].disk) else "learner"
-            if ip in alive and alive[ip].is_leaving:
-                part = "leaving"
-            if ip not in alive and ip != self.me:
-                part = "lost"
-            rows.append({"address": ip_from_int(ip), "part": part, "kept": kept})
-        return rows
+    # -- status ------------------------------------------------------------------------------------------------
+
+    def status_rows(self) -> list[dict[str, object]]:
+        """Return each replica's part and progress, as `GET /status` shows them."""
+        now = self._context.now()
+        state = self._committed.state
+        alive = {member.ip: member for member in self._context.membership.alive(now, MemberFlags.HAS_DISK)}
+        voters = {voter.ip: voter for voter in (state.all_voters() if state is not None else ())}
+        return [self._status_row(ip, voters.get(ip), alive.get(ip)) for ip in sorted(voters.keys() | alive.keys())]
+
+    def _status_row(self, ip: int, voter: Replica | None, member: Member | None) -> dict[str, object]:
+        report = self._report(ip)
+        disk_id = report.disk_id
+        durable_number = report.durable_number
+        is_local = ip == self._context.local_ip
+        acceptor = self._replica.acceptor
+        if is_local and self._replica.disk_id and acceptor is not None:
+            disk_id = self._replica.disk_id
+            durable_number = acceptor.durable_chosen_number
+        if member is None and not is_local:
+            part = "lost"
+        elif member is not None and member.is_leaving:
+            part = "leaving"
+        elif voter is not None and disk_id in (0, voter.disk):
+            part = "voter"
+        else:
+            part = "learner"
+        return {"address": ip_from_int(ip), "part": part, "kept": durable_number}
--- a/mapleline/balancer/heartbeats.py
+++ b/mapleline/balancer/heartbeats.py
@@ -144,4 +144,4 @@
         if heartbeat.endpoints_digest == self._endpoints.digest:
             self._endpoints.confirm(self._membership.last_merge_sent_at - list_age_s, heartbeat.endpoints_digest)
         else:
-            self._control_plane.fetch(ip, servers=True, state=False)
+            self._control_plane.fetch_endpoint_list(ip)
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -11,7 +11,8 @@
 from .configuration_applier import ConfigurationApplier
 from .context import NodeContext
 from .control.api import ControlApi
-from .control.control_plane import ControlPlane
+from .control.control_plane import ControlPlane, ControlPlaneCallbacks
+from .control.state_fetcher import NO_ENDPOINT_LIST, EndpointListCopy
 from .discovery.directory import Directory
 from .discovery.endpoint_poller import EndpointPoller
 from .discovery.endpoints import EndpointList
@@ -115,18 +116,10 @@
         return NodeContext(reactor, settings, environment, membership, rng, started_at)
 
     def _make_control_plane(self) -> ControlPlane:
-        context = self.context
-        return ControlPlane(
-            context.reactor,
-            context.settings,
-            context.environment,
-            context.membership,
-            context.rng,
-            self._on_state_committed,
-            self._on_state_learned,
-            self._export_endpoints,
-            self._import_endpoints,
+        callbacks = ControlPlaneCallbacks(
+            self._on_state_committed, self._on_state_learned, self._export_endpoints, self._import_endpoints
         )
+        return ControlPlane(self.context, callbacks)
 
     def _make_proxy(self) -> Proxy:
         context = self.context
@@ -290,11 +283,11 @@
     def _on_state_learned(self) -> None:
         self.heartbeats.notify_assigned_nodes()
 
-    def _export_endpoints(self) -> tuple[bytes, int]:
-        """Return the endpoint list as bytes and its age in ms, for another node."""
+    def _export_endpoints(self) -> EndpointListCopy:
+        """Return the endpoint list for another node."""
         if not self.endpoints.digest:
-            return b"", 0
-        return self.endpoints.body, self.endpoints.age_ms(self.context.now())
+            return NO_ENDPOINT_LIST
+        return EndpointListCopy(self.endpoints.body, self.endpoints.age_ms(self.context.now()))
 
     def _import_endpoints(self, fetched_at: float, body: bytes) -> None:
         """Take the endpoint list from another node."""
--- a/tests/balancer/test_golden_bytes.py
+++ b/tests/balancer/test_golden_bytes.py
@@ -305,8 +305,8 @@
         load = LocalReplica.load
 
         def watched_load(replica: LocalReplica) -> object:
-            loaded[replica.me] = load(replica)
-            return loaded[replica.me]
+            loaded[replica._context.local_ip] = load(replica)
+            return loaded[replica._context.local_ip]
 
         watched = mock.patch.object(LocalReplica, "load", watched_load)
         watched.start()
--- a/tests/balancer/transport/test_fencing_of_nodes.py
+++ b/tests/balancer/transport/test_fencing_of_nodes.py
@@ -193,6 +193,6 @@
         self.assertEqual(violations(), [])
         with (
             mock.patch.object(Fence, "_check_reply", return_value=None),
-            mock.patch.object(ReplicaMonitor, "record_turn", return_value=True),
+            mock.patch.object(ReplicaMonitor, "observe_record_version", return_value=True),
         ):  # either of the two defences is enough
             self.assertIs(violations()[0].rule, Rule.LOST)
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -38,13 +38,13 @@
 
     def sync(self, acceptor):
         if self.store is not None:
-            self.environment.run_in_thread(self.store.save, acceptor.record, dict(self.committed.contents)).addErrback(
-                lambda _: None
-            )
+            contents = dict(self._committed.contents)
+            saved = self._context.environment.run_in_thread(self.store.save, acceptor.record, contents)
+            saved.addErrback(lambda _: None)
         acceptor.on_record_saved(acceptor.record)
         return succeed(None)
 
-    return mock.patch(CONTROL + "replica.LocalReplica._sync", sync)
+    return mock.patch(CONTROL + "replica.LocalReplica._save", sync)
 
 
 def never_change_voters():
@@ -104,15 +104,14 @@
 def execute_commands_of_disconnected_callers():
     """Execute a command although its caller has gone to another machine."""
 
-    def submit(self, client_conn, order, body, key, version):
-        self._reply_when_decided(
-            client_conn, self.control_plane.submit_command(order, body, self._command_timeout_s), key, version
-        )
+    def submit(self, client_conn, request):
+        decided = self._control_plane.submit_command(request.command, request.body, self.command_timeout_s)
+        self.reply_when_decided(client_conn, decided, request.label)
 
     patches = contextlib.ExitStack()
     patches.enter_context(mock.patch(CONTROL + "api.ControlApi.submit", submit))
     patches.enter_context(
-        mock.patch(CONTROL + "proposer.Proposer._is_without_read_lease", lambda *_: False)
+        mock.patch(CONTROL + "proposer.Proposer.is_without_read_lease", lambda *_: False)
     )  # either is enough
     return patches
 
