--- a/tests/simulation/test_slow_start_scenarios.py
+++ b/tests/simulation/test_slow_start_scenarios.py
@@ -15,18 +15,18 @@
 from mapleline.simulation.slow_start_scenarios import SlowStartOptions, run_slow_start
 
 
-def by_view(self, one, now):
-    """Who is the first by lot in its own view sends."""
-    return crc32(one.id.encode()) in self.wanted_leases(now)
+def has_lease_by_own_view(self, instance, now):
+    """Send without a lease of the voters, as the owner by this machine's own view."""
+    return crc32(instance.id.encode()) in self.wanted_leases(now)
 
 
-def for_a_time(self, one, now):
-    """A zone that is taken back counts as cold for a while, whatever the list knows by then."""
-    return now < max(one.warming_until, self.cooling.get(one.zone, -1e9) + 2.0)
+def warms_up_for_a_fixed_time(self, instance, now):
+    """Let a zone warm up for a fixed time after its evacuation, whatever the list shows by then."""
+    return now < max(instance.warming_until, self.cooling.get(instance.zone, -1e9) + 2.0)
 
 
-def where_begun(self, before, apply=ConfigurationApplier.apply):
-    """A zone is taken back where its evacuation was known."""
+def ignore_missed_evacuations(self, before, apply=ConfigurationApplier.apply):
+    """Let a zone warm up after an evacuation only where its beginning was known."""
     emptied = set(self._proxy.evacuated_zones)
     apply(self, before)
     for zone, _ in self._control_plane.state.changed:
@@ -56,7 +56,7 @@
     def test_isolated_ingresses_do_not_each_send_to_a_warming_server(self):
         self.breaks(
             slow_start_scenarios.isolated_machines,
-            mock.patch.object(Proxy, "has_lease", by_view),
+            mock.patch.object(Proxy, "has_lease", has_lease_by_own_view),
             duration_s=5.0,
             load=8.0,
             machines_without_disk=9,
@@ -65,14 +65,14 @@
     def test_a_zone_after_its_evacuation_warms_up_until_a_list_could_show_it(self):
         self.breaks(
             slow_start_scenarios.late_endpoint_list,
-            mock.patch.object(Proxy, "is_warming_up", for_a_time),
+            mock.patch.object(Proxy, "is_warming_up", warms_up_for_a_fixed_time),
             duration_s=10.0,
         )
 
     def test_the_end_of_an_evacuation_counts_where_its_beginning_was_missed(self):
         self.breaks(
             slow_start_scenarios.withdrawal_during_restart,
-            mock.patch.object(ConfigurationApplier, "apply", where_begun),
+            mock.patch.object(ConfigurationApplier, "apply", ignore_missed_evacuations),
             duration_s=8.0,
             load=8.0,
         )
@@ -81,8 +81,8 @@
         certain = mock.patch.object(Node, "can_serve", lambda self: self.proxy.table is not None)
         self.breaks(slow_start_scenarios.evacuation_behind_a_partition, certain, duration_s=8.0, load=4.0)
         with mock.patch.object(
-            ConfigurationApplier, "apply", where_begun
-        ):  # and once it hears, it hears of the end alone
+            ConfigurationApplier, "apply", ignore_missed_evacuations
+        ):  # and once it is joined, it learns of the end alone
             self.assertTrue(
                 any(
                     self.found(slow_start_scenarios.evacuation_behind_a_partition, seed, duration_s=8.0, load=4.0)
@@ -107,7 +107,7 @@
         self.breaks(restart_under_load, mock.patch.object(proxy, "WARM_UP_MARGIN_S", 0.0), duration_s=7.0, load=3.0)
 
     def test_stacked_random_faults(self):
-        for seed in (103, 201, 323):  # broken before: by unheard evacuations, and by beats that had waited (the others)
+        for seed in (103, 201, 323):  # each broke the rule once
             self.assertEqual(self.found(slow_start_scenarios.stacked_faults, seed), [], f"seed {seed}")
 
     def test_without_faults_a_warming_server_gets_its_rate(self):
