--- a/mapleline/simulation/faults.py
+++ b/mapleline/simulation/faults.py
@@ -12,14 +12,13 @@
 from .machine import PROCESS_START_S, Machine
 from .network import LateCopies
 from .operators import SimulatedOperators
+from .platform import LIST_LAG_S
 from .servers import Server
 from .world import World
 
 GRACE_PERIOD_S = 6.0
 SLOW_START_S = 3.0
 DRAIN_S = 4.0
-LIST_LAG_S = 0.8
-"""After that the endpoint list shows a server as draining."""
 REPLACEMENT_GAP_S = 0.5
 SEEDS = 3
 FOREVER = float("inf")
@@ -193,8 +192,8 @@
         """Lose a share of the responses to operators; meanwhile no command has to be acknowledged in time."""
         now = self._world.now
         self._history.faults.append(FaultInterval(now, now + for_s, OPERATOR_RESPONSES))
-        self._world.answer_loss_rate = share
-        self._world.after(for_s, setattr, self._world, "answer_loss_rate", 0.0)
+        self._world.operator_response_loss_rate = share
+        self._world.after(for_s, setattr, self._world, "operator_response_loss_rate", 0.0)
 
     def duplicate_datagrams_late(self, for_s: float) -> None:
         """Deliver copies of some datagrams late, at times to another incarnation."""
--- a/mapleline/simulation/machine.py
+++ b/mapleline/simulation/machine.py
@@ -48,7 +48,7 @@
 
 
 def configuration_digest(configuration: Configuration) -> str:
-    """Return a digest of what a configuration says, however it was written down."""
+    """Return a digest of the contents of a configuration, whatever its formatting."""
     return f"{crc32(configuration.model_dump_json().encode()):08x}"
 
 
@@ -80,6 +80,7 @@
         """Create a machine that is not started; `number` is the last byte of its address."""
         self.world = world
         self.zone = zone
+        self.number = number
         self.name = f"{zone}-{number}"
         self.address = f"10.{world.zone_names.index(zone) + 1}.0.{number}"
         self.ip = ip_to_int(self.address)
--- a/mapleline/simulation/network.py
+++ b/mapleline/simulation/network.py
@@ -40,7 +40,7 @@
 class Network:
     """Random properties of the network, and which pairs of machines are partitioned.
 
-    All draws come from the world's generator, and each is made only where its fault is switched on: a simulated day
+    All draws come from the world's generator, and each is made only where its fault is switched on: a simulated run
     depends on the number and order of draws.
     """
 
--- a/mapleline/simulation/world.py
+++ b/mapleline/simulation/world.py
@@ -55,7 +55,7 @@
         known_machines: Those that operators know of; it lags behind.
         servers: By address.
         service_time_s: Mean service times by route, in seconds.
-        answer_loss_rate: Share of responses to operators that are lost on their way.
+        operator_response_loss_rate: Share of responses to operators that the network loses.
         observer: Gets all that crosses a machine's border.
         machine_events: What befell the control replicas.
         server_arrivals: Requests that came to servers.
@@ -81,7 +81,7 @@
         self.system_settings = SystemSettings(topology.regions, tolerated_losses, protocol_bounds)
         self.network = Network(self.rng, topology.regions)
         self.observer: Observer | None = None
-        self.answer_loss_rate = 0.0
+        self.operator_response_loss_rate = 0.0
         self.machine_events: list[MachineEvent] = []
         self.machines = self._create_machines(topology)
         self.known_machines = list(self.machines.values())
@@ -129,7 +129,7 @@
     # -- histories -----------------------------------------------------------------------------------------
 
     def observe(self, kind: ObservedKind, source: str, target: str, data: bytes) -> None:
-        """Tell the observer, if there is one, what crosses a machine's border."""
+        """Report what crosses a machine's border to the observer, if there is one."""
         if self.observer is not None:
             self.observer(self.now, kind, source, target, data)
 
@@ -159,7 +159,7 @@
 
         Its settings file names machines that operators know of now.
         """
-        numbers = [machine.ip & 0xFF for machine in self._machines_by_ip.values() if machine.zone == zone]
+        numbers = [machine.number for machine in self._machines_by_ip.values() if machine.zone == zone]
         machine = Machine(self, zone, 1 + max(numbers), has_disk)
         seeds = self.rng.sample(self.known_machines, min(SEED_COUNT, len(self.known_machines)))
         machine.seed_addresses = [seed.address for seed in seeds]
@@ -265,7 +265,7 @@
         def receive_response(status: int, body: bytes, lines: bytes) -> None:
             connections.pop(connection, None)
             self.observe("answer", machine.name, PORTS[listener], b"%d\r\n%b\r\n%b" % (status, lines, body))
-            if listener is not IngressListener.CONTROL or not self._is_answer_lost():
+            if listener is not IngressListener.CONTROL or not self._is_operator_response_lost():
                 self.after(IN_ZONE_DELAY_S, on_response, status, body, lines)
 
         connection = ClientConnection(receive_response, machine.reactor)
@@ -279,8 +279,8 @@
         machine.reactor.run(handlers[listener], connection, _parsed(request))
         return connection
 
-    def _is_answer_lost(self) -> bool:
-        return self.answer_loss_rate > 0 and self.rng.random() < self.answer_loss_rate
+    def _is_operator_response_lost(self) -> bool:
+        return self.operator_response_loss_rate > 0 and self.rng.random() < self.operator_response_loss_rate
 
     def _observe_request(self, machine: Machine, request: ClientRequest) -> None:
         head = repr((request.method, request.path, dict(request.headers))).encode()
--- a/tests/simulation/test_behaviour_digest.py
+++ b/tests/simulation/test_behaviour_digest.py
@@ -1,4 +1,4 @@
-"""The digest of behaviour: what crosses a machine's border in simulated days is what it was, bit for bit."""
+"""The digest of behaviour: what crosses a machine's border in simulated runs is what it was, bit for bit."""
 
 import json
 import unittest
@@ -9,11 +9,11 @@
 from mapleline.simulation.behaviour_digest import measure
 
 APPROVED = Path(__file__).parent / "approved" / "behaviour.json"
-DAYS = json.loads(APPROVED.read_text())
+APPROVED_RUNS = json.loads(APPROVED.read_text())
 
 
 class TestBehaviour(unittest.TestCase):
-    @params(*DAYS)
+    @params(*APPROVED_RUNS)
     def test_digest_of_an_approved_seed_is_unchanged(self, approved):
         measured = measure(approved["seed"], approved["grown"])
         self.assertEqual(measured.to_json(), approved)
