--- a/mapleline/balancer/control/audit_log.py
+++ b/mapleline/balancer/control/audit_log.py
@@ -23,7 +23,7 @@
 FILE_NAME = "history.sqlite"
 UNREADABLE_SUFFIX = ".bad"
 
-#: Rows that are kept of each table; of the changes, those without a body count too.
+#: Rows that stay in each table; of the changes, those without a body count too.
 MAX_COMMANDS = 1000
 MAX_CHANGES = 2000
 
--- a/mapleline/balancer/control/committed_state.py
+++ b/mapleline/balancer/control/committed_state.py
@@ -1,4 +1,4 @@
-"""The newest state that a node knows to be chosen, and the configurations it holds (pure)."""
+"""The newest state that a node knows to be chosen, and the configurations it has stored (pure)."""
 
 from __future__ import annotations
 
@@ -36,23 +36,23 @@
         return self.contents.get(self.digest)
 
     def add_body(self, state: State, body: bytes | None) -> bool:
-        """Keep a body that came with a state, if it is the one that the state references.
+        """Store a body that came with a state, if it is the one that the state references.
 
         Returns:
-            Whether the body that the state references is held now.
+            Whether the body that the state references is stored now.
         """
         if body is not None and state.config is not None and content_digest(body) == state.config.digest:
             self.contents[state.config.digest] = body
         return has_contents(state, self.contents)
 
     def is_newer(self, state: State) -> bool:
-        """Return whether a chosen state is of this system and newer than the one held."""
+        """Return whether a chosen state is of this system and newer than the committed one."""
         return self.state is None or state.number > self.state.number and state.system == self.state.system
 
     def prune_contents(self, referenced: Iterable[int]) -> None:
         """Drop all bodies but the one in force and those of the given digests."""
-        kept = {*referenced, self.digest}
-        self.contents = {digest: body for digest, body in self.contents.items() if digest in kept}
+        retained = {*referenced, self.digest}
+        self.contents = {digest: body for digest, body in self.contents.items() if digest in retained}
 
     def voter_ips(self) -> list[int]:
         """Return the addresses of all voters, ascending; none where no state is known."""
--- a/mapleline/balancer/control/read_lease.py
+++ b/mapleline/balancer/control/read_lease.py
@@ -1,9 +1,9 @@
-"""The read lease: until when a node is certain to hold the newest chosen state (pure; times are arguments).
+"""The read lease: since when a node is certain to know the newest chosen state (pure; times are arguments).
 
 Ages on the steady clock, never times of day.  A node answers for the system only after contact with a majority: each
-of more than half of the voters, asked at some moment, had accepted nothing beyond the state held here.  Whatever was
-chosen before the oldest of these moments is held here, since the first state chosen after it stands on a majority of
-the same voters, one of which answered and would have shown it (docs/design/control.md, point 1).
+of more than half of the voters, asked at some moment, had accepted nothing beyond the state committed here.  Whatever
+was chosen before the oldest of these moments is committed here, since the first state chosen after it stands on a
+majority of the same voters, one of which answered and would have shown it (docs/design/control.md, point 1).
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
         self._relayed_since = NEVER
 
     def on_agreement(self, replica_id: ReplicaId, asked_at: float) -> None:
-        """Take in that a replica, asked at that time, had accepted nothing beyond the state held here now."""
+        """Take in that a replica, asked at that time, had accepted nothing beyond the state committed here now."""
         self._asked_at[replica_id] = max(asked_at, self._asked_at.get(replica_id, NEVER))
 
     def on_relayed_lease(self, asked_at: float, age_s: float) -> None:
-        """Take in that another node, asked at that time, held nothing newer and a lease of that age.
+        """Take in that another node, asked at that time, knew nothing newer and had a lease of that age.
 
         The age counts from the question, as the answer was given no earlier.
         """
--- a/mapleline/balancer/control/snapshot.py
+++ b/mapleline/balancer/control/snapshot.py
@@ -263,7 +263,7 @@
         self._record = record
 
     def _remove(self, names: Iterable[str]) -> None:
-        """Remove files that nothing references; one that can't be removed is tried again at the next save."""
+        """Remove files that nothing references; one that can't be removed is retried at the next save."""
         for name in sorted(names):
             try:
                 os.unlink(self.folder / name)
@@ -279,7 +279,7 @@
         with self._lock:
             quarantine = self.folder.with_name(QUARANTINE_FOLDER)
             legacy = self.folder.with_name(migration.LEGACY_FOLDER)
-            shutil.rmtree(quarantine, ignore_errors=True)  # only the newest is kept: they must not fill the disk
+            shutil.rmtree(quarantine, ignore_errors=True)  # only the newest stays: they must not fill the disk
             for name in sorted(os.listdir(self.folder)):
                 target = legacy if migration.is_legacy_file(name) else quarantine
                 make_folder(target)
@@ -301,7 +301,7 @@
             if self._is_intact(name, record_body):
                 return None
             body = record_body if name == RECORD_FILE else contents.get(int(name.removeprefix(CONTENT_PREFIX), 16))
-            if body is None:  # newer states are held, and their record did not come to the disk yet
+            if body is None:  # newer states are committed, and their record is not on the disk yet
                 raise OSError(errno.EIO, f"{name} went bad, and its body is not held any more")
             write_file(self.folder / name, body)
             return name
--- a/mapleline/balancer/control/state.py
+++ b/mapleline/balancer/control/state.py
@@ -1,4 +1,4 @@
-"""The replicated state, one small value that each change replaces as a whole, and its transitions (pure).
+"""The replicated state, one small value that each change replaces entirely, and its transitions (pure).
 
 A state says who votes on the next one, which configuration is in force, which zones are evacuated, and which content
 each version number stands for.  Bodies of configurations are referenced by their digest and travel beside the state.
