--- a/tests/balancer/control/consensus_model/convergence.py
+++ b/tests/balancer/control/consensus_model/convergence.py
@@ -30,10 +30,9 @@
         for node in world.running_nodes():
             while node.pending_saves:
                 node.finish_save(0, True)
-        arriving = [message for message in world.wire if message.link not in world.cut_links]
+        arriving = world.network.take_arriving()
         if not arriving:
             return
-        world.wire = [message for message in world.wire if message.link in world.cut_links]
         for message in arriving:
             message.deliver()
     raise AssertionError("it never comes to rest")
@@ -65,7 +64,7 @@
 
 def heal_and_converge(world):
     """End all faults; raises AssertionError where the nodes do not come together and go on."""
-    world.cut_links = set()
+    world.network.heal()
     for ip in list(world.machines):
         world.start(ip)
     for node in world.running_nodes():
--- a/tests/balancer/control/consensus_model/directed_histories.py
+++ b/tests/balancer/control/consensus_model/directed_histories.py
@@ -5,8 +5,9 @@
 from mapleline.balancer.control.commands import SetEvacuation
 
 from .convergence import deliver_all, founded_world, run_round
+from .network import Link
 from .quorums import check_quorums
-from .world import Link, World
+from .world import World
 
 
 def first(choices):
@@ -18,10 +19,10 @@
     """1 is cut off, 4 and 5 come in, 1 and 2 go; then 1, which knows 1, 2, 3 alone, has a command."""
     world = founded_world()
     for ip in (2, 3, 9):
-        world.cut_off(1, ip, True)
+        world.network.cut_off(1, ip, True)
     for ip in (4, 5):
         world.add_machine()
-        world.cut_off(1, ip, True)
+        world.network.cut_off(1, ip, True)
         for _ in range(6):
             run_round(world)
     world.want_voters(3, [3, 4, 5])
@@ -29,10 +30,10 @@
     world.run_ballot(3, True, [2, 3, 4, 5], [2, 3, 4, 5], first)
     assert [voter.ip for voter in world.newest_chosen.voters] == [3, 4, 5]
     assert not world.newest_chosen.former
-    world.wire = []
+    world.network.lose_all()
     world.replace_configuration(3, 0, 0)
     world.run_ballot(3, False, [4, 5], [4, 5], first)
-    world.cut_links = set()
+    world.network.heal()
     world.replace_configuration(1, 0, 0)
     for _ in range(3):
         world.run_ballot(1, False, [2], [3, 4, 5], first)
@@ -48,8 +49,8 @@
     world.run_ballot(2, True, [3], [3], first)
     assert world.newest_chosen.config == (1, 103)
     # the message that the other's is chosen
-    world.wire = [message for message in world.wire if message.link == Link(2, 1)][-1:]
-    world.deliver(0)
+    world.network.wire = [message for message in world.network.wire if message.link == Link(2, 1)][-1:]
+    world.network.deliver(0)
     world.replace_configuration(3, 0, 0)
     for _ in range(2):
         world.run_ballot(3, True, [1, 2], [1, 2], first, is_own_disk_slow=True)
@@ -62,7 +63,7 @@
     world.replace_configuration(1, 0, 0)
     world.submit(1, SetEvacuation("a", True))
     world.run_ballot(1, True, [2], [], first)
-    world.wire = []
+    world.network.lose_all()
     world.node(2).query(1)
     world.run(first, 9)
     world.replace_configuration(2, 0, 1)
@@ -70,7 +71,7 @@
         world.run_ballot(2, True, [3], [1, 3], first)
     assert world.machines[1].disk.record.accepted_state == world.newest_chosen
     assert world.newest_chosen.number == 3
-    world.wire = []
+    world.network.lose_all()
     world.crash(3, 0)
     for ip in (1, 2):
         world.node(2).query(ip)
@@ -87,7 +88,7 @@
     """3 has founded the system with the votes of 2, and 1 knows nothing of it; then 2 loses its disk."""
     world = World(0)
     for ip in (2, 3, 9):
-        world.cut_off(1, ip, True)
+        world.network.cut_off(1, ip, True)
     deliver_all(world)
     for _ in range(2):
         world.node(3).proposer.propose_if_due(True)
@@ -103,7 +104,7 @@
 
 
 def _found_again(world):
-    world.cut_links = {Link(1, 3), Link(3, 1), Link(2, 3), Link(3, 2)}
+    world.network.cut_links = {Link(1, 3), Link(3, 1), Link(2, 3), Link(3, 2)}
     for _ in range(2):
         world.node(1).proposer.propose_if_due(True)
         deliver_all(world)
--- a/tests/balancer/control/consensus_model/mutants.py
+++ b/tests/balancer/control/consensus_model/mutants.py
@@ -26,9 +26,9 @@
 
 from . import node as node_module
 from . import proposer as proposer_module
+from .disk_faults import DiskFaults
 from .node import BODY, Node
 from .proposer import ModelProposer
-from .world import World
 
 ANSWER_DELAY_S = 0.3
 
@@ -59,7 +59,7 @@
     next_state = ModelProposer.next_state
     begin = ModelProposer.begin
     send_accept = ModelProposer.send_accept
-    wipe = World.wipe
+    wipe = DiskFaults.wipe
 
 
 # -- quorums and leases --
@@ -248,7 +248,7 @@
 
 
 def _wipe_keeps_identity(self, ip):
-    disk = self.machines[ip].disk
+    disk = self.world.machines[ip].disk
     record = disk.record if disk is not None else None
     Original.wipe(self, ip)
     if record is not None and disk.record is None:
@@ -296,7 +296,7 @@
         Patch(proposer_module, "begin_reconfiguration", _reconfigure_again),
         Patch(proposer_module, "next_voters", _next_voters_again),
     ],
-    "a wiped disk keeps its identity": [Patch(World, "wipe", _wipe_keeps_identity)],
+    "a wiped disk keeps its identity": [Patch(DiskFaults, "wipe", _wipe_keeps_identity)],
     "another disk counts at once": [Patch(Replica, "matches", _matches_any_disk)],
     "an older folder is believed": [Patch(Node, "on_query", _believe_older_folder)],
     "the highest content wins": [Patch(commands, "replace_configuration", _highest_content_wins)],
--- a/tests/balancer/control/consensus_model/node.py
+++ b/tests/balancer/control/consensus_model/node.py
@@ -181,7 +181,9 @@
 
     def on_query(self, ip, query):
         if self.is_rolled_back(query):
-            assert (self.ip, self.acceptor.disk) in self.world.rolled_back, f"{self.ip} gives its disk up without cause"
+            assert (self.ip, self.acceptor.disk) in self.world.disk_faults.rolled_back, (
+                f"{self.ip} gives its disk up without cause"
+            )
             # what was here may have voted on the first voters
             self.is_initial_start = self.machine.is_initial_start = False
             self.draw_identity()
--- a/tests/balancer/control/consensus_model/random_history.py
+++ b/tests/balancer/control/consensus_model/random_history.py
@@ -55,7 +55,7 @@
         if self.random.random() < 0.4:  # and one machine that has heard nothing of it
             isolated = self.disk_ip()
             for ip in self.world.machines:
-                self.world.cut_off(isolated, ip, True)
+                self.world.network.cut_off(isolated, ip, True)
         for _ in range(4):
             run_round(self.world)
 
@@ -117,22 +117,22 @@
         self.world.run(self.random.randrange, self.random.choice([1, 3, 10, 30, 100]))
 
     def lose(self):
-        self.world.lose(self.random.randrange(LARGE_INDEX))
+        self.world.network.lose(self.random.randrange(LARGE_INDEX))
 
     def double(self):
-        self.world.deliver(self.random.randrange(LARGE_INDEX), is_kept=True)
+        self.world.network.deliver(self.random.randrange(LARGE_INDEX), is_kept=True)
 
     def cut(self):
         ip = self.any_ip()
         if self.random.random() < 0.4:  # one alone, or a part
             ips = list(self.world.machines)
             for other in self.sample(ips, self.random.randrange(1, len(ips))):
-                self.world.cut_off(ip, other, True)
+                self.world.network.cut_off(ip, other, True)
         else:
-            self.world.cut_off(ip, self.any_ip(), self.random.random() < 0.5)
+            self.world.network.cut_off(ip, self.any_ip(), self.random.random() < 0.5)
 
     def heal(self):
-        self.world.cut_links = set()
+        self.world.network.heal()
 
     def pass_time(self):
         self.world.now += self.random.choice([0.05, 0.6, 3.0])
@@ -241,10 +241,10 @@
                 self.world.start(ip)
 
     def wipe(self):
-        self.world.wipe(self.disk_ip())
+        self.world.disk_faults.wipe(self.disk_ip())
 
     def restore(self):
-        self.world.restore(self.disk_ip(), self.random.randrange(99))
+        self.world.disk_faults.restore(self.disk_ip(), self.random.randrange(99))
 
     def leave(self):
         self.world.leave(self.disk_ip())
--- a/tests/balancer/control/consensus_model/state_machine.py
+++ b/tests/balancer/control/consensus_model/state_machine.py
@@ -62,9 +62,9 @@
     @rule(nth=indices, lost=booleans())
     def deliver(self, nth, lost):
         if lost:
-            self.world.lose(nth)
+            self.world.network.lose(nth)
         else:
-            self.world.deliver(nth, is_kept=True)
+            self.world.network.deliver(nth, is_kept=True)
 
     @rule(at=machines, left=integers(0, 3), back=booleans())
     def crash(self, at, left, back):
@@ -75,17 +75,17 @@
     @rule(at=disks, nth=indices, wiped=booleans())
     def lose_disk(self, at, nth, wiped):
         if wiped:
-            self.world.wipe(at)
+            self.world.disk_faults.wipe(at)
         else:
-            self.world.restore(at, nth)
+            self.world.disk_faults.restore(at, nth)
         self.world.start(at)
 
     @rule(one=machines, other=machines, both=booleans())
     def cut(self, one, other, both):
         if one != other:
-            self.world.cut_off(one, other, both)
+            self.world.network.cut_off(one, other, both)
         else:
-            self.world.cut_links.clear()
+            self.world.network.cut_links.clear()
 
     @rule(passed=sampled_from([0.05, 0.6, 3.0]))
     def time_passes(self, passed):
--- a/tests/balancer/control/consensus_model/world.py
+++ b/tests/balancer/control/consensus_model/world.py
@@ -5,17 +5,18 @@
 from contextlib import suppress
 from dataclasses import dataclass
 from itertools import count
-from typing import NamedTuple
 
 from mapleline.balancer.control.commands import ReplaceConfiguration
 from mapleline.balancer.control.reconfiguration import FaultTolerance
 from mapleline.balancer.control.state import Replica
 from mapleline.balancer.transport.messages import Chosen, StateQuery, StateReport
 
+from .disk_faults import DiskFaults
 from .invariants import Invariants
 from .machine import Machine
+from .network import Network
 from .node import Node
-from .proposer import LOST_AFTER_S, QUERY_INTERVAL_S
+from .proposer import LOST_AFTER_S
 
 START_S = 10.0
 STEP_S = 0.001
@@ -51,29 +52,12 @@
 )
 
 
-class Link(NamedTuple):
-    """A direction between two addresses."""
-
-    source: int
-    destination: int
-
-
-class InFlight(NamedTuple):
-    """A message on its way."""
-
-    link: Link
-    deliver: object  #: called without arguments
-
-
 class World:
-    """Time moves by steps alone; what is on its way lies in `wire` until the search takes it.
+    """Time moves by steps alone; what happens, and in which order, is the search's.
 
     Attributes:
         now: seconds.
-        wire: messages on their way, oldest first.
-        cut_links: directions in which nothing arrives.
         version: the highest version of a configuration that an operator has sent.
-        rolled_back: disks that were put back to an older day, and the version of the record that others remember.
     """
 
     def __init__(self, topology=0):
@@ -83,15 +67,13 @@
         self.tolerance = FaultTolerance(self.machine_losses, 1)
         self.now = START_S
         self.version = 0
-        self.wire = []
-        self.cut_links = set()
+        self.network = Network()
         self.nonces = count(1)
         self.disk_ids = count(1)
         self.system_ids = count(1)
         self.invariants = Invariants(self)
-        self.rolled_back = {}
+        self.disk_faults = DiskFaults(self)
         self._spare_ips = list(self.topology.spares)
-        self._disk_lost_at = {}
         self.machines = {ip: self._first_machine(ip) for ip in (*self.topology.disks, *self.topology.readers)}
         for machine in self.machines.values():
             machine.node = Node(self, machine)
@@ -114,7 +96,7 @@
     # -- messages --
 
     def send(self, source, destination, message):
-        self.wire.append(InFlight(Link(source, destination), lambda: self._receive(source, destination, message)))
+        self.network.add(source, destination, lambda: self._receive(source, destination, message))
 
     def _receive(self, source, destination, message):
         node = self.node(destination)
@@ -137,7 +119,7 @@
                 on_reply(reply)
 
         def answer(reply):
-            self.wire.append(InFlight(Link(destination, source), lambda: receive_reply(reply)))
+            self.network.add(destination, source, lambda: receive_reply(reply))
 
         def receive_call():
             node = self.node(destination)
@@ -145,23 +127,7 @@
                 node.on_call(message, answer)
 
         if destination in self.machines:
-            self.wire.append(InFlight(Link(source, destination), receive_call))
-
-    def deliver(self, index, is_kept=False):
-        """Deliver one message; with `is_kept` it will arrive once more."""
-        if not self.wire:
-            return
-        index %= len(self.wire)
-        message = self.wire[index]
-        if message.link in self.cut_links:
-            return
-        if not is_kept:
-            del self.wire[index]
-        message.deliver()
-
-    def lose(self, index):
-        if self.wire:
-            del self.wire[index % len(self.wire)]
+            self.network.add(source, destination, receive_call)
 
     def finish_save(self, index, is_written=True):
         """Return from one of the saves under way."""
@@ -174,13 +140,13 @@
         """So many deliveries and saves, in the order that `draw(n)` gives as indices below n."""
         for _ in range(steps):
             saves = sum(len(node.pending_saves) for node in self.running_nodes())
-            if not self.wire and not saves:
+            if not self.network.wire and not saves:
                 return
-            index = draw(len(self.wire) + saves)
-            if index < len(self.wire):
-                self.deliver(index)
+            index = draw(len(self.network.wire) + saves)
+            if index < len(self.network.wire):
+                self.network.deliver(index)
             else:
-                self.finish_save(index - len(self.wire))
+                self.finish_save(index - len(self.network.wire))
             self.now += STEP_S
 
     def run_ballot(self, ip, is_coordinator, prepare_ips, accept_ips, draw, is_own_disk_slow=False):
@@ -189,15 +155,16 @@
         if node is None:
             return
         node.proposer.proposal = None
-        start = len(self.wire)
+        wire = self.network.wire
+        start = len(wire)
         node.proposer.propose_if_due(is_coordinator)
         proposal = node.proposer.proposal
         for _ in range(MAX_BALLOT_STEPS if proposal is not None else 0):
             reached = {ip, *(prepare_ips if proposal.proposed_state is None else accept_ips)}
             self._finish_first_saves(reached - {ip} if is_own_disk_slow else reached)
-            able = [index for index in range(start, len(self.wire)) if self._is_of_ballot(index, ip, reached)]
+            able = [index for index in range(start, len(wire)) if self._is_of_ballot(index, ip, reached)]
             if able:
-                self.wire.pop(able[draw(len(able))]).deliver()
+                wire.pop(able[draw(len(able))]).deliver()
             self.now += STEP_S
 
     def _finish_first_saves(self, ips):
@@ -207,22 +174,15 @@
                 node.finish_save(0, True)
 
     def _is_of_ballot(self, index, ip, reached):
-        link = self.wire[index].link
-        return ip in link and reached.issuperset(link) and link not in self.cut_links
-
-    # -- partitions --
-
-    def cut_off(self, ip, other, both_directions):
-        if ip != other:
-            links = {Link(ip, other), Link(other, ip)} if both_directions else {Link(ip, other)}
-            self.cut_links |= links
+        link = self.network.wire[index].link
+        return ip in link and reached.issuperset(link) and link not in self.network.cut_links
 
     def reachable_ips(self, ip):
         """Whom that machine hears of."""
         return [
             other
             for other, machine in self.machines.items()
-            if machine.node is not None and not {Link(other, ip), Link(ip, other)} & self.cut_links
+            if machine.node is not None and not self.network.is_cut(ip, other)
         ]
 
     def unreachable_s(self, ip, other):
@@ -261,65 +221,7 @@
         machine = self.machines[ip]
         if machine.node is None and not machine.is_removed:
             machine.node = Node(self, machine)
-            self._reveal_rollback(machine)
-
-    def _reveal_rollback(self, machine):
-        """One that remembers more asks first: until then nobody could tell."""
-        disk = machine.disk.record.disk if machine.disk is not None and machine.disk.record is not None else 0
-        if (machine.ip, disk) in self.rolled_back:
-            query = StateQuery(0, disk, self.rolled_back[machine.ip, disk])
-            machine.node.on_query(next(iter(self.machines)), query)
-
-    def is_present(self, replica):
-        """Whether that disk still is what it was."""
-        machine = self.machines.get(replica.ip)
-        if machine is None or machine.is_removed or machine.disk is None or machine.disk.record is None:
-            return False
-        return machine.disk.record.disk == replica.disk and (replica.ip, replica.disk) not in self.rolled_back
-
-    def take_disk_loss(self, ip):
-        """Whether that machine's disk may be lost now; if so, it is noted as lost.
-
-        No more than are to be tolerated at once, each until it is replaced in all that is chosen or may be, and until
-        nobody takes its old disk for a new voter.
-        """
-        newest = self.newest_chosen
-        if newest is None or newest.epoch < 2 or len(newest.voters) <= 2 * self.machine_losses:
-            return False
-        undecided = (link.state for link in self.invariants.proposed.values() if link.state.number > newest.number)
-        recent = {lost for lost, when in self._disk_lost_at.items() if self.now - when < 3 * QUERY_INTERVAL_S}
-        for state in (newest, *undecided):
-            for voters in (state.voters, state.former):
-                lost = recent | {ip} | {voter.ip for voter in voters if not self.is_present(voter)}
-                lost_voters = lost & {voter.ip for voter in voters}
-                if len(lost) > self.machine_losses or voters and 2 * len(lost_voters) >= len(voters):
-                    return False
-        self._disk_lost_at[ip] = self.now
-        return True
-
-    def wipe(self, ip):
-        machine = self.machines[ip]
-        if machine.disk is not None and self.take_disk_loss(ip):
-            self.crash(ip, 0)
-            machine.disk.record = None
-            machine.disk.contents = set()
-            machine.is_initial_start = False
-
-    def restore(self, ip, index):
-        """A folder is put back from an older day, or from before it was lost; the first to ask remembers more."""
-        machine = self.machines[ip]
-        if machine.disk is None or machine.disk.record is None or not self.take_disk_loss(ip):
-            return
-        history = machine.disk.history
-        record, contents = history[index % len(history)]
-        others = [node for node in self.running_nodes() if node.ip != ip]
-        remembered = max((node.highest_versions.get((ip, record.disk), 0) for node in others), default=0)
-        if record.version < remembered:
-            self.crash(ip, 0)
-            machine.disk.record = record
-            machine.disk.contents = contents
-            self.rolled_back[ip, record.disk] = remembered
-            self.start(ip)
+            self.disk_faults.reveal_rollback(machine)
 
     def add_machine(self):
         if self._spare_ips:
@@ -336,7 +238,7 @@
         if not machine.is_leaving:
             staying = [m for m in self.machines.values() if m.disk and not m.is_removed and not m.is_leaving]
             machine.is_leaving = len(staying) > 2 * self.machine_losses + 1
-        elif self._is_released(node) and self.take_disk_loss(ip):
+        elif self._is_released(node) and self.disk_faults.take_loss(ip):
             self.crash(ip, 0)
             machine.is_removed = True
 
@@ -378,7 +280,7 @@
         disks = {
             other: report.disk
             for other, report in node.reports.items()
-            if report.disk and report.durable_number and self.is_present(Replica(other, report.disk))
+            if report.disk and report.durable_number and self.disk_faults.is_present(Replica(other, report.disk))
         }
         disks[ip] = node.acceptor.disk
         if all(voter_ip in disks for voter_ip in voter_ips):
