--- a/mapleline/balancer/cli/data_folder.py
+++ b/mapleline/balancer/cli/data_folder.py
@@ -1,6 +1,6 @@
 """The control state in a stopped machine's data folder: check, dump and restore.
 
-Folders of the earlier format are read as well, for what they hold has to be sent anew (docs/system/control.md).
+Folders of the earlier format are read as well, for what they hold has to be sent anew (docs/balancer/control-plane.md).
 """
 
 from __future__ import annotations
--- a/mapleline/balancer/control/commands.py
+++ b/mapleline/balancer/control/commands.py
@@ -16,7 +16,7 @@
 
 
 class CommandStatus(IntEnum):
-    """The outcome of a command, as the HTTP status of the operator's call (docs/system/control.md)."""
+    """The outcome of a command, as the HTTP status of the operator's call (docs/balancer/control-plane.md)."""
 
     DONE = 200
     CONFLICT = 409
--- a/mapleline/balancer/control/migration.py
+++ b/mapleline/balancer/control/migration.py
@@ -1,7 +1,7 @@
 """Reads the folder of the earlier format, in which each register had a file; nothing is written.
 
 What lies there was confirmed by other rules than those of today, so it is no state of a replica: the operator sends
-the configuration anew (docs/system/control.md).
+the configuration anew (docs/balancer/control-plane.md).
 """
 
 from __future__ import annotations
--- a/mapleline/simulation/invariants/control_state.py
+++ b/mapleline/simulation/invariants/control_state.py
@@ -1,6 +1,6 @@
 """Invariants on the replicated control state: one content a version, idempotent commands, nothing rejected in force.
 
-The rules are those of docs/system/laboratory.md; RULES.md has them under CONFIG, LOST and "Duty".
+The rules are those of docs/balancer/simulation.md; RULES.md has them under CONFIG, LOST and "Duty".
 """
 
 from __future__ import annotations
--- a/mapleline/simulation/invariants/rules.py
+++ b/mapleline/simulation/invariants/rules.py
@@ -7,7 +7,7 @@
 
 
 class Rule(StrEnum):
-    """The name of a rule: those of RULES.md, and those of docs/system/laboratory.md on the control side."""
+    """The name of a rule: those of RULES.md, and those of docs/balancer/simulation.md on the control side."""
 
     UNASKED = "UNASKED"
     TWICE = "TWICE"
