--- a/tests/simulation/history_builder.py
+++ b/tests/simulation/history_builder.py
@@ -7,8 +7,10 @@
     REPLACE_PATH,
     Acknowledged,
     Acknowledgement,
+    ClientAttempt,
     ConfigurationSample,
     ContactSample,
+    DeliveredRequest,
     History,
     OperatorCommand,
     OperatorResponse,
@@ -28,7 +30,9 @@
 
     def __init__(self, isolated=(), since=0.0, until=END_S, connected=None, voters=None):
         """`isolated`: machines without contact in that time; `connected`, `voters`: instead of all replicas."""
-        self.history = History(Bounds(), {"z1": "r"}, ended_at=END_S)
+        self.history = History(Bounds(), {"z1": "r", "z2": "r2"}, ended_at=END_S)
+        self.history.services["idempotent"] = {"s1"}
+        self.history.services["upload"] = {"s1"}
         connected = REPLICAS if connected is None else connected
         for index in range(int(END_S * SAMPLES_PER_S)):
             at = index / SAMPLES_PER_S
@@ -69,6 +73,25 @@
         self.history.replica_events.append(MachineEvent(at, name, kind))
         return self
 
+    def request(self, id, at, kind="upload", tenant="t1", status=200, stamp="i1"):
+        """Add an attempt of a client that ended 0.1 s after it was sent."""
+        attempt = ClientAttempt(id, kind, tenant, f"{tenant}-key", "z1", at, status, at + 0.1, stamp)
+        self.history.attempts[id] = attempt
+        return self
+
+    def arrival(self, id, at, server="i1", zone="z1", service="s1", took_s=0.01):
+        """Add an arrival at a server."""
+        self.history.arrivals.append(self._delivered(id, at, "t1", server, zone, service, took_s))
+        return self
+
+    def run(self, id, at, tenant="t1", server="i1", service="s1"):
+        """Add a run at a server."""
+        self.history.runs.append(self._delivered(id, at, tenant, server, "z1", service, 0.01))
+        return self
+
+    def _delivered(self, id, at, tenant, server, zone, service, took_s):
+        return DeliveredRequest(at, at + took_s, id, tenant, "m5", server, service, zone)
+
 
 class InvariantTestCase(unittest.TestCase):
     def rules_broken(self, builder):
