--- a/mapleline/balancer/control/audit_recorder.py
+++ b/mapleline/balancer/control/audit_recorder.py
@@ -7,7 +7,7 @@
 
 import logging
 from collections.abc import Callable, Iterator, Mapping
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from .audit_log import CONFIG_KEY
 
@@ -61,11 +61,11 @@
                 self._audit_log.record_command, self._environment.unix_time(), key, version, is_acknowledged, took_s
             )
 
-    def read(self, query: Callable[[AuditLog], object]) -> Deferred[Any]:
+    def read(self, query: Callable[[AuditLog], object]) -> Deferred[object]:
         """Fire with the result of a query on the audit log; with None where the disk refuses."""
         return self._run(query, self._audit_log)
 
-    def _run(self, work: Callable[..., object], *args: object) -> Deferred[Any]:
+    def _run(self, work: Callable[..., object], *args: object) -> Deferred[object]:
         return self._environment.run_in_thread(work, *args).addErrback(_log_disk_error)
 
 
--- a/mapleline/balancer/control/proposer.py
+++ b/mapleline/balancer/control/proposer.py
@@ -123,7 +123,7 @@
 
     def _is_undecided_overdue(self, now: float) -> bool:
         """Whether a state accepted here is not known to be chosen for long: its proposer may be gone."""
-        record = self._replica.accepted_record()
+        record = self._replica.acceptor_record()
         if record is None or record.accepted_state is None or record.accepted_state.number <= self._committed.number:
             return False
         if self._undecided_ballot != record.accepted_ballot:
@@ -206,6 +206,7 @@
         self._send(ip, call).addCallbacks(receive, retry_later).addErrback(_log_fault)
 
     def _send(self, ip: int, call: Prepare | Accept) -> Deferred[Any]:
+        # Any: the types of maybeDeferred do not cover a function that returns a reply or a Deferred of one
         if ip != self._context.local_ip:
             return self._context.environment.call(ip, call, CALL_TIMEOUT_S)
         if isinstance(call, Prepare):
--- a/mapleline/balancer/control/replica.py
+++ b/mapleline/balancer/control/replica.py
@@ -64,7 +64,7 @@
         """Return the round of the highest ballot promised here; 0 for none."""
         return self.acceptor.record.promised.round if self.acceptor is not None else 0
 
-    def accepted_record(self) -> Record | None:
+    def acceptor_record(self) -> Record | None:
         """Return the acceptor's record; None before the identity of the disk is durable."""
         return self.acceptor.record if self.acceptor is not None else None
 
--- a/mapleline/balancer/control/state_fetcher.py
+++ b/mapleline/balancer/control/state_fetcher.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from ..membership.member import MemberFlags
 from ..transport.messages import FetchedState, FetchState
@@ -13,6 +13,7 @@
     from twisted.internet.defer import Deferred
 
     from ..context import NodeContext
+    from ..transport.messages import Reply
     from .committed_state import CommittedState
     from .replica import LocalReplica
     from .state import State
@@ -120,7 +121,7 @@
         replicas = self._context.membership.alive(now, MemberFlags.HAS_DISK)
         return any(member.ip != self._context.local_ip for member in replicas)
 
-    def _send_fetch(self, ip: int, wants_state: bool, wants_endpoints: bool) -> Deferred[Any]:
+    def _send_fetch(self, ip: int, wants_state: bool, wants_endpoints: bool) -> Deferred[Reply]:
         committed = self._committed
         has_disk = self._replica.store is not None
         call = FetchState(committed.number, committed.digest, has_disk, wants_state, wants_endpoints)
