--- a/mapleline/balancer/control/bootstrap_policy.py
+++ b/mapleline/balancer/control/bootstrap_policy.py
@@ -1,4 +1,4 @@
-"""When the system's first state is due, and which replicas it names (docs/design/control.md, Founding)."""
+"""When the system's first state is due, and which replicas it names (docs/design/control.md, Bootstrap)."""
 
 from __future__ import annotations
 
--- a/mapleline/balancer/control/state.py
+++ b/mapleline/balancer/control/state.py
@@ -165,7 +165,7 @@
     """Put a configuration in force.
 
     The first content that was confirmed under a version stands for ever.  A version lower than the one in force is
-    confirmed without effect (docs/design/control.md, "Readings chosen").
+    confirmed without effect (docs/design/control.md, "Interpretations chosen").
     """
     past = dict(state.past)
     if version in past:
--- a/mapleline/balancer/discovery/endpoints.py
+++ b/mapleline/balancer/discovery/endpoints.py
@@ -1,7 +1,7 @@
 """The endpoint list: which instances of which services exist, as the platform listed them last.
 
 One node fetches the list; all others take it over from their peers.  `EndpointList` does no input or output, and its
-times are on the clock of its own node.  When an instance counts as warming up: docs/design/cold.md.
+times are on the clock of its own node.  When an instance counts as warming up: docs/design/slow-start.md.
 """
 
 from __future__ import annotations
--- a/mapleline/balancer/proxy/slow_start_leases.py
+++ b/mapleline/balancer/proxy/slow_start_leases.py
@@ -4,7 +4,7 @@
 received the request; the holder counts from when it sent the request, which is earlier.  Two majorities have a voter
 in common, so no two nodes hold one lease at once, whatever they believe of each other, and at least `LEASE_S` lies
 between the beginnings of two holders.  A voter that has restarted has forgotten its grants, and grants nothing until
-they have expired.  Derivation of the bounds: docs/design/cold.md.
+they have expired.  Derivation of the bounds: docs/design/slow-start.md.
 
 A lease's id is the CRC-32 of the server's id.
 """
