--- a/mapleline/balancer/control/api.py
+++ b/mapleline/balancer/control/api.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from twisted.internet.defer import Deferred
 
-    from ..proxy.listener import ClientConnection
+    from ..proxy.client_connection import ClientConnection
     from .audit_log import AuditLog
     from .control_plane import ControlPlane
 
--- a/mapleline/balancer/discovery/directory.py
+++ b/mapleline/balancer/discovery/directory.py
@@ -17,7 +17,7 @@
     from ...http1.messages import Request
     from ..clock import Clock
     from ..membership.table import MembershipTable
-    from ..proxy.listener import ClientConnection
+    from ..proxy.client_connection import ClientConnection
     from ..settings import Settings
 
 #: Addresses in one answer, at most.
--- a/mapleline/balancer/environment.py
+++ b/mapleline/balancer/environment.py
@@ -17,7 +17,7 @@
     from .control.snapshot import ReplicaStore
     from .discovery.endpoints import EndpointList
     from .discovery.platform_client import PlatformClient
-    from .proxy.upstream import UpstreamPool
+    from .proxy.upstream_pool import UpstreamPool
     from .transport import messages
     from .transport.connections import CallHandler, DatagramHandler
     from .transport.fencing import Fence
--- a/mapleline/balancer/housekeeping.py
+++ b/mapleline/balancer/housekeeping.py
@@ -10,7 +10,7 @@
     from .context import NodeContext
     from .proxy.listener import Listener
     from .proxy.proxy import Proxy
-    from .proxy.upstream import UpstreamPool
+    from .proxy.upstream_pool import UpstreamPool
     from .transport.fencing import Fence
 
 logger = logging.getLogger(__name__)
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -25,10 +25,12 @@
 from .membership.leadership import Leadership
 from .membership.member import Member, MemberFlags
 from .membership.table import MembershipTable
-from .proxy.listener import ClientConnection, Listener
+from .proxy.client_connection import ClientConnection
+from .proxy.dependencies import ProxyDependencies
+from .proxy.listener import Listener
 from .proxy.proxy import Proxy
 from .proxy.slow_start_leases import SlowStartLeases
-from .proxy.upstream import STREAM_THRESHOLD_BYTES
+from .proxy.upstream_connection import STREAM_THRESHOLD_BYTES
 from .quota.client import QuotaClient
 from .settings import Settings, SettingsError
 from .topology import Topology
@@ -93,7 +95,7 @@
         self.quota_client = QuotaClient(reactor, settings, environment, self.membership, self._tenant_count)
         self.proxy = self._make_proxy()
         self.slow_start_leases = self._make_slow_start_leases()
-        self.proxy.slow_start_leases = self.slow_start_leases
+        self.proxy.slow_start.leases = self.slow_start_leases
         self.front = Listener(reactor, body_pool, self.proxy.handle_request, STREAM_THRESHOLD_BYTES)
         self.listeners = [self.front]
         self.control = ControlApi(self.control_plane, self.status)
@@ -123,16 +125,17 @@
 
     def _make_proxy(self) -> Proxy:
         context = self.context
-        return Proxy(
-            context.reactor,
-            context.settings,
-            context.membership,
-            self.endpoints,
-            self.upstream_pool,
-            self.can_serve,
-            self.quota_client.consult,
-            context.rng,
+        dependencies = ProxyDependencies(
+            clock=context.reactor,
+            settings=context.settings,
+            membership=context.membership,
+            endpoints=self.endpoints,
+            upstream_pool=self.upstream_pool,
+            can_serve=self.can_serve,
+            consult_quota=self.quota_client.consult,
+            rng=context.rng,
         )
+        return Proxy(dependencies)
 
     def _make_slow_start_leases(self) -> SlowStartLeases:
         context = self.context
@@ -142,7 +145,7 @@
             context.rng,
             context.environment.send,
             self.electorate.addresses,
-            self.proxy.wanted_leases,
+            self.proxy.slow_start.wanted_leases,
             context.membership.local_member.has_disk,
         )
 
--- a/mapleline/balancer/process_environment.py
+++ b/mapleline/balancer/process_environment.py
@@ -12,7 +12,7 @@
 from .control.audit_log import AuditLog
 from .control.snapshot import SnapshotStore
 from .discovery.platform_client import PlatformClient
-from .proxy.upstream import UpstreamPool
+from .proxy.upstream_pool import UpstreamPool
 from .transport.connections import CalleeFactory, DatagramSocket, OutgoingCall
 
 if TYPE_CHECKING:
--- /dev/null
+++ b/mapleline/balancer/proxy/client_connection.py
@@ -0,0 +1,267 @@
+"""One connection of a client, over which requests come one at a time."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import TYPE_CHECKING, Any, Protocol
+
+from twisted.internet.protocol import connectionDone
+
+from ...http1.messages import Malformed, Request
+from ...http1.server import ServerConnection as Http1Server
+from ...http1.upload import Upload
+from ...net.streams import Stream
+
+if TYPE_CHECKING:
+    from twisted.python.failure import Failure
+
+    from .listener import Listener
+
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+
+BODY_COPIES = 2
+"""A held body counts twice in memory: held to be sent again, and once more on its way out."""
+
+MIN_KEEP_ALIVE_S = 1
+
+LINGER_S = 6.0
+"""For a client that still sends a body that nobody wants, to read the response that says why."""
+
+MAX_DRAINING_IDLE_S = 1.0
+"""While the node drains, an idle connection is closed after this."""
+
+IDLE_GRACE_S = 2.0
+"""Beyond the idle timeout that was announced to the client, for a request on its way."""
+
+DEFAULT_IDLE_TIMEOUT_S = 15.0
+
+HEADER_TIMEOUT_FACTOR = 3
+"""Header timeouts that a request may take until it is complete."""
+
+
+class RequestInFlight(Protocol):
+    """What a handler returns for a request that it has not answered yet."""
+
+    def on_client_disconnected(self) -> None:
+        """Give the request up: nobody waits for its response."""
+
+    def on_body_discarded(self) -> None:
+        """Note that a part of the body has gone out and is not held any more."""
+
+
+class ResponseSource(Protocol):
+    """Where the parts of a streamed response come from."""
+
+    def pause(self) -> None:
+        """Send no more parts for now."""
+
+    def resume(self) -> None:
+        """Send parts again."""
+
+
+class ClientConnection(Stream):
+    """A connection whose requests go to the listener's handler.
+
+    A body beyond the listener's `stream_threshold_bytes`, or one of some size while memory is tight, is streamed: its
+    request has an `upload`, and is read no faster than a server takes it.
+    """
+
+    transport: Any  # Twisted's TCP transport, beyond what ITransport has
+
+    def __init__(self, listener: Listener) -> None:
+        """`listener` has the limits and the handler."""
+        self.upload: Upload | None = None  #: takes the rest of the body of the request in flight
+        self._listener = listener
+        self._http1 = Http1Server(
+            listener.buffer_pool,
+            listener.stream_threshold_bytes,
+            listener.max_header_bytes,
+            listener.max_body_bytes,
+        )
+        self._active_at = listener.clock.seconds()  # of the last response, or of the first byte of a request
+        self._request_in_flight: RequestInFlight | None = None
+        self._source: ResponseSource | None = None  # of the response that is being streamed
+        self._has_unwanted_bytes = False  # a body that nobody wants follows the request in flight
+        self._reserved_bytes = 0  # of the buffer pool's bound, for the request in flight
+
+    # -- requests ------------------------------------------------------------------------------------------
+
+    def connectionMade(self) -> None:
+        """Join the listener's connections."""
+        super().connectionMade()
+        self._listener.connections.add(self)
+
+    def dataReceived(self, data: bytes) -> None:
+        """Read requests, or the next part of a body."""
+        if not self._http1.busy and not self._http1.partial:
+            self._active_at = self._listener.clock.seconds()
+        self._http1.receive(data)
+        if self.upload is not None:
+            self._receive_body_part(self.upload)
+        else:
+            self._handle_next_requests()
+
+    def _receive_body_part(self, upload: Upload) -> None:
+        try:
+            part = self._http1.next_part()
+        except Malformed as error:
+            request_in_flight = self._request_in_flight
+            self.reply(error.status, error.why.encode())
+            if request_in_flight is not None:
+                request_in_flight.on_client_disconnected()
+            return
+        if not self._http1.passing:
+            self.upload = None
+        upload.put(part, self.upload is None)
+        if self.upload is not None and not upload.room:
+            self.hold()
+
+    def _handle_next_requests(self) -> None:
+        """Hand over the requests that have come, as long as each is answered at once."""
+        while not self._http1.busy and self.connected:
+            try:
+                request = self._http1.next_request()
+            except Malformed as error:
+                self.reply(error.status, error.why.encode())
+                return
+            if request is None:
+                if self._http1.expects:
+                    self.send(CONTINUE)
+                return
+            self._handle_request(request)
+
+    def _handle_request(self, request: Request) -> None:
+        if request.more:
+            self.upload = Upload(request.length, self.go_on, partial(self._on_body_discarded, request))
+            self.hold()  # until a server takes what there is
+        self._reserve_memory(BODY_COPIES * len(request.body))
+        self._request_in_flight = self._listener.handle_request(self, request)
+
+    def _reserve_memory(self, size_bytes: int) -> None:
+        """Count the body of the request in flight in the bound of the buffer pool."""
+        self._listener.buffer_pool.held += size_bytes - self._reserved_bytes
+        self._reserved_bytes = size_bytes
+
+    def _on_body_discarded(self, request: Request) -> None:
+        """Release the held part of a streamed body: without what has gone out since it is of no use."""
+        request.body = b""
+        self._reserve_memory(0)
+        if self._request_in_flight is not None:
+            self._request_in_flight.on_body_discarded()
+
+    # -- responses -----------------------------------------------------------------------------------------
+
+    def reply(self, status: int, body: bytes = b"", header_lines: bytes = b"") -> None:
+        """Send the one response to the request in flight."""
+        if not self.connected or not self._http1.busy:
+            return
+        has_unwanted_bytes = self._http1.passing
+        if has_unwanted_bytes:
+            self._http1.closing = True
+        header_lines += self._connection_header_lines()
+        self.send(self._http1.answer(status, body, header_lines))
+        self._finish_request(has_unwanted_bytes)
+
+    def begin_reply(self, status: int, header_lines: bytes, length: int | None, source: ResponseSource) -> None:
+        """Send the head of a response that is streamed: calls of `send_part` and `end_reply` follow.
+
+        Args:
+            status: the status code.
+            header_lines: whole header lines, without those of connection and framing.
+            length: the length of the body, None if it is not known.
+            source: paused while the client takes no more.
+        """
+        self._source = source
+        self._has_unwanted_bytes = self._http1.passing
+        if self.connected:
+            header_lines += self._connection_header_lines()
+            self.send(self._http1.begin(status, header_lines, length))
+
+    def send_part(self, data: bytes) -> None:
+        """Send the next part of a streamed response."""
+        if data:
+            self.send(self._http1.part(data))
+        if not self.flushed and self._source is not None:
+            self._source.pause()
+
+    def end_reply(self, is_complete: bool) -> None:
+        """End a streamed response; if it is not complete, in a way that the client notices."""
+        if not self.connected or not self._http1.busy:
+            return
+        end = self._http1.end()
+        if is_complete:
+            self.send(end)
+            self._finish_request(self._has_unwanted_bytes)
+            return
+        self._http1.closing = True
+        self._reserve_memory(0)
+        if self._http1.ends_by_close:
+            self.transport.abortConnection()  # an orderly end would say that the response is complete
+        else:
+            self.transport.loseConnection()
+
+    def _connection_header_lines(self) -> bytes:
+        listener = self._listener
+        if listener.is_draining:
+            self._http1.closing = True
+        elif not self._http1.closing and listener.idle_timeout_s:
+            return b"Keep-Alive: timeout=%d\r\n" % max(MIN_KEEP_ALIVE_S, int(listener.idle_timeout_s))
+        return b""
+
+    def on_flushed(self) -> None:
+        """Let the streamed response go on."""
+        if self._source is not None:
+            self._source.resume()
+
+    def _finish_request(self, has_unwanted_bytes: bool) -> None:
+        """Make ready for the next request, or close."""
+        self._forget_request()
+        self._active_at = self._listener.clock.seconds()
+        if self._http1.closing:
+            self._close(has_unwanted_bytes)
+        else:
+            self._listener.clock.callLater(0, self._handle_next_requests)
+
+    def _forget_request(self) -> None:
+        self._request_in_flight = None
+        self.upload = None
+        self._source = None
+        self._reserve_memory(0)
+
+    # -- the end -------------------------------------------------------------------------------------------
+
+    def _close(self, has_unwanted_bytes: bool) -> None:
+        if has_unwanted_bytes:  # a close with bytes unread resets, and the client may never read the response
+            self.transport.loseWriteConnection()
+            self.go_on()
+        else:
+            self.transport.loseConnection()
+
+    def close_if_idle(self, now: float) -> None:
+        """Close the connection if it was idle, or its request incomplete, for too long."""
+        if self._http1.busy:
+            return
+        idle_s = now - self._active_at
+        if self._http1.closing:
+            if idle_s > LINGER_S:
+                self.transport.abortConnection()
+        elif self._http1.partial:
+            if idle_s > HEADER_TIMEOUT_FACTOR * self._listener.header_timeout_s:
+                self.transport.abortConnection()
+        elif self._is_idle_for_too_long(idle_s):
+            self.transport.loseConnection()
+
+    def _is_idle_for_too_long(self, idle_s: float) -> bool:
+        if self._listener.is_draining and idle_s > MAX_DRAINING_IDLE_S:
+            return True
+        return idle_s > (self._listener.idle_timeout_s or DEFAULT_IDLE_TIMEOUT_S) + IDLE_GRACE_S
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Give up the request in flight."""
+        super().connectionLost(reason)
+        self._listener.connections.discard(self)
+        self._http1.clear()
+        request_in_flight = self._request_in_flight
+        self._forget_request()
+        if request_in_flight is not None:
+            request_in_flight.on_client_disconnected()
--- /dev/null
+++ b/mapleline/balancer/proxy/load_reports.py
@@ -0,0 +1,77 @@
+"""Load reports: the nodes of a region tell each other which requests they have in flight, and who is unhealthy."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from ..transport.messages import LoadReport
+from .server_checksum import server_checksum
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from ...policy.placing import Target
+
+REPORT_VALIDITY_S = 3.0
+"""A report counts so long after it came."""
+
+FAILURE_SHARE_UNITS = 10
+"""Shares of failed requests are reported in tenths."""
+
+MAX_HEALTHY_TENTHS = 2
+"""Shares up to this many tenths are not reported."""
+
+
+@dataclass(frozen=True, slots=True)
+class ReceivedReport:
+    """The newest report of another node."""
+
+    received_at: float
+    report: LoadReport
+
+
+class LoadReports:
+    """Makes this node's reports, and applies those of the others to the targets."""
+
+    def __init__(self, region: str, targets: Mapping[str, Target]) -> None:
+        """Report on the servers of `region` among `targets`, which another part keeps up to date."""
+        self.received: dict[int, ReceivedReport] = {}  #: by the sender's address
+        self._region = region
+        self._targets = targets
+        self._last_report = LoadReport({}, {})
+
+    def next_report(self, now: float) -> LoadReport | None:
+        """Return this node's load, None if it is what was reported last."""
+        local = [
+            (server_checksum(target.id), target) for target in self._targets.values() if target.region == self._region
+        ]
+        in_flight = {checksum: target.out for checksum, target in local if target.out}
+        tenths = ((checksum, int(FAILURE_SHARE_UNITS * target.seen(now))) for checksum, target in local if target.bad)
+        unhealthy = {checksum: tenth for checksum, tenth in tenths if tenth > MAX_HEALTHY_TENTHS}
+        report = LoadReport(in_flight, unhealthy)
+        if report == self._last_report:
+            return None
+        self._last_report = report
+        return report
+
+    def receive(self, sender_ip: int, report: LoadReport, now: float) -> None:
+        """Take the newest report of another node, and sum up all valid ones for each target."""
+        self.received[sender_ip] = ReceivedReport(now, report)
+        in_flight: dict[int, int] = {}
+        failure_tenths: dict[int, int] = {}
+        for received in self.received.values():
+            if now - received.received_at < REPORT_VALIDITY_S:
+                _add_report(received.report, in_flight, failure_tenths)
+        for target in self._targets.values():
+            checksum = server_checksum(target.id)
+            target.near = in_flight.get(checksum, 0)
+            target.bad_near = failure_tenths.get(checksum, 0) / FAILURE_SHARE_UNITS
+
+
+def _add_report(report: LoadReport, in_flight: dict[int, int], failure_tenths: dict[int, int]) -> None:
+    """Add up the requests in flight, and keep the largest share of failures, by the server's checksum."""
+    for checksum, count in report.in_flight.items():
+        in_flight[checksum] = in_flight.get(checksum, 0) + count
+    for checksum, tenths in report.failure_tenths.items():
+        failure_tenths[checksum] = max(tenths, failure_tenths.get(checksum, 0))
--- a/mapleline/balancer/proxy/outcome.py
+++ b/mapleline/balancer/proxy/outcome.py
@@ -1,20 +1,32 @@
-"""Whether a request may have run: said in one place, for every outcome of an attempt."""
+"""Whether a request may have been executed by a server: the one place that decides it for every end of an attempt.
+
+The rules are those of docs/design/towards-servers.md: a request that is not idempotent may be executed once at most,
+and the statuses 408, 421, 429 and 503 promise a client that it was not executed.
+"""
 
 from __future__ import annotations
 
 from enum import Enum, IntEnum, auto
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from ...http1.messages import Response
 
-from ...http1.messages import Response
+IDEMPOTENT = "idempotent"
+"""The kind of route whose requests may be executed more than once."""
 
-PROMISES = frozenset({408, 421, 429, 503})  # to a client: it has not run and never will
+PROMISES_NOT_EXECUTED = frozenset({408, 421, 429, 503})
+"""Statuses that promise a client that its request was not executed and never will be."""
+
+MISDIRECTED_REQUEST = 421
 
 
 class Outcome(IntEnum):
-    """What is known of a request that was, or was to be, given to a server."""
+    """What is known of the execution of a request; of several attempts the largest value counts."""
 
-    NOT_EXECUTED = 0  #: it has not run and never will: nothing was written, or the server said so
-    UNKNOWN = 1  #: it was written, and no answer tells
-    EXECUTED = 2  #: the server's own answer says that it worked on it
+    NOT_EXECUTED = 0  #: and never will be: nothing was written, or the server said so
+    UNKNOWN = 1  #: it was written, and there is no response
+    EXECUTED = 2  #: the server's own response says that it worked on it
 
 
 class EndReason(Enum):
@@ -28,35 +40,41 @@
     CANCELLED = auto()  #: nobody waits for the response any more
 
 
-def of_answer(status: int, not_executed: bool) -> Outcome:
-    """By a server's answer: only `Not-Executed` and 421 say that it did not run (PROTOCOL, Servers)."""
-    return Outcome.NOT_EXECUTED if not_executed or status == 421 else Outcome.EXECUTED
+def classify_status(status: int, is_marked_not_executed: bool) -> Outcome:
+    """Return the outcome by a response: only `Not-Executed` and 421 deny execution (PROTOCOL, Servers)."""
+    if is_marked_not_executed or status == MISDIRECTED_REQUEST:
+        return Outcome.NOT_EXECUTED
+    return Outcome.EXECUTED
 
 
-def of_response(response: Response) -> Outcome:
-    """The same of an answer as it was read."""
-    return of_answer(response.status, b"not-executed" in response.headers)
+def classify_response(response: Response) -> Outcome:
+    """Return the outcome by a response as it was read."""
+    return classify_status(response.status, b"not-executed" in response.headers)
 
 
-def of_loss(written: bool) -> Outcome:
-    """By a connection lost, or given up, without an answer."""
-    return Outcome.UNKNOWN if written else Outcome.NOT_EXECUTED
+def classify_loss(is_written: bool) -> Outcome:
+    """Return the outcome where a connection ended, or was given up, without a response."""
+    return Outcome.UNKNOWN if is_written else Outcome.NOT_EXECUTED
 
 
-def may_repeat(kind: str, worst: Outcome) -> bool:
-    """Another server may have it: it runs twice without harm, or has not run."""
-    return kind == "idempotent" or worst is Outcome.NOT_EXECUTED
+def may_retry(route_kind: str, worst_outcome: Outcome) -> bool:
+    """Return whether another server may get the request: it is idempotent, or was not executed."""
+    return route_kind == IDEMPOTENT or worst_outcome is Outcome.NOT_EXECUTED
 
 
-def final_status(worst: Outcome, timed_out: bool) -> int:
-    """The status of our own final answer; 503 is the promise that it has not run."""
-    if worst is Outcome.NOT_EXECUTED:
+def final_status(worst_outcome: Outcome, is_timeout: bool) -> int:
+    """Return the status of the proxy's own final response; 503 promises that the request was not executed."""
+    if worst_outcome is Outcome.NOT_EXECUTED:
         return 503
-    return 504 if timed_out else 502
+    return 504 if is_timeout else 502
+
 
+def may_forward(route_kind: str, response: Response) -> bool:
+    """Return whether a server's response may go to the client as it is.
 
-def may_pass(kind: str, response: Response) -> bool:
-    """A server's answer may go to the client as it is: these statuses promise a client that the request has not run,
-    which a server says by `Not-Executed` and 421 alone.
+    Some statuses promise a client that its request was not executed, which a server says by `Not-Executed` and 421
+    alone.
     """
-    return kind == "idempotent" or response.status not in PROMISES or of_response(response) is Outcome.NOT_EXECUTED
+    if route_kind == IDEMPOTENT or response.status not in PROMISES_NOT_EXECUTED:
+        return True
+    return classify_response(response) is Outcome.NOT_EXECUTED
--- /dev/null
+++ b/mapleline/balancer/proxy/quota_admission.py
@@ -0,0 +1,90 @@
+"""Admission of a request by its tenant's quota, which the holders of its counters know."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import TYPE_CHECKING
+
+from ...policy.window import Ask, Tenancy
+from . import counters
+from .admission import RETRY_AFTER_S
+from .request_context import Rejection
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..configuration import Tenant
+    from ..routing_table import RoutingTable
+    from .counters import RequestCounters
+    from .dependencies import ProxyDependencies
+    from .request_context import RequestContext
+
+QUOTA_UNKNOWN = Rejection(503, b"quota unknown", RETRY_AFTER_S)
+
+
+class QuotaAdmission:
+    """Passes requests within their tenant's quota on to `dispatch`, and rejects the others."""
+
+    def __init__(
+        self,
+        dependencies: ProxyDependencies,
+        counters: RequestCounters,
+        dispatch: Callable[[RequestContext], None],
+    ) -> None:
+        """Begin without knowledge of any tenant."""
+        self._clock = dependencies.clock
+        self._bounds = dependencies.settings.protocol_bounds
+        self._consult_quota = dependencies.consult_quota
+        self._counters = counters
+        self._dispatch = dispatch
+        self._tenancies: dict[str, Tenancy] = {}
+
+    def admit(self, context: RequestContext, table: RoutingTable) -> None:
+        """Dispatch the request, at once or when the counters have answered, or reject it."""
+        tenant_id = context.admitted.tenant_id
+        tenant = table.tenants.get(tenant_id) if tenant_id else None
+        if tenant_id is None or tenant is None or tenant.rate_per_s <= 0:
+            self._dispatch(context)
+            return
+        tenancy = self._tenancy(tenant_id, tenant)
+        on_answer = partial(self._on_quota_answer, context, tenancy)
+        self._consult_quota(Ask(tenancy, tenant.home_regions, on_answer))
+
+    def _tenancy(self, tenant_id: str, tenant: Tenant) -> Tenancy:
+        """Return the tenant's limit as the configuration has it now."""
+        limits = (tenant.rate_per_s, tenant.burst_size)
+        tenancy = self._tenancies.get(tenant_id)
+        if tenancy is None or tenancy.limits != limits:
+            bounds = self._bounds
+            tenancy = Tenancy(tenant_id, *limits, bounds.quota_window, bounds.quota_overshoot, bounds.quota_slack)
+            self._tenancies[tenant_id] = tenancy
+        return tenancy
+
+    def _on_quota_answer(
+        self, context: RequestContext, tenancy: Tenancy, answer: tuple[float, float, float] | None
+    ) -> bool:
+        """Dispatch or reject the request.
+
+        Args:
+            context: the request.
+            tenancy: the tenant's limit.
+            answer: the counts of the current and the previous window and the share of the current one that is left;
+                None if no counter answered in time.
+
+        Returns:
+            Whether the request was sent, so that its unit stays counted.
+        """
+        if context.is_finished:
+            return False
+        if answer is None:
+            self._counters.increment(counters.QUOTA_UNKNOWN)
+            context.reject(QUOTA_UNKNOWN)
+            return False
+        current_count, previous_count, share_left = answer
+        retry_after_s = tenancy.judge(current_count, previous_count, share_left, self._clock.seconds())
+        if retry_after_s is not None:
+            self._counters.increment(counters.OVER_QUOTA)
+            context.reject(Rejection(429, b"over quota", retry_after_s))
+            return False
+        self._dispatch(context)
+        return context.attempt_count > 0
--- /dev/null
+++ b/mapleline/balancer/proxy/server_feedback.py
@@ -0,0 +1,74 @@
+"""What the end of an attempt says of its server: load, latency and health."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from .outcome import MISDIRECTED_REQUEST, EndReason, Outcome
+
+if TYPE_CHECKING:
+    from ...http1.messages import Response
+    from ...policy.placing import Target
+    from .route_statistics import RouteStatistics, StatisticsKey
+    from .upstream_attempt import Attempt
+
+FIRST_SERVER_ERROR = 500
+SERVER_LOAD_FIELDS = 3
+"""`Server-Load`: requests running, requests queued, slots."""
+
+OVERLOAD_QUEUE = 6.0
+"""A server that rejects requests as overloaded is taken to have this many queued, at least."""
+
+FAILURES = frozenset(
+    {
+        EndReason.UNREACHABLE,
+        EndReason.CONNECTION_LOST,
+        EndReason.CONNECTION_CLOSED,
+        EndReason.PROTOCOL_ERROR,
+    }
+)
+
+
+def record_attempt_end(attempt: Attempt, statistics: RouteStatistics, key: StatisticsKey, now: float) -> None:
+    """Take the attempt's end into what is known of its server and of its route."""
+    response = attempt.response
+    if response is None:
+        _record_failure(attempt, now)
+        return
+    _record_reported_load(attempt.target, response, now)
+    if attempt.outcome is Outcome.NOT_EXECUTED:
+        if response.status != MISDIRECTED_REQUEST:
+            _record_overload(attempt.target, now)
+        return
+    _record_response(attempt, response, statistics, key, now)
+
+
+def _record_failure(attempt: Attempt, now: float) -> None:
+    target = attempt.target
+    if attempt.end_reason is EndReason.UNREACHABLE:
+        target.unreachable(now)
+    if attempt.end_reason in FAILURES:
+        target.judged(now, True)
+
+
+def _record_reported_load(target: Target, response: Response, now: float) -> None:
+    fields = response.headers.get(b"server-load", b"").split(b",")
+    if len(fields) == SERVER_LOAD_FIELDS and all(field.strip().isdigit() for field in fields):
+        target.told = float(fields[0]) + float(fields[1])
+        target.told_at = now
+
+
+def _record_overload(target: Target, now: float) -> None:
+    target.told = max(target.told, target.slots + OVERLOAD_QUEUE)
+    target.told_at = now
+
+
+def _record_response(
+    attempt: Attempt, response: Response, statistics: RouteStatistics, key: StatisticsKey, now: float
+) -> None:
+    is_server_error = response.status >= FIRST_SERVER_ERROR
+    attempt.target.judged(now, is_server_error)
+    latency_s = now - attempt.sent_at
+    attempt.target.answered(latency_s / statistics.latency_s(key))
+    if not is_server_error and attempt.had_free_slot:
+        statistics.record(key, latency_s, len(response.body))
--- a/mapleline/balancer/proxy/slow_start_leases.py
+++ b/mapleline/balancer/proxy/slow_start_leases.py
@@ -21,7 +21,7 @@
 
     from ..clock import Clock
 
-#: Longer than a second, the span of the rule, and `upstream.DIAL_S`: that span meets two holders at most.
+#: Longer than a second, the span of the rule, and `CONNECT_TIMEOUT_S`: that span meets two holders at most.
 LEASE_S = 1.5
 
 #: Between two requests of a holder: one lost request, and the round trip of the next, cost no lease.
--- /dev/null
+++ b/mapleline/balancer/proxy/upstream_connection.py
@@ -0,0 +1,220 @@
+"""One connection to one server: one request at a time."""
+
+from __future__ import annotations
+
+import socket
+from functools import partial
+from typing import TYPE_CHECKING, Any
+
+from twisted.internet.error import ConnectionDone
+from twisted.internet.protocol import connectionDone
+
+from ...http1.buffers import BUFFER_SIZE, BufferPool
+from ...http1.client import ClientConnection as Http1Client
+from ...net.streams import Stream
+from .outcome import EndReason
+
+if TYPE_CHECKING:
+    from twisted.python.failure import Failure
+
+    from ...http1.messages import Response
+    from ...policy.placing import Target
+    from ..clock import Clock
+    from .upstream_attempt import Attempt, ResponseSink
+
+MAX_IDLE_S = 8.0
+"""An idle connection is kept so long at most, also where the server says nothing."""
+
+KEEP_ALIVE_SHARE = 0.75
+"""Of the server's `Keep-Alive` timeout: a request must not cross its close on the way."""
+
+USER_TIMEOUT_MS = 4000
+"""Sent bytes that stay unacknowledged so long end the connection (RFC 5482)."""
+
+STREAM_THRESHOLD_BYTES = 1 << 20
+"""A body up to this length is held, so that another server can get it; a larger one is streamed."""
+
+STREAM_READ_BYTES = 64 * 1024
+"""Bytes of one read of a response that is streamed."""
+
+
+class UpstreamConnection(Stream):
+    """A connection to a server, kept for further requests while the server keeps it."""
+
+    transport: Any  # Twisted's TCP transport, beyond what ITransport has
+
+    def __init__(self, clock: Clock, buffer_pool: BufferPool, target: Target) -> None:
+        """`target` is the server, whose `links` keep the idle connections."""
+        self.attempt: Attempt | None = None
+        self.idle_since = 0.0
+        self.keep_until = 0.0
+        self.recent_ids: list[bytes] = []  #: of the last two requests that were sent here, the newest last
+        self._clock = clock
+        self._target = target
+        self._http1 = Http1Client(buffer_pool, STREAM_THRESHOLD_BYTES, is_response_to)
+        self._sink: ResponseSink | None = None  # takes the response that is being streamed
+        self._streamed_response: Response | None = None  # the head of that response
+
+    @property
+    def is_reused(self) -> bool:
+        """Whether an earlier request was sent here: a response may be to that one."""
+        return len(self.recent_ids) > 1
+
+    @property
+    def is_reusable(self) -> bool:
+        """Whether a further request may be sent here."""
+        return bool(self.connected) and self._http1.reusable
+
+    def abort(self) -> None:
+        """Reset the connection."""
+        self.transport.abortConnection()
+
+    def abandon(self) -> None:
+        """Reset the connection; its attempt has ended already."""
+        self.attempt = None
+        self._sink = None
+        self.abort()
+
+    # -- the request ---------------------------------------------------------------------------------------
+
+    def connectionMade(self) -> None:
+        """Bound the time of unacknowledged bytes."""
+        handle = self.transport.getHandle()
+        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+        super().connectionMade()
+
+    def start(self, attempt: Attempt) -> None:
+        """Send the attempt's request."""
+        self.attempt = attempt
+        attempt.connection = self
+        self.recent_ids = [*self.recent_ids[-1:], attempt.request_id]
+        attempt.is_written = True  # before the first byte: the kernel may take a part and fail
+        attempt.sent_at = self._clock.seconds()
+        self._http1.called(attempt)
+        self.send(attempt.data)
+        if attempt.upload is not None:
+            attempt.upload.attach(self, partial(self._on_uploaded, attempt))
+
+    def _on_uploaded(self, attempt: Attempt) -> None:
+        """Measure latency from here: the server begins once it has the last byte."""
+        attempt.sent_at = self._clock.seconds()
+
+    def on_flushed(self) -> None:
+        """Let more of a streamed body come."""
+        if self.attempt is not None and self.attempt.upload is not None:
+            self.attempt.upload.flushed()
+
+    # -- the response --------------------------------------------------------------------------------------
+
+    def dataReceived(self, data: bytes) -> None:
+        """Read a response, or stream the next part of one."""
+        if self._sink is not None:
+            self._stream_part(self._sink, data)
+            return
+        responses = self._http1.receive(data)
+        attempt = self.attempt
+        if responses and attempt is not None:
+            response = responses[0][1]
+            if not (response.more and self._start_streaming(attempt, response)):
+                self._finish(attempt, response, EndReason.RESPONSE)
+        elif not self._http1.reusable:
+            self._end_after_protocol_error()
+
+    def _end_after_protocol_error(self) -> None:
+        attempt = self.attempt
+        self.attempt = None
+        self._leave_idle_connections()  # at once: `connectionLost` comes a turn of the reactor later
+        self.abort()
+        if attempt is not None:
+            attempt.end(EndReason.PROTOCOL_ERROR)
+
+    def _finish(self, attempt: Attempt, response: Response | None, reason: EndReason) -> None:
+        self.attempt = None
+        if response is not None and reason is EndReason.RESPONSE and self._can_be_kept(attempt):
+            self._keep(response)
+        else:
+            self.abort()
+        attempt.end(reason, response)
+
+    def _can_be_kept(self, attempt: Attempt) -> bool:
+        """Return whether request and response have ended and nothing lies behind them."""
+        if not self._http1.reusable or self._http1.passing or not self.flushed:
+            return False
+        return attempt.upload is None or attempt.upload.complete
+
+    def _keep(self, response: Response) -> None:
+        """Keep the connection for as long as the server's `Keep-Alive` says, `MAX_IDLE_S` at most."""
+        header = response.headers.get(b"keep-alive", b"")
+        _, _, timeout = header.partition(b"timeout=")
+        timeout = timeout.partition(b",")[0].strip()
+        keep_alive_s = float(timeout) if timeout.isdigit() else MAX_IDLE_S / KEEP_ALIVE_SHARE
+        self.idle_since = self._clock.seconds()
+        self.keep_until = self.idle_since + min(MAX_IDLE_S, keep_alive_s * KEEP_ALIVE_SHARE)
+        self._target.links.append(self)
+
+    # -- streaming -----------------------------------------------------------------------------------------
+
+    def _start_streaming(self, attempt: Attempt, response: Response) -> bool:
+        """Stream a response from its first part on; return False if nobody takes its parts."""
+        sink = attempt.on_response_start(attempt, response, self)
+        self._sink = sink
+        if sink is None:
+            return False
+        self._streamed_response = response
+        self.transport.bufferSize = STREAM_READ_BYTES
+        sink.send_part(response.body)
+        return True
+
+    def _stream_part(self, sink: ResponseSink, data: bytes) -> None:
+        part = self._http1.pass_on(data)
+        if part:
+            sink.send_part(part)
+        if self._http1.passing or self._sink is None:
+            return  # more is to come, or the client has gone meanwhile
+        self._finish_streaming(EndReason.PROTOCOL_ERROR if self._http1.cut else EndReason.RESPONSE)
+
+    def _finish_streaming(self, reason: EndReason) -> None:
+        self._sink = None
+        self.transport.bufferSize = BUFFER_SIZE
+        if self.attempt is not None:
+            self._finish(self.attempt, self._streamed_response, reason)
+
+    def pause(self) -> None:
+        """Read nothing more: what takes the response has enough for now."""
+        self.hold()
+
+    def resume(self) -> None:
+        """Read on."""
+        self.go_on()
+
+    # -- the end -------------------------------------------------------------------------------------------
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """End the attempt that is in flight here."""
+        super().connectionLost(reason)
+        self._leave_idle_connections()
+        is_closed_in_order = isinstance(reason.value, ConnectionDone)
+        if self._sink is not None:
+            is_complete = self._http1.ended_passing(is_closed_in_order)
+            self._finish_streaming(EndReason.RESPONSE if is_complete else EndReason.CONNECTION_LOST)
+            return
+        attempt = self.attempt
+        self.attempt = None
+        if attempt is not None:
+            attempt.end(EndReason.CONNECTION_CLOSED if is_closed_in_order else EndReason.CONNECTION_LOST)
+
+    def _leave_idle_connections(self) -> None:
+        if self in self._target.links:
+            self._target.links.remove(self)
+
+
+def is_response_to(attempt: Attempt, response: Response) -> bool:
+    """Return whether a response is the attempt's own, and not a surplus one to an earlier request.
+
+    `Request-Id` decides.  A response without one says by `Not-Executed` that a request was not executed; which one,
+    is certain only if no other was sent over the connection, and matters only if it may be executed only once.
+    """
+    request_id = response.headers.get(b"request-id")
+    if request_id is None and b"not-executed" in response.headers:
+        return attempt.is_idempotent or (attempt.connection is not None and not attempt.connection.is_reused)
+    return request_id == attempt.request_id
--- /dev/null
+++ b/mapleline/balancer/proxy/upstream_pool.py
@@ -0,0 +1,92 @@
+"""The connections to servers: idle ones are kept with their target and used again."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import TYPE_CHECKING
+
+from ...net.dial import dial
+from .outcome import EndReason
+from .upstream_connection import UpstreamConnection
+
+if TYPE_CHECKING:
+    from twisted.python.failure import Failure
+
+    from ...http1.buffers import BufferPool
+    from ...policy.placing import Target
+    from ..clock import Reactor
+    from .upstream_attempt import Attempt
+
+CONNECT_TIMEOUT_S = 0.35
+"""A dropped first packet is sent again after a second (RFC 6298): later than that is too late."""
+
+MAX_IDLE_NON_IDEMPOTENT_S = 2.0
+"""A connection that was idle for longer gets no request that may be executed only once."""
+
+
+class UpstreamPool:
+    """Sends attempts over idle connections or new ones."""
+
+    def __init__(self, reactor: Reactor, buffer_pool: BufferPool) -> None:
+        """`buffer_pool` lends the buffers for responses."""
+        self._reactor = reactor
+        self._buffer_pool = buffer_pool
+
+    def send(self, attempt: Attempt, address: tuple[str, int]) -> None:
+        """Send an attempt over an idle connection to its target, or over a new one to `address`."""
+        attempt.target.out += 1
+        connection = self._take_idle_connection(attempt)
+        if connection is not None:
+            connection.start(attempt)
+            return
+        make_connection = partial(UpstreamConnection, self._reactor, self._buffer_pool, attempt.target)
+        connecting = dial(self._reactor, address, make_connection, CONNECT_TIMEOUT_S)
+        connecting.addCallbacks(partial(_on_connected, attempt), partial(_on_connect_failed, attempt))
+
+    def _take_idle_connection(self, attempt: Attempt) -> UpstreamConnection | None:
+        """Return an idle connection that is good for the attempt; connections that are good for none are aborted."""
+        target = attempt.target
+        now = self._reactor.seconds()
+        while target.links:
+            connection: UpstreamConnection = target.links[-1]
+            if not _may_carry(connection, attempt, now):
+                return None
+            target.links.pop()
+            if connection.is_reusable and now < connection.keep_until and not connection.unread:
+                return connection
+            connection.abort()
+        return None
+
+    def close_idle_connections(self, targets: list[Target], now: float, max_idle: int) -> None:
+        """Close connections that were idle for too long, and those beyond `max_idle` for each server."""
+        for target in targets:
+            for connection in list(target.links):
+                if now >= connection.keep_until or not connection.connected:
+                    target.links.remove(connection)
+                    connection.abort()
+            while len(target.links) > max_idle:
+                target.links.pop(0).abort()
+
+    def close_connections(self, target: Target) -> None:
+        """Close the idle connections to a server that is gone."""
+        while target.links:
+            target.links.pop().abort()
+
+
+def _may_carry(connection: UpstreamConnection, attempt: Attempt, now: float) -> bool:
+    """Return whether the attempt's outcome would be certain enough over this idle connection."""
+    if connection.recent_ids[-1:] == [attempt.request_id]:
+        return False  # a second copy of the first response would pass for the response to this attempt
+    # the server may have forgotten an idle connection silently, and a reset would then say nothing of execution
+    return attempt.is_idempotent or now - connection.idle_since <= MAX_IDLE_NON_IDEMPOTENT_S
+
+
+def _on_connected(attempt: Attempt, connection: UpstreamConnection) -> None:
+    if attempt.end_reason is not None:
+        connection.abort()
+    else:
+        connection.start(attempt)
+
+
+def _on_connect_failed(attempt: Attempt, _: Failure) -> None:
+    attempt.end(EndReason.UNREACHABLE)
--- a/mapleline/simulation/machine.py
+++ b/mapleline/simulation/machine.py
@@ -25,7 +25,7 @@
     from ..balancer.configuration import Configuration
     from ..balancer.discovery.endpoints import EndpointList
     from ..balancer.discovery.platform_client import PlatformClient
-    from ..balancer.proxy.upstream import UpstreamPool
+    from ..balancer.proxy.upstream_pool import UpstreamPool
     from ..balancer.routing_table import RoutingTable
     from ..balancer.transport import messages
     from ..balancer.transport.connections import CallHandler, DatagramHandler
--- a/mapleline/simulation/servers.py
+++ b/mapleline/simulation/servers.py
@@ -7,7 +7,8 @@
 from typing import TYPE_CHECKING
 
 from ..balancer.proxy.outcome import EndReason
-from ..balancer.proxy.upstream import CONNECT_TIMEOUT_S, Attempt, UpstreamPool
+from ..balancer.proxy.upstream_attempt import Attempt
+from ..balancer.proxy.upstream_pool import CONNECT_TIMEOUT_S, UpstreamPool
 from ..http1.messages import Response
 from .records import ServerEvent
 
@@ -178,7 +179,7 @@
         if server.is_removed:
             world.after(2 * delay_s, reactor.run, attempt.end, EndReason.UNREACHABLE)
             return
-        attempt.written = True
+        attempt.is_written = True
         attempt.sent_at = world.now
         world.observe("attempt", self._machine.name, server.id, bytes(attempt.data))
         request = ServerRequest(attempt, self._machine, reactor, delay_s, attempt.sent_at)
--- a/tests/balancer/proxy/proxy_harness.py
+++ b/tests/balancer/proxy/proxy_harness.py
@@ -1,4 +1,4 @@
-"""A desk among stand-ins, on a clock of its own: what is told and said becomes a transcript."""
+"""A proxy among stubs, on a virtual clock: what clients and servers receive becomes a transcript."""
 
 import random
 from pathlib import Path
@@ -9,15 +9,17 @@
 from mapleline.balancer.discovery.endpoints import EndpointList, ListedInstance
 from mapleline.balancer.membership.member import Member, MemberFlags
 from mapleline.balancer.membership.table import MembershipTable
+from mapleline.balancer.proxy.dependencies import ProxyDependencies
 from mapleline.balancer.proxy.outcome import EndReason
 from mapleline.balancer.proxy.proxy import Proxy
 from mapleline.balancer.proxy.slow_start_leases import SlowStartLeases
-from mapleline.balancer.proxy.upstream import UpstreamPool
+from mapleline.balancer.proxy.upstream_pool import UpstreamPool
 from mapleline.http1.messages import Request, Response
 from mapleline.http1.upload import Upload
 
 APPROVED = Path(__file__).parent / "approved"
-REASON_TEXTS = {  # as the approved transcripts have them
+START_S = 100.0  # on the virtual clock; transcripts count from it
+END_REASON_TEXTS = {  # as the approved transcripts have them
     EndReason.CONNECTION_LOST: "lost",
     EndReason.PROTOCOL_ERROR: "spoilt",
     EndReason.UNREACHABLE: "unreachable",
@@ -25,145 +27,186 @@
 
 
 def approve(case, name, lines):
-    """The transcript is the approved one, word for word; a new one lies beside it to be read."""
+    """Compare a transcript with the approved one, byte for byte; a different one is written beside it."""
     text, path = "\n".join(lines) + "\n", APPROVED / f"{name}.txt"
     if not path.exists() or path.read_text() != text:
         path.with_suffix(".received").write_text(text)
         case.assertEqual(text, path.read_text() if path.exists() else "", f"{name}: see {path}.received")
 
 
-class ClientConnection:
-    """A client's connection."""
+def header_fields(fields):
+    """Keyword arguments as header fields: `_` stands for `-`."""
+    return {name.encode().replace(b"_", b"-"): value for name, value in fields.items()}
 
-    def __init__(self, world, name):
-        self.world, self.name, self.upload = world, name, None
 
-    def reply(self, status, body=b"", lines=b""):
-        fields = " ".join(sorted(line for line in lines.decode().split("\r\n") if line))
-        self.world.say(f"{self.name} <- {status} {body.decode()} {fields}".strip())
+class StubClientConnection:
+    """A client's connection that records what it is sent."""
 
-    def begin(self, status, lines, length, source):
-        self.world.say(f"{self.name} <- {status}, {length} bytes to come")
+    def __init__(self, harness, name):
+        self.harness = harness
+        self.name = name
+        self.upload = None
 
-    def ended(self, whole):
-        self.world.say(f"{self.name} <- {'the end' if whole else 'cut off'}")
+    def reply(self, status, body=b"", header_lines=b""):
+        fields = " ".join(sorted(line for line in header_lines.decode().split("\r\n") if line))
+        self.harness.record(f"{self.name} <- {status} {body.decode()} {fields}".strip())
 
+    def begin_reply(self, status, header_lines, length, source):
+        self.harness.record(f"{self.name} <- {status}, {length} bytes to come")
 
-class Lines(UpstreamPool):
-    """Servers that never answer by themselves; the address says which is which."""
+    def end_reply(self, is_complete):
+        self.harness.record(f"{self.name} <- {'the end' if is_complete else 'cut off'}")
 
-    def __init__(self, world):
-        super().__init__(world.clock, None)
-        self.world, self.out = world, {}
+
+class StubUpstreamPool(UpstreamPool):
+    """Servers that respond only when a test lets them; `in_flight` has their attempts, by the server's id."""
+
+    def __init__(self, harness):
+        super().__init__(harness.clock, None)
+        self.harness = harness
+        self.in_flight = {}
 
     def send(self, attempt, address):
-        attempt.target.out += 1
-        attempt.written, attempt.sent_at = True, self.world.clock.seconds()
-        self.out[attempt.target.id] = [*self.out.pop(attempt.target.id, []), attempt]
+        target = attempt.target
+        target.out += 1
+        attempt.is_written = True
+        attempt.sent_at = self.harness.clock.seconds()
+        self.in_flight[target.id] = [*self.in_flight.pop(target.id, []), attempt]
         head = attempt.data.decode().replace("\r\n", " | ").rstrip(" |")
-        self.world.say(f"-> {attempt.target.id}  {head}")
+        self.harness.record(f"-> {target.id}  {head}")
 
     def close_connections(self, target):
-        self.world.say(f"nothing is kept at {target.id}")
+        self.harness.record(f"nothing is kept at {target.id}")
 
 
-class World:
-    """One ingress in z1 of region r1, three servers, and what a test tells them."""
+class ProxyHarness:
+    """The proxy of one node in zone z1 of region r1, and what a test makes clients, servers and quotas do."""
 
-    def __init__(self, boot, whole, servers, answers_for=None):
-        self.clock, self.lines, self.lists = Clock(), [], 0
-        leases = SlowStartLeases(self.clock, 1, random.Random(5), lambda *_: None, lambda: [1], self.cold_numbers, True)
-        self.clock.advance(100.0)
-        self.serving = True
-        boot = settings.parse_settings(boot)
-        self.membership = MembershipTable(Member(1, 0, MemberFlags.READY, last_heartbeat=100.0), 1e6)
+    def __init__(self, settings_text, configuration_text, servers):
+        self.clock = Clock()
+        self.transcript = []
+        self.list_count = 0
+        leases = SlowStartLeases(
+            self.clock, 1, random.Random(5), lambda *_: None, lambda: [1], self.wanted_leases, True
+        )
+        self.clock.advance(START_S)
+        self.can_serve = True
+        self.membership = MembershipTable(Member(1, 0, MemberFlags.READY, last_heartbeat=START_S), 1e6)
         self.endpoints = EndpointList()
-        self.servers = Lines(self)
-        self.asks = []
+        self.upstream_pool = StubUpstreamPool(self)
+        self.quota_requests = []
         self.proxy = Proxy(
-            self.clock,
-            boot,
-            self.membership,
-            self.endpoints,
-            self.servers,
-            lambda: self.serving,
-            self.asks.append,
-            random.Random(7),
+            ProxyDependencies(
+                clock=self.clock,
+                settings=settings.parse_settings(settings_text),
+                membership=self.membership,
+                endpoints=self.endpoints,
+                upstream_pool=self.upstream_pool,
+                can_serve=lambda: self.can_serve,
+                consult_quota=self.quota_requests.append,
+                rng=random.Random(7),
+            )
         )
-        self.proxy.table = routing_table.RoutingTable(configuration.parse_configuration(whole))
-        self.proxy.slow_start_leases = leases
-        self.list(servers)
+        self.set_configuration(configuration_text)
+        self.proxy.slow_start.leases = leases
+        self.set_endpoints(servers)
 
-    def cold_numbers(self, now):
-        return self.proxy.wanted_leases(now)
+    def wanted_leases(self, now):
+        return self.proxy.slow_start.wanted_leases(now)
+
+    def record(self, text):
+        self.transcript.append(f"{self.clock.seconds() - START_S:6.2f}  {text}")
+
+    def advance(self, seconds):
+        self.clock.advance(seconds)
 
-    def say(self, text):
-        self.lines.append(f"{self.clock.seconds() - 100.0:6.2f}  {text}")
+    def set_configuration(self, text):
+        self.proxy.table = routing_table.RoutingTable(configuration.parse_configuration(text))
 
-    def list(self, servers):
-        """(id, service, zone) and what else the platform's list says of each."""
-        found = [
-            ListedInstance(id, service, f"10.9.0.{n}:80", zone, **more)
-            for n, (id, service, zone, more) in enumerate(servers, 1)
+    def set_endpoints(self, servers):
+        """`servers`: id, service, zone and further fields of each in the platform's list."""
+        listed = [
+            ListedInstance(instance_id, service, f"10.9.0.{number}:80", zone, **fields)
+            for number, (instance_id, service, zone, fields) in enumerate(servers, 1)
         ]
-        self.lists += 1
-        self.endpoints.update_from_platform(self.clock.seconds() + 1e-6 * self.lists, found)
+        self.list_count += 1
+        self.endpoints.update_from_platform(self.clock.seconds() + 1e-6 * self.list_count, listed)
         self.proxy.update_endpoints()
 
-    def ask(self, name, method=b"GET", path=b"/one/x", key=b"k1", long=0, **fields):
-        """A client's request."""
+    # -- clients -------------------------------------------------------------------------------------------
+
+    def request(self, name, method=b"GET", path=b"/one/x", key=b"k1", upload_bytes=0, **fields):
+        """Send a client's request, whose body is streamed if `upload_bytes` is not 0; return its context."""
         headers = {b"host": b"a.example", b"request-id": name.encode(), b"deadline-ms": b"3000"}
         if key:
             headers[b"authorization"] = b"Bearer " + key
-        headers.update({k.encode().replace(b"_", b"-"): v for k, v in fields.items()})
-        self.say(f"{name} -> {method.decode()} {path.decode()}")
-        body, client_conn = b"scan" if method == b"POST" else b"", ClientConnection(self, name)
-        if long:
-            client_conn.upload = Upload(long, lambda: None, lambda: None)
-        return self.proxy.handle_request(
-            client_conn, Request(method, path, headers, body, True, bool(long), b"1", long or len(body))
-        )
-
-    def count(self, before=0.0, previous=0.0, left=0.5, silent=False):
-        """The tally's holder answers the oldest question, or doesn't."""
-        stays = self.asks.pop(0).done(None if silent else (before, previous, left))
-        self.say(f"tally: {'silent' if silent else before}, the units {'stay' if stays else 'are taken off'}")
-
-    def out(self):
-        """The server that was sent to last and has not answered."""
-        return [id for id, out in self.servers.out.items() if out][-1]
-
-    def answer(self, status=200, id=None, **fields):
-        """The server answers the oldest request it has."""
-        id = id or self.out()
-        attempt = self.servers.out[id].pop(0)
+        headers.update(header_fields(fields))
+        self.record(f"{name} -> {method.decode()} {path.decode()}")
+        body = b"scan" if method == b"POST" else b""
+        client_conn = StubClientConnection(self, name)
+        if upload_bytes:
+            client_conn.upload = Upload(upload_bytes, lambda: None, lambda: None)
+        request = Request(method, path, headers, body, True, bool(upload_bytes), b"1", upload_bytes or len(body))
+        return self.proxy.handle_request(client_conn, request)
+
+    # -- quota ---------------------------------------------------------------------------------------------
+
+    def answer_quota(self, current=0.0, previous=0.0, share_left=0.5):
+        """Answer the oldest quota request."""
+        is_counted = self.quota_requests.pop(0).done((current, previous, share_left))
+        self._record_quota(current, is_counted)
+
+    def time_out_quota(self):
+        """Let the oldest quota request end without an answer."""
+        is_counted = self.quota_requests.pop(0).done(None)
+        self._record_quota("silent", is_counted)
+
+    def _record_quota(self, answer, is_counted):
+        self.record(f"tally: {answer}, the units {'stay' if is_counted else 'are taken off'}")
+
+    # -- servers -------------------------------------------------------------------------------------------
+
+    def last_server(self):
+        """The server that was sent to last, of those with an attempt in flight."""
+        return [instance_id for instance_id, attempts in self.upstream_pool.in_flight.items() if attempts][-1]
+
+    def respond(self, status=200, **fields):
+        """Let the last server respond to its oldest attempt."""
+        instance_id = self.last_server()
+        attempt = self.upstream_pool.in_flight[instance_id].pop(0)
         headers = {
             b"request-id": attempt.request_id,
-            b"server-stamp": b"st-" + id.encode(),
+            b"server-stamp": b"st-" + instance_id.encode(),
             b"keep-alive": b"timeout=9",
         }
-        headers.update({k.encode().replace(b"_", b"-"): v for k, v in fields.items()})
-        self.say(f"{id}: {status}{' not executed' if 'not_executed' in fields else ''}")
+        headers.update(header_fields(fields))
+        self.record(f"{instance_id}: {status}{' not executed' if 'not_executed' in fields else ''}")
         attempt.end(EndReason.RESPONSE, Response(status, headers, b"bytes", True))
 
-    def begin(self, status=200, **fields):
-        """The server begins a long answer, which goes on as it comes; gives what is to be ended."""
-        attempt = self.servers.out[self.out()][0]
-        headers = {k.encode().replace(b"_", b"-"): v for k, v in fields.items()}
-        response = Response(status, headers, b"part", True, True, 1 << 21)
-        self.say(f"{attempt.target.id}: {status}, more to come")
-        if attempt.begun(attempt, response, None) is None:
-            self.servers.out[attempt.target.id].pop(0)
-            return attempt.end(EndReason.RESPONSE, response)
-        return lambda why: (self.servers.out[attempt.target.id].pop(0), attempt.end(why, response))
-
-    def lose(self, why=EndReason.CONNECTION_LOST, written=True):
-        """The connection ends without an answer, or never came up."""
-        id = self.out()
-        attempt = self.servers.out[id].pop(0)
-        attempt.written = written
-        self.say(f"{id}: {REASON_TEXTS[why]}")
-        attempt.end(why)
-
-    def wait(self, seconds):
-        self.clock.advance(seconds)
+    def start_response(self, status=200, **fields):
+        """Let the last server begin a long response.
+
+        Returns a function that ends it, None if the proxy does not stream it: then it has ended whole.
+        """
+        attempts = self.upstream_pool.in_flight[self.last_server()]
+        attempt = attempts[0]
+        response = Response(status, header_fields(fields), b"part", True, True, 1 << 21)
+        self.record(f"{attempt.target.id}: {status}, more to come")
+        if attempt.on_response_start(attempt, response, None) is None:
+            attempts.pop(0)
+            attempt.end(EndReason.RESPONSE, response)
+            return None
+
+        def end_response(reason):
+            self.upstream_pool.in_flight[attempt.target.id].pop(0)
+            attempt.end(reason, response)
+
+        return end_response
+
+    def end_without_response(self, reason=EndReason.CONNECTION_LOST, is_written=True):
+        """Let the last server's oldest attempt end without a response."""
+        instance_id = self.last_server()
+        attempt = self.upstream_pool.in_flight[instance_id].pop(0)
+        attempt.is_written = is_written
+        self.record(f"{instance_id}: {END_REASON_TEXTS[reason]}")
+        attempt.end(reason)
--- a/tests/balancer/proxy/test_listener.py
+++ b/tests/balancer/proxy/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Connections of clients on a stand-in transport: what comes in pieces, too much, or too large."""
+"""Client connections on a stub transport: requests in pieces, streamed bodies and responses, and limits."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 from mapleline.http1.buffers import BUFFER_SIZE, BufferPool
 
 
-class Transport:
+class StubTransport:
     """Takes what is sent, and knows how it ended."""
 
     bufferSize = 0
@@ -39,21 +39,21 @@
         self.paused = False
 
 
-class TestDoors(unittest.TestCase):
+class TestClientConnection(unittest.TestCase):
     def setUp(self):
-        self.clock, self.taken = Clock(), []
+        self.clock, self.handled = Clock(), []
         self.listener = Listener(
-            self.clock, BufferPool(), lambda client_conn, request: self.taken.append((client_conn, request))
+            self.clock, BufferPool(), lambda client_conn, request: self.handled.append((client_conn, request))
         )
         self.listener.idle_timeout_s = 15.0
 
     def client_conn(self):
         client_conn = self.listener.buildProtocol(None)
-        client_conn.transport, client_conn.connected = Transport(), 1
+        client_conn.transport, client_conn.connected = StubTransport(), 1
         client_conn.connectionMade()
         return client_conn
 
-    def test_requests_in_pieces_and_behind_each_other_are_answered_in_order(self):
+    def test_split_and_pipelined_requests_are_answered_in_order(self):
         client_conn = self.client_conn()
         for piece in (
             b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Le",
@@ -61,10 +61,10 @@
             b"anGET /b HTTP/1.1\r\nHost: x\r\n\r\n",
         ):
             client_conn.dataReceived(piece)
-        self.assertEqual([r.body for _, r in self.taken], [b"scan"])
+        self.assertEqual([r.body for _, r in self.handled], [b"scan"])
         client_conn.reply(200, b"first")
         self.clock.advance(0)
-        self.assertEqual([r.target for _, r in self.taken], [b"/a", b"/b"])
+        self.assertEqual([r.target for _, r in self.handled], [b"/a", b"/b"])
         self.listener.is_draining = True
         client_conn.reply(503, b"second", b"Retry-After: 0.30\r\n")
         self.assertEqual(
@@ -77,16 +77,16 @@
         )
         self.assertEqual(client_conn.transport.ended, "closed")
 
-    def test_a_long_body_goes_on_as_it_comes_and_no_faster_than_a_server_takes_it(self):
-        self.listener.stream_from = 4 * BUFFER_SIZE
+    def test_a_long_body_is_streamed_no_faster_than_a_server_takes_it(self):
+        self.listener.stream_threshold_bytes = 4 * BUFFER_SIZE
         client_conn = self.client_conn()
         client_conn.dataReceived(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n")
         client_conn.dataReceived(bytes(70000))
-        [(_, request)] = self.taken
+        [(_, request)] = self.handled
         self.assertEqual((len(request.body), request.length, client_conn.transport.paused), (70000, 100000, True))
-        server = Transport()
+        server = StubTransport()
         server.flushed = True
-        client_conn.upload.attach(server, lambda: self.taken.append("out"))
+        client_conn.upload.attach(server, lambda: self.handled.append("out"))
         self.assertFalse(client_conn.transport.paused)
         server.flushed = False
         client_conn.dataReceived(bytes(20000))
@@ -95,42 +95,42 @@
         client_conn.upload.flushed()
         self.assertFalse(client_conn.transport.paused)
         client_conn.dataReceived(bytes(10000))
-        self.assertEqual((len(server.sent), self.taken[1:]), (30000, ["out"]))
+        self.assertEqual((len(server.sent), self.handled[1:]), (30000, ["out"]))
         client_conn.reply(200, b"kept")
-        self.assertEqual((client_conn.transport.ended, self.listener.pool.held), ("", 0))
+        self.assertEqual((client_conn.transport.ended, self.listener.buffer_pool.held), ("", 0))
 
-    def test_who_is_answered_amid_a_long_body_reads_why_before_the_connection_ends(self):
-        self.listener.stream_from = 4 * BUFFER_SIZE
+    def test_a_client_rejected_amid_its_body_can_read_the_response_before_the_close(self):
+        self.listener.stream_threshold_bytes = 4 * BUFFER_SIZE
         client_conn = self.client_conn()
         client_conn.dataReceived(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n" + bytes(70000))
         client_conn.reply(429, b"over")
         self.assertEqual((client_conn.transport.ended, client_conn.transport.paused), ("half", False))
         self.assertIn(b"Connection: close", client_conn.transport.sent)
         client_conn.dataReceived(bytes(30000) + b"GET /smuggled HTTP/1.1\r\nHost: x\r\n\r\n")
-        self.assertEqual(len(self.taken), 1)
+        self.assertEqual(len(self.handled), 1)
         self.listener.close_idle_connections(self.clock.seconds() + 7.0)
         self.assertEqual(client_conn.transport.ended, "aborted")
 
-    def test_a_long_answer_goes_out_in_parts_and_one_cut_off_never_looks_whole(self):
+    def test_a_streamed_response_that_is_cut_off_never_looks_complete(self):
         for length, whole, end in ((9, True, b"part"), (None, True, b"\r\n0\r\n\r\n"), (9, False, b"part")):
-            client_conn, source = self.client_conn(), Transport()
+            client_conn, source = self.client_conn(), StubTransport()
             client_conn.dataReceived(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
-            client_conn.begin(200, b"Server-Stamp: s\r\n", length, source)
-            client_conn.part(b"first")
-            client_conn.part(b"part")
-            client_conn.ended(whole)
+            client_conn.begin_reply(200, b"Server-Stamp: s\r\n", length, source)
+            client_conn.send_part(b"first")
+            client_conn.send_part(b"part")
+            client_conn.end_reply(whole)
             self.assertTrue(client_conn.transport.sent.endswith(end))
             self.assertEqual(client_conn.transport.ended, "" if whole else "closed")
 
-    def test_bodies_beyond_their_part_of_the_memory_go_on_at_once(self):
-        self.listener.pool.most, self.listener.stream_from = 20 * BUFFER_SIZE, 1 << 20
+    def test_bodies_beyond_their_share_of_memory_are_streamed_at_once(self):
+        self.listener.buffer_pool.most, self.listener.stream_threshold_bytes = 20 * BUFFER_SIZE, 1 << 20
         for _ in range(5):
             head = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000\r\n\r\n"
             self.client_conn().dataReceived(head + bytes(8 * BUFFER_SIZE))
-        self.assertEqual([r.more for _, r in self.taken], [True] * 3)  # the first two have what room there was
-        self.assertLessEqual(self.listener.pool.out, 20)
+        self.assertEqual([r.more for _, r in self.handled], [True] * 3)  # the first two have what room there was
+        self.assertLessEqual(self.listener.buffer_pool.out, 20)
 
-    def test_a_head_or_a_body_beyond_the_limits_is_refused(self):
+    def test_a_head_or_body_beyond_the_limits_is_rejected(self):
         self.listener.max_header_bytes, self.listener.max_body_bytes = 200, 10
         for data, status in (
             (b"GET /a HTTP/1.1\r\nHost: x\r\nA: " + b"b" * 300 + b"\r\n\r\n", b"431"),
@@ -140,4 +140,4 @@
             client_conn = self.client_conn()
             client_conn.dataReceived(data)
             self.assertEqual((client_conn.transport.sent[9:12], client_conn.transport.ended), (status, "closed"))
-        self.assertEqual(self.taken, [])
+        self.assertEqual(self.handled, [])
--- /dev/null
+++ b/tests/balancer/proxy/test_outcome.py
@@ -0,0 +1,35 @@
+"""Whether a request may have been executed, by what is known of its attempts."""
+
+import unittest
+
+from mapleline.balancer.proxy import outcome
+from mapleline.balancer.proxy.outcome import Outcome
+from mapleline.http1.messages import Response
+
+
+class TestOutcome(unittest.TestCase):
+    def test_only_the_servers_statement_or_an_unwritten_request_rules_execution_out(self):
+        self.assertEqual(outcome.classify_status(503, True), Outcome.NOT_EXECUTED)
+        self.assertEqual(outcome.classify_status(421, False), Outcome.NOT_EXECUTED)
+        self.assertEqual(outcome.classify_status(503, False), Outcome.EXECUTED)
+        self.assertEqual(
+            (outcome.classify_loss(False), outcome.classify_loss(True)), (Outcome.NOT_EXECUTED, Outcome.UNKNOWN)
+        )
+        self.assertFalse(outcome.may_retry("upload", Outcome.UNKNOWN))
+        self.assertEqual(
+            [
+                outcome.final_status(worst_outcome, is_timeout)
+                for worst_outcome, is_timeout in (
+                    (Outcome.NOT_EXECUTED, True),
+                    (Outcome.UNKNOWN, True),
+                    (Outcome.EXECUTED, False),
+                )
+            ],
+            [503, 504, 502],
+        )
+
+    def test_statuses_that_promise_no_execution_are_forwarded_only_where_the_promise_is_true(self):
+        for status in (200, 404, 408, 429, 500, 503, 504):
+            for kind in ("idempotent", "non_idempotent", "upload"):
+                is_forwarded = outcome.may_forward(kind, Response(status, {}, b"", True))
+                self.assertEqual(is_forwarded, kind == "idempotent" or status not in (408, 429, 503), (status, kind))
--- a/tests/balancer/proxy/test_proxy.py
+++ b/tests/balancer/proxy/test_proxy.py
@@ -1,13 +1,13 @@
-"""The data plane by whole exchanges: what a client is told, and what a server is sent, in every kind of trouble."""
+"""The data plane by whole exchanges: what a client and a server receive, compared with approved transcripts."""
 
 import json
 import unittest
 
 from mapleline.balancer.proxy.outcome import EndReason
 
-from .proxy_harness import World, approve
+from .proxy_harness import ProxyHarness, approve
 
-BOOT = """\
+SETTINGS = """\
 node_name=edge-1
 ip_address=0.0.0.1
 zone=z1
@@ -28,7 +28,7 @@
     "target_service": "s1",
     "max_attempts": 2,
 }
-WHOLE = {
+CONFIGURATION = {
     "config_version": 7,
     "route_table": {
         "read": dict(ROUTE, path_prefix="/one/", route_kind="idempotent"),
@@ -51,171 +51,171 @@
 ]
 
 
-class TestDesk(unittest.TestCase):
+class TestProxy(unittest.TestCase):
     def setUp(self):
-        self.world = World(BOOT, json.dumps(WHOLE).encode(), SERVERS)
+        self.harness = ProxyHarness(SETTINGS, json.dumps(CONFIGURATION).encode(), SERVERS)
 
     def approve(self, name):
-        approve(self, name, self.world.lines)
-
-    def test_served(self):
-        w = self.world
-        w.ask("q1", tenant=b"forged", x_other=b"kept", connection=b"close")
-        w.wait(0.2)
-        w.answer(server_load=b"1,0,2", content_encoding=b"none")
-        w.ask("q2", b"POST", b"/book/7?day=1")
-        w.answer(500)
-        w.ask("q3", path=b"/free/x", key=b"")
-        w.answer(404)
+        approve(self, name, self.harness.transcript)
+
+    def test_responses_are_forwarded_unchanged_and_own_headers_replaced(self):
+        harness = self.harness
+        harness.request("q1", tenant=b"forged", x_other=b"kept", connection=b"close")
+        harness.advance(0.2)
+        harness.respond(server_load=b"1,0,2", content_encoding=b"none")
+        harness.request("q2", b"POST", b"/book/7?day=1")
+        harness.respond(500)
+        harness.request("q3", path=b"/free/x", key=b"")
+        harness.respond(404)
         self.approve("served")
 
-    def test_turned_away_before_it_is_sent(self):
-        w = self.world
-        w.ask("no-route", path=b"/two/x")
-        w.ask("no-key", key=b"")
-        w.ask("bad-key", key=b"k9")
-        w.ask("no-id", request_id=b"")
-        w.ask("homes", b"POST", b"/home/x", key=b"k3")
-        w.serving = False
-        w.ask("unknowing")
+    def test_requests_rejected_at_admission_reach_no_server(self):
+        harness = self.harness
+        harness.request("no-route", path=b"/two/x")
+        harness.request("no-key", key=b"")
+        harness.request("bad-key", key=b"k9")
+        harness.request("no-id", request_id=b"")
+        harness.request("homes", b"POST", b"/home/x", key=b"k3")
+        harness.can_serve = False
+        harness.request("unknowing")
         self.approve("turned_away")
 
-    def test_a_server_says_that_it_has_not_run(self):
-        w = self.world
-        w.ask("q1", b"POST", b"/book/7")
-        w.answer(503, not_executed=b"1")
-        w.answer(421)
-        w.ask("q2", b"POST", b"/book/8")
-        w.answer(503, not_executed=b"1")
-        w.answer()
+    def test_a_request_that_a_server_did_not_execute_goes_to_another(self):
+        harness = self.harness
+        harness.request("q1", b"POST", b"/book/7")
+        harness.respond(503, not_executed=b"1")
+        harness.respond(421)
+        harness.request("q2", b"POST", b"/book/8")
+        harness.respond(503, not_executed=b"1")
+        harness.respond()
         self.approve("not_executed")
 
-    def test_a_server_promises_what_only_not_executed_says(self):
-        w = self.world
+    def test_statuses_that_promise_no_execution_are_not_forwarded_without_not_executed(self):
+        harness = self.harness
         for n, status in enumerate((503, 429, 408)):
-            w.ask(f"book{n}", b"POST", b"/book/7")
-            w.answer(status)
-        w.ask("long", b"POST", b"/book/7", expect=b"100-continue")  # which is ours to answer
-        w.begin(503)
-        w.ask("read")
-        w.answer(429)
-        w.ask("turned-away", b"POST", b"/book/7")
-        w.answer(429, not_executed=b"1")
-        w.answer(421)
+            harness.request(f"book{n}", b"POST", b"/book/7")
+            harness.respond(status)
+        harness.request("long", b"POST", b"/book/7", expect=b"100-continue")  # which is ours to answer
+        harness.start_response(503)
+        harness.request("read")
+        harness.respond(429)
+        harness.request("turned-away", b"POST", b"/book/7")
+        harness.respond(429, not_executed=b"1")
+        harness.respond(421)
         self.approve("promises")
 
-    def test_it_may_have_run(self):
-        w = self.world
-        w.ask("book", b"POST", b"/book/7")
-        w.lose()
-        w.ask("read")
-        w.lose(EndReason.PROTOCOL_ERROR)
-        w.answer()
-        w.ask("again")
-        w.lose()
-        w.lose()
+    def test_a_request_that_may_have_been_executed_is_retried_only_if_idempotent(self):
+        harness = self.harness
+        harness.request("book", b"POST", b"/book/7")
+        harness.end_without_response()
+        harness.request("read")
+        harness.end_without_response(EndReason.PROTOCOL_ERROR)
+        harness.respond()
+        harness.request("again")
+        harness.end_without_response()
+        harness.end_without_response()
         self.approve("may_have_run")
 
-    def test_nothing_was_written(self):
-        w = self.world
-        w.ask("book", b"POST", b"/book/7")
-        w.lose(EndReason.UNREACHABLE, written=False)
-        w.lose(EndReason.UNREACHABLE, written=False)
-        w.lose(EndReason.UNREACHABLE, written=False)
-        w.lose(EndReason.UNREACHABLE, written=False)
+    def test_servers_out_of_reach_do_not_count_as_attempts_up_to_a_limit(self):
+        harness = self.harness
+        harness.request("book", b"POST", b"/book/7")
+        harness.end_without_response(EndReason.UNREACHABLE, is_written=False)
+        harness.end_without_response(EndReason.UNREACHABLE, is_written=False)
+        harness.end_without_response(EndReason.UNREACHABLE, is_written=False)
+        harness.end_without_response(EndReason.UNREACHABLE, is_written=False)
         self.approve("nothing_written")
 
-    def test_the_deadline(self):
-        w = self.world
-        w.ask("book", b"POST", b"/book/7", deadline_ms=b"900")
-        w.wait(0.9)
-        w.proxy.endpoints.instances.clear()
-        w.ask("none", b"POST", b"/book/8")
+    def test_a_deadline_gives_504_after_an_attempt_and_503_without(self):
+        harness = self.harness
+        harness.request("book", b"POST", b"/book/7", deadline_ms=b"900")
+        harness.advance(0.9)
+        harness.endpoints.instances.clear()
+        harness.request("none", b"POST", b"/book/8")
         self.approve("deadline")
 
-    def test_a_silent_server_and_the_first_answer_of_two(self):
-        w = self.world
-        w.ask("read")
-        w.wait(1.1)
-        w.answer()
-        w.answer()
-        w.ask("book", b"POST", b"/book/7")
-        w.wait(1.1)
+    def test_an_idempotent_request_is_hedged_and_the_first_response_counts(self):
+        harness = self.harness
+        harness.request("read")
+        harness.advance(1.1)
+        harness.respond()
+        harness.respond()
+        harness.request("book", b"POST", b"/book/7")
+        harness.advance(1.1)
         self.approve("silent_server")
 
-    def test_the_budget_of_further_tries(self):
-        w = self.world
+    def test_retries_stop_when_the_budget_is_spent(self):
+        harness = self.harness
         for n in range(9):
-            w.ask(f"q{n}")
-            w.lose()
-            if any(w.servers.out.values()):
-                w.answer()
+            harness.request(f"q{n}")
+            harness.end_without_response()
+            if any(harness.upstream_pool.in_flight.values()):
+                harness.respond()
         self.approve("budget")
 
-    def test_a_quota(self):
-        w = self.world
-        w.ask("inside", key=b"k2")
-        w.count(before=3.0)
-        w.answer()
-        w.ask("over", key=b"k2")
-        w.count(before=60.0)
-        w.ask("unknown", key=b"k2")
-        w.count(silent=True)
-        w.ask("gone", key=b"k2").on_client_disconnected()
-        w.count(before=0.0)
+    def test_requests_are_served_or_rejected_by_their_quota(self):
+        harness = self.harness
+        harness.request("inside", key=b"k2")
+        harness.answer_quota(current=3.0)
+        harness.respond()
+        harness.request("over", key=b"k2")
+        harness.answer_quota(current=60.0)
+        harness.request("unknown", key=b"k2")
+        harness.time_out_quota()
+        harness.request("gone", key=b"k2").on_client_disconnected()
+        harness.answer_quota(current=0.0)
         self.approve("quota")
 
-    def test_a_key_taken_away_while_the_tally_is_asked(self):
-        from mapleline.balancer import configuration, routing_table
-
-        w = self.world
-        w.ask("q1", key=b"k2")
-        later = {**WHOLE, "config_version": 8, "tenant_table": {"t1": {"api_keys": ["k1"]}}}
-        w.proxy.table = routing_table.RoutingTable(configuration.parse_configuration(json.dumps(later).encode()))
-        w.count(before=0.0)
+    def test_a_key_revoked_while_the_quota_is_consulted_is_not_served(self):
+        harness = self.harness
+        harness.request("q1", key=b"k2")
+        later = {**CONFIGURATION, "config_version": 8, "tenant_table": {"t1": {"api_keys": ["k1"]}}}
+        harness.set_configuration(json.dumps(later).encode())
+        harness.answer_quota(current=0.0)
         self.approve("key_taken_away")
 
-    def test_who_gets_nothing(self):
-        w = self.world
-        w.list([("i-a", "s1", "z1", {"state": "draining"}), *SERVERS[1:]])
-        w.proxy.evacuated_zones = {"z2"}
-        w.ask("q1")
-        w.answer()
-        w.list([("i-d", "s1", "z1", {"cold_left": "3s"}), ("i-e", "s1", "z2", {})])
+    def test_servers_draining_evacuated_or_warming_up_get_no_more_than_they_may(self):
+        harness = self.harness
+        harness.set_endpoints([("i-a", "s1", "z1", {"state": "draining"}), *SERVERS[1:]])
+        harness.proxy.evacuated_zones = {"z2"}
+        harness.request("q1")
+        harness.respond()
+        harness.set_endpoints([("i-d", "s1", "z1", {"cold_left": "3s"}), ("i-e", "s1", "z2", {})])
         for n in range(2, 5):  # one turn of the cold one, by its owner; the other is in the evacuated zone
-            w.ask(f"q{n}")
-        w.wait(0.5)
-        w.ask("q5")
+            harness.request(f"q{n}")
+        harness.advance(0.5)
+        harness.request("q5")
         self.approve("who_gets_nothing")
 
-    def test_bodies_that_go_on_as_they_come(self):
-        w = self.world
-        w.ask("up", b"POST", b"/book/7", long=2 << 20)
-        w.answer(503, not_executed=b"1")
-        w.answer()
-        w.wait(3.0)
-        w.ask("spent", b"POST", b"/book/8", long=2 << 20).is_body_discarded = True  # more has gone out than is held
-        w.answer(503, not_executed=b"1")
-        w.wait(3.0)
-        w.ask("down")
-        end = w.begin()
-        w.wait(1.5)  # no second server is asked
+    def test_streamed_bodies_have_one_server_and_an_honest_end(self):
+        harness = self.harness
+        harness.request("up", b"POST", b"/book/7", upload_bytes=2 << 20)
+        harness.respond(503, not_executed=b"1")
+        harness.respond()
+        harness.advance(3.0)
+        harness.request(
+            "spent", b"POST", b"/book/8", upload_bytes=2 << 20
+        ).on_body_discarded()  # more has gone out than is held
+        harness.respond(503, not_executed=b"1")
+        harness.advance(3.0)
+        harness.request("down")
+        end = harness.start_response()
+        harness.advance(1.5)  # no second server is asked
         end(EndReason.RESPONSE)
-        w.ask("cut")
-        w.begin()(EndReason.CONNECTION_LOST)
-        w.ask("full")
-        w.begin(503, not_executed=b"1")
-        w.answer()
-        w.ask("slow", deadline_ms=b"900")
-        w.begin()
-        w.wait(0.9)
+        harness.request("cut")
+        harness.start_response()(EndReason.CONNECTION_LOST)
+        harness.request("full")
+        harness.start_response(503, not_executed=b"1")
+        harness.respond()
+        harness.request("slow", deadline_ms=b"900")
+        harness.start_response()
+        harness.advance(0.9)
         self.approve("streams")
 
-    def test_a_full_region_is_left_to_those_who_may_go_nowhere_else(self):
-        w = self.world
+    def test_the_last_slots_of_a_region_are_left_to_requests_that_may_not_leave_it(self):
+        harness = self.harness
         for n in range(6):
-            w.ask(f"read{n}")
+            harness.request(f"read{n}")
         for n in range(8):
-            w.ask(f"home{n}", b"POST", b"/home/x")
-        w.ask("second", b"POST", b"/home/x", deadline_ms=b"1900")
+            harness.request(f"home{n}", b"POST", b"/home/x")
+        harness.request("second", b"POST", b"/home/x", deadline_ms=b"1900")
         self.approve("full")
--- a/tests/balancer/proxy/test_slow_start_leases.py
+++ b/tests/balancer/proxy/test_slow_start_leases.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from mapleline.balancer.proxy.slow_start_leases import LEASE_S, LeaseHolder, LeaseVoter, SlowStartLeases
-from mapleline.balancer.proxy.upstream import CONNECT_TIMEOUT_S
+from mapleline.balancer.proxy.upstream_pool import CONNECT_TIMEOUT_S
 from mapleline.balancer.transport.messages import LeaseGrant
 from mapleline.simulation.event_loop import EventLoop
 from tests.balancer.proxy.lease_cluster import LEASE_ID, LeaseCluster
--- a/tests/balancer/transport/test_fencing_of_nodes.py
+++ b/tests/balancer/transport/test_fencing_of_nodes.py
@@ -63,7 +63,7 @@
             one, other = [m for m in self.world().machines.values() if m.zone == "a1"]
             for report in (LoadReport({7: 3}, {}, 1), LoadReport({7: 5}, {}, 2), LoadReport({7: 3}, {}, 1)):
                 other.node.dispatcher.receive(one.ip, report)
-            return other.node.proxy.near[one.ip][1].in_flight
+            return other.node.proxy.load_reports.received[one.ip].report.in_flight
 
         self.assertEqual(reported(), {7: 5})
         with mock.patch.object(Fence, "accept_sequence", return_value=True):
--- a/tests/simulation/test_scenario.py
+++ b/tests/simulation/test_scenario.py
@@ -7,8 +7,9 @@
 from mapleline.balancer.control import commands, state
 from mapleline.balancer.control.consensus import Acceptor
 from mapleline.balancer.membership.table import MembershipTable
-from mapleline.balancer.proxy import proxy
-from mapleline.balancer.proxy.proxy import Proxy
+from mapleline.balancer.proxy import outcome
+from mapleline.balancer.proxy.endpoint_selection import EndpointSelection
+from mapleline.balancer.proxy.slow_start import SlowStart
 from mapleline.policy.window import Tenancy
 from mapleline.simulation.final_fault import RESTART_S, FinalFault, check_read_back
 from mapleline.simulation.history import Acknowledged
@@ -226,7 +227,11 @@
 
     def test_slow_start_evacuation_and_home_regions(self):
         self.breaks(
-            Rule.FAILBACK, restarted_zone, mock.patch.object(Proxy, "is_warming_up", lambda *_: False), 4.0, load=2.0
+            Rule.FAILBACK,
+            restarted_zone,
+            mock.patch.object(SlowStart, "is_warming_up", lambda *_: False),
+            4.0,
+            load=2.0,
         )
         self.breaks(
             Rule.EVACUATION,
@@ -234,7 +239,9 @@
             mock.patch.object(commands, "set_evacuation", lambda held, zone, begin: held),
             9.0,
         )
-        self.breaks(Rule.HOME, no_faults, mock.patch.object(Proxy, "_allowed_regions", lambda *_: None), 1.0)
+        self.breaks(
+            Rule.HOME, no_faults, mock.patch.object(EndpointSelection, "_allowed_regions", lambda *_: None), 1.0
+        )
 
     def test_an_isolated_ingress_admits_no_more_than_its_quota_share(self):
         def isolated_ingress(scenario):
@@ -254,9 +261,5 @@
 
     def test_quotas_and_requests_that_may_have_run(self):
         self.breaks(Rule.QUOTA, overloading_tenant, mock.patch.object(Tenancy, "over", lambda *_: None))
-        self.breaks(
-            Rule.TWICE, lost_server_responses, mock.patch.object(proxy.outcome, "may_repeat", lambda *_: True), 10.0
-        )
-        self.breaks(
-            Rule.REFUSED, lost_server_responses, mock.patch.object(proxy.outcome, "final_status", lambda *_: 503)
-        )
+        self.breaks(Rule.TWICE, lost_server_responses, mock.patch.object(outcome, "may_retry", lambda *_: True), 10.0)
+        self.breaks(Rule.REFUSED, lost_server_responses, mock.patch.object(outcome, "final_status", lambda *_: 503))
--- a/tests/simulation/test_slow_start_scenarios.py
+++ b/tests/simulation/test_slow_start_scenarios.py
@@ -8,8 +8,8 @@
 from mapleline.balancer.configuration_applier import ConfigurationApplier
 from mapleline.balancer.discovery.endpoints import EndpointList
 from mapleline.balancer.node import Node
-from mapleline.balancer.proxy import proxy
-from mapleline.balancer.proxy.proxy import Proxy
+from mapleline.balancer.proxy import slow_start
+from mapleline.balancer.proxy.slow_start import SlowStart
 from mapleline.simulation import slow_start_scenarios
 from mapleline.simulation.invariants import Rule
 from mapleline.simulation.slow_start_scenarios import SlowStartOptions, run_slow_start
@@ -22,7 +22,7 @@
 
 def warms_up_for_a_fixed_time(self, instance, now):
     """Let a zone warm up for a fixed time after its evacuation, whatever the list shows by then."""
-    return now < max(instance.warming_until, self.cooling.get(instance.zone, -1e9) + 2.0)
+    return now < max(instance.warming_until, self.required_fetch_time.get(instance.zone, -1e9) + 2.0)
 
 
 def ignore_missed_evacuations(self, before, apply=ConfigurationApplier.apply):
@@ -31,7 +31,7 @@
     apply(self, before)
     for zone, _ in self._control_plane.state.changed:
         if zone not in emptied:
-            self._proxy.cooling.pop(zone, None)
+            self._proxy.slow_start.required_fetch_time.pop(zone, None)
 
 
 def restart_zone(scenario, zone):
@@ -56,7 +56,7 @@
     def test_isolated_ingresses_do_not_each_send_to_a_warming_server(self):
         self.breaks(
             slow_start_scenarios.isolated_machines,
-            mock.patch.object(Proxy, "has_lease", has_lease_by_own_view),
+            mock.patch.object(SlowStart, "has_lease", has_lease_by_own_view),
             duration_s=5.0,
             load=8.0,
             machines_without_disk=9,
@@ -65,7 +65,7 @@
     def test_a_zone_after_its_evacuation_warms_up_until_a_list_could_show_it(self):
         self.breaks(
             slow_start_scenarios.late_endpoint_list,
-            mock.patch.object(Proxy, "is_warming_up", warms_up_for_a_fixed_time),
+            mock.patch.object(SlowStart, "is_warming_up", warms_up_for_a_fixed_time),
             duration_s=10.0,
         )
 
@@ -104,7 +104,9 @@
             slow_start_scenarios.overload(scenario, load_factor=30.0)
             scenario.world.after(1.0, lambda: restart_zone(scenario, "a1"))
 
-        self.breaks(restart_under_load, mock.patch.object(proxy, "WARM_UP_MARGIN_S", 0.0), duration_s=7.0, load=3.0)
+        self.breaks(
+            restart_under_load, mock.patch.object(slow_start, "WARM_UP_MARGIN_S", 0.0), duration_s=7.0, load=3.0
+        )
 
     def test_stacked_random_faults(self):
         for seed in (103, 201, 323):  # each broke the rule once
