--- a/mapleline/balancer/proxy/attempts.py
+++ b/mapleline/balancer/proxy/attempts.py
@@ -1,6 +1,6 @@
 """The attempts of a request: sending, retrying, hedging, and what their ends mean for the client.
 
-docs/design/towards-servers.md has the cases one by one.
+docs/design/attempt-outcomes.md has the cases one by one.
 """
 
 from __future__ import annotations
--- a/mapleline/balancer/proxy/outcome.py
+++ b/mapleline/balancer/proxy/outcome.py
@@ -1,6 +1,6 @@
 """Whether a request may have been executed by a server: the one place that decides it for every end of an attempt.
 
-The rules are those of docs/design/towards-servers.md: a request that is not idempotent may be executed once at most,
+The rules are those of docs/design/attempt-outcomes.md: a request that is not idempotent may be executed once at most,
 and the statuses 408, 421, 429 and 503 promise a client that it was not executed.
 """
 
--- a/mapleline/balancer/proxy/slow_start.py
+++ b/mapleline/balancer/proxy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: which servers are warming up, who alone sends to them, and at which rate (docs/design/cold.md)."""
+"""Slow start: which servers are warming up, who alone sends to them, and at which rate (docs/design/slow-start.md)."""
 
 from __future__ import annotations
 
