--- a/mapleline/balancer/cli/data_folder.py
+++ b/mapleline/balancer/cli/data_folder.py
@@ -46,7 +46,7 @@
         state = self.committed_state()
         if state is None:
             return "a replica that knows of no state yet"
-        vote = "a voter" if state.is_voter(self.record.ip, self.record.disk) else "no voter"
+        vote = "a voter" if state.is_voter(self.record.ip, self.record.disk_id) else "no voter"
         has_only_committed = self.record.accepted_state in (None, state)
         uncommitted = "" if has_only_committed else "; accepted beyond it, and not known to be chosen"
         version = state.config.version if state.config is not None else None
--- a/mapleline/balancer/control/consensus.py
+++ b/mapleline/balancer/control/consensus.py
@@ -58,7 +58,7 @@
 
     round: int
     ip: int
-    disk: int
+    disk_id: int
 
 
 NO_BALLOT = Ballot(0, 0, 0)
@@ -69,7 +69,7 @@
 
     Attributes:
         ip: the address of the machine.
-        disk: the identity of the disk, drawn when it was empty.
+        disk_id: the identity of the disk, drawn when it was empty.
         promised: the highest ballot that was promised.
         accepted_ballot: the ballot under which `accepted_state` was accepted.
         accepted_state: the state that was accepted last.
@@ -79,7 +79,7 @@
     """
 
     ip: int
-    disk: int
+    disk_id: int
     promised: Ballot = NO_BALLOT
     accepted_ballot: Ballot = NO_BALLOT
     accepted_state: State | None = None
@@ -122,9 +122,9 @@
         self.on_record_saved(record)
 
     @property
-    def disk(self) -> int:
+    def disk_id(self) -> int:
         """The identity of the disk."""
-        return self.record.disk
+        return self.record.disk_id
 
     @property
     def accepted_state(self) -> State | None:
@@ -202,7 +202,7 @@
 
     def on_record_saved(self, record: Record) -> None:
         """Note that a record is on the disk; records may be reported in any order."""
-        if record.disk != self.disk:
+        if record.disk_id != self.disk_id:
             return
         chosen = record.chosen_state
         if chosen is not None:
--- a/mapleline/balancer/control/lease_prober.py
+++ b/mapleline/balancer/control/lease_prober.py
@@ -134,7 +134,7 @@
         if acceptor is not None and self._replica.disk_id:
             report = StateReport(
                 query.nonce,
-                acceptor.disk,
+                acceptor.disk_id,
                 acceptor.durable_version,
                 acceptor.durable_accepted_number,
                 number,
--- a/mapleline/balancer/control/reconfiguration.py
+++ b/mapleline/balancer/control/reconfiguration.py
@@ -82,7 +82,7 @@
 
 def _replace_disk(voters: set[Replica], able: Mapping[int, Replica]) -> set[Replica] | None:
     for voter in sorted(voters):
-        if voter.ip in able and able[voter.ip].disk != voter.disk:
+        if voter.ip in able and able[voter.ip].disk_id != voter.disk_id:
             return voters - {voter} | {able[voter.ip]}
     return None
 
--- a/mapleline/balancer/control/replica.py
+++ b/mapleline/balancer/control/replica.py
@@ -50,7 +50,7 @@
     @property
     def disk_id(self) -> int:
         """The identity of the disk; 0 where there is none, or it is not durable yet."""
-        return self.acceptor.disk if self.acceptor is not None and self.store is not None else 0
+        return self.acceptor.disk_id if self.acceptor is not None and self.store is not None else 0
 
     @property
     def is_voter(self) -> bool:
@@ -225,7 +225,7 @@
         if state is not None and state.config is not None and state.config.digest != call.known_content:
             body = self._committed.contents.get(state.config.digest)
         version = record.version if ok else 0
-        reply = Promised(ok, record.disk, record.promised, record.accepted_ballot, state, body, version)
+        reply = Promised(ok, record.disk_id, record.promised, record.accepted_ballot, state, body, version)
         return self._reply_when_durable(acceptor, reply, Promised(False, 0))
 
     def accept(self, call: Accept) -> Reply | Deferred[Reply]:
@@ -234,10 +234,10 @@
         if acceptor is None:
             return Accepted(False, 0)
         if not self._committed.add_body(call.state, call.configuration_body):
-            return Accepted(False, acceptor.disk, needs_body=True)
+            return Accepted(False, acceptor.disk_id, needs_body=True)
         ok = acceptor.accept(call.ballot, call.state)
         record = acceptor.record
-        reply = Accepted(ok, record.disk, record.promised, record_version=record.version)
+        reply = Accepted(ok, record.disk_id, record.promised, record_version=record.version)
         return self._reply_when_durable(acceptor, reply, Accepted(False, 0))
 
     def handle_chosen(self, message: Chosen) -> None:
--- a/mapleline/balancer/control/replica_monitor.py
+++ b/mapleline/balancer/control/replica_monitor.py
@@ -112,7 +112,7 @@
         state = self._committed.state
         if state is None or not self.is_coordinator(now):
             return False
-        voters = {(voter.ip, voter.disk) for voter in state.voters}
+        voters = {(voter.ip, voter.disk_id) for voter in state.voters}
         learners = {
             member.ip
             for member in self._context.membership.alive(now, MemberFlags.HAS_DISK)
@@ -216,7 +216,7 @@
             part = "lost"
         elif member is not None and member.is_leaving:
             part = "leaving"
-        elif voter is not None and disk_id in (0, voter.disk):
+        elif voter is not None and disk_id in (0, voter.disk_id):
             part = "voter"
         else:
             part = "learner"
--- a/mapleline/balancer/control/snapshot.py
+++ b/mapleline/balancer/control/snapshot.py
@@ -175,7 +175,7 @@
         self.folder = Path(data_folder) / FOLDER
         self._lock = threading.Lock()
         self._record: Record | None = None  #: as it is on the disk
-        self._former_disks: set[int] = set()  #: identities that this folder had, and has given up
+        self._former_disk_ids: set[int] = set()  #: identities that this folder had, and has given up
         self._digests: set[int] = set()  #: of the contents on the disk
         self._unreferenced: set[str] = set()  #: files to be removed
         self._last_scrubbed = -1  #: index of the file that was scrubbed last
@@ -244,10 +244,10 @@
 
     def _is_saved(self, record: Record) -> bool:
         """Return whether that record, or a later one of its disk, is on the disk."""
-        if record.disk in self._former_disks:
+        if record.disk_id in self._former_disk_ids:
             raise ReplacedReplicaError(errno.ESTALE, "this folder is another replica's by now")
         saved = self._record
-        return saved is not None and saved.disk == record.disk and saved.version >= record.version
+        return saved is not None and saved.disk_id == record.disk_id and saved.version >= record.version
 
     def _write_content(self, digest: int, body: bytes) -> None:
         name = content_file(digest)
@@ -258,8 +258,8 @@
 
     def _write_record(self, record: Record) -> None:
         write_file(self.folder / RECORD_FILE, msgspec.msgpack.encode(record))
-        if self._record is not None and self._record.disk != record.disk:
-            self._former_disks.add(self._record.disk)
+        if self._record is not None and self._record.disk_id != record.disk_id:
+            self._former_disk_ids.add(self._record.disk_id)
         self._record = record
 
     def _remove(self, names: Iterable[str]) -> None:
--- a/mapleline/balancer/control/state.py
+++ b/mapleline/balancer/control/state.py
@@ -27,7 +27,7 @@
     """Identifies a replica: an IPv4 address and the identity of the disk at that address."""
 
     ip: int
-    disk: int
+    disk_id: int
 
 
 class ConfigurationRef(NamedTuple):
@@ -44,18 +44,18 @@
 
     Attributes:
         ip: the IPv4 address.
-        disk: the identity of the disk; 0 for any disk at the address (the seeds, until the first voters are chosen).
+        disk_id: the identity of the disk; 0 for any disk at the address (the seeds, until the first voters are chosen).
         zone: the number of the machine's zone.
     """
 
     ip: int
-    disk: int
+    disk_id: int
     zone: int = 0
 
     def matches(self, replica_id: ReplicaId) -> bool:
         """Return whether that address and disk are this replica."""
-        ip, disk = replica_id
-        return self.ip == ip and self.disk in (0, disk)
+        ip, disk_id = replica_id
+        return self.ip == ip and self.disk_id in (0, disk_id)
 
 
 class State(msgspec.Struct, array_like=True, frozen=True):
@@ -93,9 +93,9 @@
         """Return whether these replicas hold a majority of each set of voters."""
         return all(has_majority(voters, replica_ids) for voters in (self.voters, self.former) if voters)
 
-    def is_voter(self, ip: int, disk: int) -> bool:
+    def is_voter(self, ip: int, disk_id: int) -> bool:
         """Return whether that replica is one of `voters`."""
-        return any(voter.ip == ip and voter.disk == disk for voter in self.voters)
+        return any(voter.ip == ip and voter.disk_id == disk_id for voter in self.voters)
 
     def without_past(self) -> State:
         """Return the state as machines without a disk get it: they never propose, so they need no past versions."""
--- a/tests/balancer/cli/test_data_folder.py
+++ b/tests/balancer/cli/test_data_folder.py
@@ -39,7 +39,7 @@
             self.assertEqual(data_folder.restore_archive(Path(other), self.dump.encode()).ok, "state 1 written")
             record, contents, faults = SnapshotStore(other).load()
             self.assertEqual((record.earlier_chosen, contents, faults), (state(1, 1), bodies(1), []))
-            self.assertEqual((record.ip, record.disk, record.accepted_state), (0, 0, None))
+            self.assertEqual((record.ip, record.disk_id, record.accepted_state), (0, 0, None))
             self.assertIn("no voter of 3", data_folder.check_archive(Path(other)).ok)
             self.assertIn("already", data_folder.restore_archive(Path(other), self.dump.encode()).error)
 
--- a/tests/balancer/control/builders.py
+++ b/tests/balancer/control/builders.py
@@ -3,9 +3,9 @@
 from mapleline.balancer.control.state import Replica, State
 
 
-def replica(ip, disk=None, zone=None):
+def replica(ip, disk_id=None, zone=None):
     """A replica whose disk and zone are numbered as its address, where nothing else is said."""
-    return Replica(ip, ip if disk is None else disk, ip if zone is None else zone)
+    return Replica(ip, ip if disk_id is None else disk_id, ip if zone is None else zone)
 
 
 def replicas(*ips):
--- a/tests/balancer/control/consensus_model/convergence.py
+++ b/tests/balancer/control/consensus_model/convergence.py
@@ -97,7 +97,7 @@
 def _is_rightly_placed(world, machine):
     """Whether a machine with a disk votes, or its vote would take fault tolerance away."""
     voters = set(world.newest_chosen.voters)
-    replica = Replica(machine.ip, machine.disk.record.disk, machine.ip)
+    replica = Replica(machine.ip, machine.disk.record.disk_id, machine.ip)
     if replica in voters:
         return True
     if machine.ip in {voter.ip for voter in voters}:
--- a/tests/balancer/control/consensus_model/disk_faults.py
+++ b/tests/balancer/control/consensus_model/disk_faults.py
@@ -27,7 +27,7 @@
         machine = self.world.machines.get(replica.ip)
         if machine is None or machine.is_removed or machine.disk is None or machine.disk.record is None:
             return False
-        return machine.disk.record.disk == replica.disk and (replica.ip, replica.disk) not in self.rolled_back
+        return machine.disk.record.disk_id == replica.disk_id and (replica.ip, replica.disk_id) not in self.rolled_back
 
     def take_loss(self, ip):
         """Whether that machine's disk may be lost now; if so, it is noted as lost.
@@ -69,17 +69,17 @@
         history = machine.disk.history
         record, contents = history[index % len(history)]
         others = [node for node in self.world.running_nodes() if node.ip != ip]
-        remembered = max((node.highest_versions.get((ip, record.disk), 0) for node in others), default=0)
+        remembered = max((node.highest_versions.get((ip, record.disk_id), 0) for node in others), default=0)
         if record.version < remembered:
             self.world.crash(ip, 0)
             machine.disk.record = record
             machine.disk.contents = contents
-            self.rolled_back[ip, record.disk] = remembered
+            self.rolled_back[ip, record.disk_id] = remembered
             self.world.start(ip)
 
     def reveal_rollback(self, machine):
         """One that remembers more asks first: until then nobody could tell."""
-        disk = machine.disk.record.disk if machine.disk is not None and machine.disk.record is not None else 0
-        if (machine.ip, disk) in self.rolled_back:
-            query = StateQuery(0, disk, self.rolled_back[machine.ip, disk])
+        disk_id = machine.disk.record.disk_id if machine.disk is not None and machine.disk.record is not None else 0
+        if (machine.ip, disk_id) in self.rolled_back:
+            query = StateQuery(0, disk_id, self.rolled_back[machine.ip, disk_id])
             machine.node.on_query(next(iter(self.world.machines)), query)
--- a/tests/balancer/control/consensus_model/invariants.py
+++ b/tests/balancer/control/consensus_model/invariants.py
@@ -18,7 +18,9 @@
 
 
 def _has_majority(voters, replica_ids):
-    present = sum(any(ip == voter.ip and voter.disk in (0, disk) for ip, disk in replica_ids) for voter in voters)
+    present = sum(
+        any(ip == voter.ip and voter.disk_id in (0, disk_id) for ip, disk_id in replica_ids) for voter in voters
+    )
     return 2 * present > len(voters)
 
 
@@ -95,7 +97,7 @@
             is_complete = referenced_digests(record) <= node.disk.contents
             assert is_complete or node.disk.record.version > record.version, "not whole"
         link = self.proposed.get(record.accepted_ballot)
-        replica_id = record.ip, record.disk
+        replica_id = record.ip, record.disk_id
         if link is None or replica_id in link.accepted_by:
             return
         link.accepted_by.add(replica_id)
@@ -175,7 +177,7 @@
 
     def on_reply_made(self, node, record):
         """A reply is made: not of less than an earlier one."""
-        promised, accepted = self._replied.get((record.ip, record.disk), NO_BALLOTS)
+        promised, accepted = self._replied.get((record.ip, record.disk_id), NO_BALLOTS)
         assert record.promised >= promised, f"{node.ip} has forgotten a promise"
         assert record.accepted_ballot >= accepted, f"{node.ip} has forgotten what it accepted"
 
@@ -215,7 +217,7 @@
         if node.disk is None or node.acceptor is None or node.disk.record is None:
             return
         record = node.disk.record
-        if record.disk == node.acceptor.disk:
-            promised, accepted = self._replied.get((node.ip, record.disk), NO_BALLOTS)
+        if record.disk_id == node.acceptor.disk_id:
+            promised, accepted = self._replied.get((node.ip, record.disk_id), NO_BALLOTS)
             assert record.promised >= promised, "answered, and not on the disk"
             assert record.accepted_ballot >= accepted, "answered, and not on the disk"
--- a/tests/balancer/control/consensus_model/machine.py
+++ b/tests/balancer/control/consensus_model/machine.py
@@ -25,7 +25,7 @@
     def save(self, record, contents):
         """Save a record unless a newer one of its disk is there; KeyError where a content is missing."""
         saved = self.record
-        if saved is not None and saved.disk == record.disk and saved.version >= record.version:
+        if saved is not None and saved.disk_id == record.disk_id and saved.version >= record.version:
             return
         referenced = referenced_digests(record)
         if referenced - self.contents - contents:
--- a/tests/balancer/control/consensus_model/mutants.py
+++ b/tests/balancer/control/consensus_model/mutants.py
@@ -109,7 +109,7 @@
         return
     record = self.acceptor.record
     is_granted = call.ballot == record.promised
-    reply = Promised(is_granted, record.disk, record.promised, record.accepted_ballot, record.accepted_state, BODY)
+    reply = Promised(is_granted, record.disk_id, record.promised, record.accepted_ballot, record.accepted_state, BODY)
     if is_granted:
         self.world.invariants.on_reply_sent(self, reply, record.accepted_ballot)
     answer(reply)
@@ -120,7 +120,7 @@
     if self.acceptor is None or self.acceptor.record.accepted_ballot != call.ballot:
         return
     record = self.acceptor.record
-    reply = Accepted(True, record.disk, record.promised)
+    reply = Accepted(True, record.disk_id, record.promised)
     self.world.invariants.on_reply_sent(self, reply, record.accepted_ballot)
     answer(reply)
 
@@ -252,7 +252,7 @@
     record = disk.record if disk is not None else None
     Original.wipe(self, ip)
     if record is not None and disk.record is None:
-        disk.record = Record(ip, record.disk)
+        disk.record = Record(ip, record.disk_id)
 
 
 def _believe_older_folder(self, ip, query):
--- a/tests/balancer/control/consensus_model/node.py
+++ b/tests/balancer/control/consensus_model/node.py
@@ -28,7 +28,7 @@
 class ReplicaReport(NamedTuple):
     """What a machine with a disk last said of it."""
 
-    disk: int
+    disk_id: int
     durable_number: int
     asked_at: float
 
@@ -147,7 +147,7 @@
     def is_voter(self):
         if self.disk is None or self.acceptor is None or self.state is None:
             return False
-        return self.state.is_voter(self.ip, self.acceptor.disk)
+        return self.state.is_voter(self.ip, self.acceptor.disk_id)
 
     @property
     def number(self):
@@ -171,17 +171,18 @@
             return
         nonce = next(self.world.nonces)
         self.queries[nonce] = ip, now
-        disk = self.report_of(ip).disk
-        self.world.send(self.ip, ip, StateQuery(nonce, disk, self.highest_versions.get((ip, disk), 0)))
+        disk_id = self.report_of(ip).disk_id
+        version = self.highest_versions.get((ip, disk_id), 0)
+        self.world.send(self.ip, ip, StateQuery(nonce, disk_id, version))
 
     def query_own_replica(self, now):
         accepted = self.acceptor.accepted_state if self.is_voter else None
         if accepted is not None and accepted.number <= self.state.number:
-            self.read_lease.on_agreement(ReplicaId(self.ip, self.acceptor.disk), now)
+            self.read_lease.on_agreement(ReplicaId(self.ip, self.acceptor.disk_id), now)
 
     def on_query(self, ip, query):
         if self.is_rolled_back(query):
-            assert (self.ip, self.acceptor.disk) in self.world.disk_faults.rolled_back, (
+            assert (self.ip, self.acceptor.disk_id) in self.world.disk_faults.rolled_back, (
                 f"{self.ip} gives its disk up without cause"
             )
             # what was here may have voted on the first voters
@@ -195,7 +196,7 @@
         """Whether the sender has seen a later record of this disk than is on it."""
         if self.acceptor is None or self.disk is None:
             return False
-        is_of_this_disk = query.receiver_disk_id == self.acceptor.disk
+        is_of_this_disk = query.receiver_disk_id == self.acceptor.disk_id
         return is_of_this_disk and query.receiver_record_version > self.acceptor.durable_version
 
     def send_report(self, ip, query, acceptor):
@@ -207,7 +208,7 @@
         else:
             report = StateReport(
                 query.nonce,
-                acceptor.disk,
+                acceptor.disk_id,
                 acceptor.durable_version,
                 acceptor.durable_accepted_number,
                 number,
@@ -326,21 +327,21 @@
             and accepted.config.digest in self.contents
         )
         body = BODY if has_new_body else None
-        reply = Promised(is_granted, record.disk, record.promised, record.accepted_ballot, accepted, body)
+        reply = Promised(is_granted, record.disk_id, record.promised, record.accepted_ballot, accepted, body)
         self.reply_when_saved(acceptor, reply, record.accepted_ballot, Promised(False, 0), answer)
 
     def on_accept(self, call, answer):
         acceptor = self.acceptor
-        if not self.may_vote() or not self.may_found() and not call.state.is_voter(self.ip, acceptor.disk):
+        if not self.may_vote() or not self.may_found() and not call.state.is_voter(self.ip, acceptor.disk_id):
             answer(Accepted(False, 0))
             return
         self.add_body(call.state, call.configuration_body)
         if not has_contents(call.state, self.contents):
-            answer(Accepted(False, acceptor.disk, needs_body=True))
+            answer(Accepted(False, acceptor.disk_id, needs_body=True))
             return
         is_granted = acceptor.accept(call.ballot, call.state)
         record = acceptor.record
-        reply = Accepted(is_granted, record.disk, record.promised)
+        reply = Accepted(is_granted, record.disk_id, record.promised)
         self.reply_when_saved(acceptor, reply, record.accepted_ballot, Accepted(False, 0), answer)
 
     def reply_when_saved(self, acceptor, reply, accepted_ballot, refusal, answer):
--- a/tests/balancer/control/consensus_model/proposer.py
+++ b/tests/balancer/control/consensus_model/proposer.py
@@ -101,11 +101,11 @@
 
     def status_of(self, ip, voter, base):
         now = self.world.now
-        disk, durable_number, asked_at = self.node.report_of(ip)
+        disk_id, durable_number, asked_at = self.node.report_of(ip)
         if ip == self.node.ip:
-            disk, durable_number, asked_at = self.node.acceptor.disk, base.number, now
-        is_recent = now - asked_at < 2 * QUERY_INTERVAL_S and bool(disk)
-        replica = Replica(ip, disk, ip) if is_recent or voter is None else voter
+            disk_id, durable_number, asked_at = self.node.acceptor.disk_id, base.number, now
+        is_recent = now - asked_at < 2 * QUERY_INTERVAL_S and bool(disk_id)
+        replica = Replica(ip, disk_id, ip) if is_recent or voter is None else voter
         is_complete = is_recent and durable_number > 0 and durable_number + MAX_STATES_BEHIND >= base.number
         is_leaving = self.world.machines[ip].is_leaving
         return ReplicaStatus(replica, is_complete, is_leaving, self.world.unreachable_s(self.node.ip, ip))
@@ -114,7 +114,7 @@
         """Found the system with all machines that are known to have a disk."""
         node = self.node
         voters = [
-            Replica(ip, node.acceptor.disk if ip == node.ip else node.reports[ip].disk, ip)
+            Replica(ip, node.acceptor.disk_id if ip == node.ip else node.reports[ip].disk_id, ip)
             for ip in self.world.reachable_ips(node.ip)
             if ip == node.ip or ip in node.reports
         ]
--- a/tests/balancer/control/consensus_model/quorums.py
+++ b/tests/balancer/control/consensus_model/quorums.py
@@ -48,7 +48,7 @@
 def _can_decide(world, records, known_states):
     """Whether these replicas alone could have a change chosen for some proposer."""
     newest = max(records, key=lambda record: record.accepted_ballot)
-    replica_ids = {(record.ip, record.disk) for record in records}
+    replica_ids = {(record.ip, record.disk_id) for record in records}
     for known in known_states:
         accepted = newest.accepted_state
         is_base_accepted = accepted is not None and accepted.number >= known.number
--- a/tests/balancer/control/consensus_model/world.py
+++ b/tests/balancer/control/consensus_model/world.py
@@ -278,10 +278,10 @@
         if node is None or not node.is_voter or len(voter_ips) <= 2 * self.machine_losses:
             return
         disks = {
-            other: report.disk
+            other: report.disk_id
             for other, report in node.reports.items()
-            if report.disk and report.durable_number and self.disk_faults.is_present(Replica(other, report.disk))
+            if report.disk_id and report.durable_number and self.disk_faults.is_present(Replica(other, report.disk_id))
         }
-        disks[ip] = node.acceptor.disk
+        disks[ip] = node.acceptor.disk_id
         if all(voter_ip in disks for voter_ip in voter_ips):
             node.proposer.wanted_voters = tuple(Replica(voter_ip, disks[voter_ip], voter_ip) for voter_ip in voter_ips)
--- a/tests/balancer/control/recovery_cluster.py
+++ b/tests/balancer/control/recovery_cluster.py
@@ -126,7 +126,7 @@
         self._world = cluster.world
         disk = machine.disk
         record, contents = disk.record, dict(disk.contents)
-        self.old_disk_id = record.disk
+        self.old_disk_id = record.disk_id
         self.votes = []  # when, and which reply
         self.ballots = []  # when, and which call
         cluster.replace_configuration(100)
--- a/tests/balancer/control/snapshot_case.py
+++ b/tests/balancer/control/snapshot_case.py
@@ -12,7 +12,7 @@
 from mapleline.balancer.control.snapshot import FOLDER, LoadedSnapshot, SnapshotStore, content_file
 from mapleline.balancer.control.state import ConfigurationRef, Replica, State, content_digest
 
-IP, DISK, SYSTEM = 1, 7, 99
+IP, DISK_ID, SYSTEM = 1, 7, 99
 
 
 def body(version: int, size: int = 0) -> bytes:
@@ -32,7 +32,7 @@
 
 def state(number: int, version: int, size: int = 0) -> State:
     """A state of three voters, in which the configuration of that version is in force."""
-    voters = (Replica(IP, DISK), Replica(2, 8), Replica(3, 9))
+    voters = (Replica(IP, DISK_ID), Replica(2, 8), Replica(3, 9))
     config = ConfigurationRef(version, content_digest(body(version, size)))
     return State(number, SYSTEM, 1, voters, config=config)
 
@@ -47,20 +47,20 @@
 def accepted(number: int, chosen: State | None = None, size: int = 0) -> Record:
     """A record whose version, round, state and configuration have one number."""
     ballot = Ballot(number, 1, 1)
-    return Record(IP, DISK, ballot, ballot, state(number, number, size), chosen, version=number)
+    return Record(IP, DISK_ID, ballot, ballot, state(number, number, size), chosen, version=number)
 
 
 FIRST, SECOND, THIRD, NINTH = (Ballot(1, 1, 1), Ballot(2, 1, 1), Ballot(3, 2, 1), Ballot(9, 2, 1))
 
 #: what one replica goes through: founded, a change accepted, chosen, two at once, a promise alone, back to no body
 STEPS = [
-    Step(Record(IP, DISK, version=0), {}),
-    Step(Record(IP, DISK, FIRST, FIRST, state(1, 1), version=1), bodies(1)),
-    Step(Record(IP, DISK, FIRST, FIRST, state(1, 1), None, True, version=2), bodies(1)),
-    Step(Record(IP, DISK, SECOND, SECOND, state(2, 2), state(1, 1), version=3), bodies(1, 2)),
-    Step(Record(IP, DISK, THIRD, SECOND, state(2, 2), state(1, 1), version=4), bodies(1, 2)),
-    Step(Record(IP, DISK, THIRD, SECOND, state(2, 2), state(5, 3), version=5), bodies(2, 3)),
-    Step(Record(IP, DISK, NINTH, NINTH, state(6, 4), state(5, 3), version=6), bodies(3, 4)),
+    Step(Record(IP, DISK_ID, version=0), {}),
+    Step(Record(IP, DISK_ID, FIRST, FIRST, state(1, 1), version=1), bodies(1)),
+    Step(Record(IP, DISK_ID, FIRST, FIRST, state(1, 1), None, True, version=2), bodies(1)),
+    Step(Record(IP, DISK_ID, SECOND, SECOND, state(2, 2), state(1, 1), version=3), bodies(1, 2)),
+    Step(Record(IP, DISK_ID, THIRD, SECOND, state(2, 2), state(1, 1), version=4), bodies(1, 2)),
+    Step(Record(IP, DISK_ID, THIRD, SECOND, state(2, 2), state(5, 3), version=5), bodies(2, 3)),
+    Step(Record(IP, DISK_ID, NINTH, NINTH, state(6, 4), state(5, 3), version=6), bodies(3, 4)),
 ]
 
 
--- a/tests/balancer/control/test_reconfiguration.py
+++ b/tests/balancer/control/test_reconfiguration.py
@@ -39,7 +39,7 @@
         self.assertIsNone(due(joint, ReplicaStatus(replica(6), True)))
 
     def test_a_voter_with_another_disk_is_replaced_before_all_else(self):
-        replaced = replica(2, disk=22)
+        replaced = replica(2, disk_id=22)
         expected = {*self.state.voters} - {self.state.voters[1]} | {replaced}
         self.assertEqual(
             due(self.state, ReplicaStatus(replaced, True), ReplicaStatus(self.newcomer, True)),
--- a/tests/balancer/control/test_recovery.py
+++ b/tests/balancer/control/test_recovery.py
@@ -148,11 +148,11 @@
         cluster.world.run(8.0)
         self.assertGreater(cluster.world.now, began_at)
         self.assertEqual((replica.votes, replica.ballots), ([], []))
-        disk_id = machine.disk.record.disk
+        disk_id = machine.disk.record.disk_id
         self.assertNotEqual(disk_id, replica.old_disk_id)
         self.assertTrue(cluster.is_recovered(machine))
         voters = cluster.machines[0].node.control_plane.state.voters
-        self.assertIn((machine.ip, disk_id), {(voter.ip, voter.disk) for voter in voters})
+        self.assertIn((machine.ip, disk_id), {(voter.ip, voter.disk_id) for voter in voters})
 
     def test_a_replica_does_not_take_up_the_folder_of_another_machine(self):
         cluster = RecoveryCluster(13)
@@ -162,7 +162,7 @@
         machine.disk.record, machine.disk.contents = other.disk.record, dict(other.disk.contents)
         cluster.recover(machine)
         others = [other for other in cluster.machines if other is not machine]
-        self.assertNotIn(machine.disk.record.disk, {other.disk.record.disk for other in others})
+        self.assertNotIn(machine.disk.record.disk_id, {other.disk.record.disk_id for other in others})
         self.assertEqual(machine.disk.record.ip, machine.ip)
 
     def test_without_the_confirmation_of_peers_a_rolled_back_replica_would_vote(self):
--- a/tests/balancer/control/test_snapshot.py
+++ b/tests/balancer/control/test_snapshot.py
@@ -15,7 +15,7 @@
 from mapleline.balancer.control.snapshot import SnapshotStore
 from tests.balancer.control.simulated_os import SimulatedFile, SimulatedOs
 from tests.balancer.control.snapshot_case import (
-    DISK,
+    DISK_ID,
     IP,
     STEPS,
     FolderCase,
@@ -134,7 +134,7 @@
 
     def test_no_record_is_written_of_an_identity_that_was_given_up(self):
         store = self.store_after(3)
-        another = Record(IP, DISK + 2)
+        another = Record(IP, DISK_ID + 2)
         store.save(another, {})
         with self.assertRaises(OSError):  # not silently: its promise would be sent, and be nowhere
             store.save(*STEPS[4])
--- a/tests/balancer/golden_samples.py
+++ b/tests/balancer/golden_samples.py
@@ -68,7 +68,7 @@
 def voters() -> tuple[Replica, ...]:
     """The three replicas of the simulated system."""
     return tuple(
-        Replica(ip=ip, disk=disk, zone=zone) for zone, (ip, disk) in enumerate(zip(ADDRESSES, DISKS, strict=True))
+        Replica(ip=ip, disk_id=disk, zone=zone) for zone, (ip, disk) in enumerate(zip(ADDRESSES, DISKS, strict=True))
     )
 
 
@@ -92,7 +92,7 @@
 def full_state() -> State:
     """A state with every field away from its default."""
     config = ConfigurationRef(NEW_VERSION, content_digest(config_body(NEW_VERSION)))
-    former = (Replica(ip=0x0A040001, disk=0x44444444, zone=3), Replica(ip=0x0A050001, disk=0, zone=4))
+    former = (Replica(ip=0x0A040001, disk_id=0x44444444, zone=3), Replica(ip=0x0A050001, disk_id=0, zone=4))
     return State(
         number=9,
         system=SYSTEM,
@@ -108,7 +108,7 @@
 
 def bare_state() -> State:
     """A state with every field that has a default at it."""
-    return State(number=1, system=SYSTEM, epoch=1, voters=(Replica(ip=SENDER, disk=DISKS[0]),))
+    return State(number=1, system=SYSTEM, epoch=1, voters=(Replica(ip=SENDER, disk_id=DISKS[0]),))
 
 
 # -- messages ----------------------------------------------------------------------------------------------
@@ -379,7 +379,7 @@
     old, new = agreed_state(5, OLD_VERSION), agreed_state(6, NEW_VERSION)
     ballot, higher = (4, SENDER, DISKS[0]), (5, RECEIVER, DISKS[1])
     both = contents(OLD_VERSION, NEW_VERSION)
-    first, second, third = ({"ip": ip, "disk": disk} for ip, disk in zip(ADDRESSES, DISKS, strict=True))
+    first, second, third = ({"ip": ip, "disk_id": disk} for ip, disk in zip(ADDRESSES, DISKS, strict=True))
     return {
         "machine_1": SnapshotSample(
             Record(
@@ -439,7 +439,7 @@
     return SnapshotSample(
         Record(
             ip=0,
-            disk=0,
+            disk_id=0,
             promised=none,
             accepted_ballot=none,
             accepted_state=None,
