--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -110,7 +110,7 @@
         me = Member(
             ip_to_int(settings.ip_address),
             self.topology.zone_index(settings.zone),
-            MemberFlags.HAS_DISK if settings.data_directory else 0,
+            int(MemberFlags.HAS_DISK) if settings.data_directory else 0,
             incarnation=int(environment.unix_time() * INCARNATIONS_PER_S) & INCARNATION_MASK,
             last_heartbeat=started_at,
         )
@@ -247,14 +247,16 @@
 
     def member_flags(self) -> int:
         """Return this node's flags as its heartbeats carry them."""
-        flags = MemberFlags.READY if self.is_ready() else 0
+        flags = MemberFlags(0)
+        if self.is_ready():
+            flags |= MemberFlags.READY
         if self.shutdown.is_draining:
             flags |= MemberFlags.LEAVING
         if self.membership.local_member.has_disk:
             flags |= MemberFlags.HAS_DISK
         if self.control_plane.monitor.can_propose:
             flags |= MemberFlags.CAN_PROPOSE
-        return flags
+        return int(flags)
 
     def handle_readiness(self, client_connection: ClientConnection, request: Request) -> None:
         """Answer a readiness probe: 200 or 503."""
--- /dev/null
+++ b/tests/balancer/test_process.py
@@ -0,0 +1,45 @@
+"""The settings file of a process."""
+
+import os
+import tempfile
+import unittest
+from pathlib import Path
+from unittest import mock
+
+from mapleline.balancer import process
+from mapleline.balancer.cli.trial.layout import settings_text
+from mapleline.balancer.settings import SettingsError
+
+
+class TestSettingsFile(unittest.TestCase):
+    def setUp(self):
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.path = Path(folder.name) / "boot.conf"
+        self.path.write_text(settings_text("z1", Path("/data"), is_initial=True))
+        variables = mock.patch.dict(os.environ, {process.SETTINGS_VARIABLE: str(self.path)})
+        variables.start()
+        self.addCleanup(variables.stop)
+        self.file = process.SettingsFile()
+
+    def test_it_is_parsed_again_only_if_its_text_has_changed(self):
+        settings = self.file.load()
+        self.path.write_text(self.path.read_text())
+        self.assertIs(self.file.load(), settings)
+        self.path.write_text(settings_text("z2", Path("/data"), is_initial=True))
+        self.assertEqual((settings.node_name, self.file.load().node_name), ("try-z1", "try-z2"))
+
+    def test_an_invalid_text_is_a_fault_until_it_is_mended(self):
+        text = self.path.read_text()
+        settings = self.file.load()
+        self.path.write_text("node_name=")
+        for _ in range(2):
+            with self.assertRaises(SettingsError):
+                self.file.load()
+        self.path.write_text(text)
+        self.assertIs(self.file.load(), settings)
+
+    def test_without_the_variable_it_says_what_the_variable_names(self):
+        del os.environ[process.SETTINGS_VARIABLE]
+        with self.assertRaisesRegex(SettingsError, "MAPLELINE_CONFIG: not set"):
+            self.file.load()
