--- a/tests/balancer/control/recovery_cluster.py
+++ b/tests/balancer/control/recovery_cluster.py
@@ -142,7 +142,7 @@
 
     def call(self, ip, message, timeout_s):
         """Call another machine, and watch the ballots."""
-        if isinstance(message, Prepare) and message.ballot.disk == self.old_disk_id:
+        if isinstance(message, Prepare) and message.ballot.disk_id == self.old_disk_id:
             self.ballots.append((self._world.now, message))
         return self._call(ip, message, timeout_s)
 
