--- a/mapleline/balancer/proxy/attempts.py
+++ b/mapleline/balancer/proxy/attempts.py
@@ -208,7 +208,7 @@
             return
         if response is not None and response.status == outcome.MISDIRECTED_REQUEST:
             self._selection.remove(attempt.target)
-        if self._take_next_attempt(context, attempt):
+        if self._may_attempt_again(context, attempt):
             self.dispatch(context)
             return
         if context.attempts:
@@ -225,7 +225,7 @@
             return None
         return response if outcome.may_forward(context.admitted.route.route_kind, response) else None
 
-    def _take_next_attempt(self, context: RequestContext, attempt: Attempt) -> bool:
+    def _may_attempt_again(self, context: RequestContext, attempt: Attempt) -> bool:
         """Return whether another server is to be asked; one that was not reached is free of the retry budget."""
         if attempt.end_reason is not EndReason.UNREACHABLE:
             return self._may_retry(context)
