--- a/mapleline/balancer/logs.py
+++ b/mapleline/balancer/logs.py
@@ -31,8 +31,3 @@
     root.handlers[:] = [handler]
     root.propagate = False
     root.setLevel(logging.INFO)
-
-
-def say(part: str, text: str, **fields: object) -> None:
-    """Log for modules that have no logger of their own yet."""
-    logging.getLogger(f"{ROOT_LOGGER}.{part}").info(text, extra=fields)
