--- a/mapleline/cores/supervisor.py
+++ b/mapleline/cores/supervisor.py
@@ -1,4 +1,4 @@
-"""The process that listens, watches discovery, keeps the workers, and serves nothing itself."""
+"""The supervisor of several workers: listens, watches discovery, restarts workers, and serves no request itself."""
 
 from __future__ import annotations
 
@@ -6,425 +6,338 @@
 import os
 import signal
 import socket
-import sys
 import time
-from collections import Counter
-from typing import Any
+from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from twisted.internet import error
-from twisted.internet.protocol import Factory, ProcessProtocol
-from twisted.python.failure import Failure
 
-from ..http1.buffers import BufferPool
 from ..ingress import BACKLOG, STAY_S, wait_for_reload, watch_twisted
 from ..net.alarm import clock_start
-from ..net.discovery import Directory, Watcher, backoff
-from ..policy import interface as i
+from ..net.discovery import Directory
 from ..settings import platform
-from ..settings.own import Own
 from ..settings.platform import Config, ConfigError
 from ..telemetry import COUNTS, log
-from .balance import Dispatcher, HandOver, Offer
-from .board import AccountBoard, IdBoard, Vetoes, size_of
-from .bulletin import Bulletin
-from .channel import Channel
-from .life import Lives
-from .worker import BOARD_FD, CHANNEL_FD, LEAST_SOCKETS, SPARE, SPARE_EACH, sockets_each
-
-MS = 1_000_000
-TICK_S = 0.02
-ACCEPTED_MOST = 64  # in one turn
-HANDLES_MOST = 12  # accepted and not yet a worker's: more are left to the kernel, or descriptors run out
-COUNTS_WAIT_S = 0.5  # for the workers' counters; who is stalled is named
-KILL_S = 60.0  # for a worker to finish what it has, after that
-
-
-class Place(ProcessProtocol):
-    """One worker's place: the process in it now, and its channel."""
-
-    def __init__(self, supervisor: Supervisor, number: int) -> None:
-        self.supervisor, self.number = supervisor, number
-        self.channel: Channel | None = None
-        self.ready = False
-        self.open = 0  #: requests, as last reported
-        self.counts: dict[str, int] = {}  #: of this process, as last reported
-        self.reason: Failure | None = None
-        self.cut = False
-
-    def processEnded(self, reason: Failure) -> None:
-        self.reason = reason
-        self._gone()
-
-    def channel_ended(self) -> None:
-        self.cut = True
-        self._gone()
-
-    def _gone(self) -> None:
-        """Once both have ended: what the process said last may be read after its death is known."""
-        if self.cut and self.reason is not None:
-            self.supervisor.ended(self, self.reason)
+from .connection_acceptor import ConnectionAcceptor
+from .connection_dispatcher import ConnectionDispatcher
+from .counter_collector import CounterCollector
+from .customer_table import CustomerTable
+from .drain_flags import DrainFlags
+from .messages import (
+    AcknowledgeServerList,
+    ClaimConnection,
+    CounterSnapshot,
+    HandOverConnection,
+    LoadReport,
+    RefuseConnection,
+    Report,
+    SetCounterAddress,
+    ShutDown,
+    StartWorker,
+    WorkerReady,
+)
+from .open_request_ids import clear_open_request_ids
+from .restart_policy import RestartPolicy
+from .server_list_publisher import ServerListPublisher
+from .shared_memory import total_bytes
+from .worker_config import MIN_WORKER_SOCKETS, min_sockets, worker_sockets
+from .worker_process import WorkerProcess
+
+if TYPE_CHECKING:
+    from twisted.python.failure import Failure
+
+    from ..settings.own import Cores, Own
+    from .reactor import Reactor
+
+NS_PER_MS = 1_000_000
+NS_PER_S = 1e9
+MS_PER_S = 1e3
+TICK_S = 0.02  # between two looks at expired offers
+KILL_AFTER_S = 60.0  # after the listener is closed, for a worker to finish what is open
+EXIT_CONFIGURATION = 2  # exit code: the configuration cannot be used
+EXIT_GAVE_UP = 3  # exit code: workers exited early again and again
+
+
+def check_config(config: Config, workers: int) -> None:
+    """Check that the platform's configuration can be used with so many workers.
+
+    Raises:
+        ConfigError: It cannot; the text begins with the faulty key.
+    """
+    if config.management:
+        raise ConfigError("management: not with several workers, whose supervisor has no such door")
+    if config.accept_fd is not None:
+        raise ConfigError(f"{platform.ACCEPT_FD}: not with several workers")
+    if worker_sockets(config.sockets, workers) < MIN_WORKER_SOCKETS:
+        least = min_sockets(workers)
+        raise ConfigError(f"limits.sockets: expected at least {least} for {workers} workers")
+
+
+def _restart_policy(settings: Cores) -> RestartPolicy:
+    return RestartPolicy(
+        initial_backoff_ns=settings.restart_pause_ms * NS_PER_MS,
+        max_backoff_ns=settings.restart_pause_most_ms * NS_PER_MS,
+        stable_after_ns=settings.settled_ms * NS_PER_MS,
+        max_early_exits=settings.deaths_most,
+    )
 
 
 class Supervisor:
-    """Owns the listener, the watch, the shared memory and the worker processes."""
-
-    def __init__(self, reactor: Any, config: Config, raw: object, own: Own, workers: int) -> None:
-        self.reactor, self.config, self.raw, self.own, self.workers = reactor, config, raw, own, workers
-        cores = own.cores
-        if config.management:
-            raise ConfigError("management: not with several workers, whose supervisor has no such door")
-        if config.accept_fd is not None:
-            raise ConfigError(f"{platform.ACCEPT_FD}: not with several workers")
-        if sockets_each(config.sockets, workers) < LEAST_SOCKETS:
-            least = (LEAST_SOCKETS + SPARE_EACH) * workers + SPARE
-            raise ConfigError(f"limits.sockets: expected at least {least} for {workers} workers")
-        self.board_fd = os.memfd_create("mapleline", os.MFD_CLOEXEC)  # goes with its last process
-        os.ftruncate(self.board_fd, size_of(workers, cores.accounts))
-        self.board = memoryview(mmap.mmap(self.board_fd, 0))
-        self.vetoes = Vetoes(self.board)
-        self.bulletin = Bulletin()
-        self.dispatcher = Dispatcher(cores.offer_ms * MS, cores.lean)
-        self.lives = Lives(
-            cores.restart_pause_ms * MS, cores.restart_pause_most_ms * MS, cores.settled_ms * MS, cores.deaths_most
-        )
-        self.clock_start = clock_start()
-        self.directory = Directory(config.zone_names, config.kind_names)
-        self.watcher = self._watcher(config.discovery)
-        self.places: dict[int, Place] = {}
-        self.handles: dict[int, tuple[socket.socket, bool]] = {}  #: accepted, granted to nobody yet
-        self.next = 0
-        self.dead: Counter[str] = Counter()  #: counters of processes that are gone
-        self.asked = 0
-        self.answers: dict[int, dict[str, int]] = {}
-        self.leaving = self.going = False
-        self.serving = False
-        self.status = 0
-        self.reading = False
-
-    def _watcher(self, address: platform.Address, whole: bool = False) -> Watcher:
-        pauses = backoff(self.config.start)
-        return Watcher(self.reactor, address, BufferPool(), self.directory, self.told, pauses, whole)
+    """Owns the listener, the watch of discovery, the shared memory and the worker processes."""
+
+    def __init__(self, reactor: Reactor, config: Config, raw_config: object, own: Own, workers: int) -> None:
+        """Set up the shared memory and the parts.
+
+        Args:
+            reactor: Runs the supervisor.
+            config: The platform's configuration.
+            raw_config: The same as read from its file, for the workers.
+            own: The program's own settings.
+            workers: Number of workers.
+
+        Raises:
+            ConfigError: The configuration cannot be used with so many workers.
+        """
+        check_config(config, workers)
+        self._reactor = reactor
+        self._config = config
+        self._raw_config = raw_config
+        self._log_form = own.log.form
+        self._settings = own.cores
+        self._worker_count = workers
+        self._memory_fd = os.memfd_create("mapleline", os.MFD_CLOEXEC)  # goes with its last process
+        os.ftruncate(self._memory_fd, total_bytes(workers, own.cores.accounts))
+        self._memory = memoryview(mmap.mmap(self._memory_fd, 0))
+        self._clock_start_ns = clock_start()
+        self._workers: dict[int, WorkerProcess] = {}
+        self._restarts = _restart_policy(own.cores)
+        self._server_list = ServerListPublisher(reactor, config, DrainFlags(self._memory), self._workers)
+        dispatcher = ConnectionDispatcher(own.cores.offer_ms * NS_PER_MS, own.cores.lean)
+        self._acceptor = ConnectionAcceptor(reactor, dispatcher, self._workers)
+        self._counters = CounterCollector(reactor, self._workers)
+        self._is_serving = False
+        self._is_shutting_down = False
+        self._is_listener_closed = False
+        self._exit_code = 0
 
     # --- start
 
     def run(self) -> int:
-        host, port = self.config.listen
+        """Serve until shut down; returns the exit code.
+
+        Raises:
+            ConfigError: The address to listen on, or the known server list, cannot be used.
+        """
+        host, port = self._config.listen
         try:
-            self.listener = socket.create_server((host, port), backlog=BACKLOG)
+            self._acceptor.listen(host, port, BACKLOG)
         except OSError as err:
             raise ConfigError(f"listen: {err.strerror or err}") from None
-        self.listener.setblocking(False)
-        self.fileno = self.listener.fileno
         try:
-            known = self.directory.read(self.config.known, cached=True)
+            self._server_list.publish_known()
         except ValueError as err:
             raise ConfigError(f"known: {err}") from None
-        self.told(known)
-        self.watcher.start()
-        for number in range(self.workers):
-            self._spawn(number)
-        self.reactor.callWhenRunning(self._running)
-        self.reactor.run()
-        self._print("exit", {n: place.counts for n, place in self.places.items()}, [])
-        return self.status
-
-    def _running(self) -> None:
-        handlers = {
-            signal.SIGHUP: self.reload,
-            signal.SIGTERM: self.leave,
-            signal.SIGINT: self.leave,
-            signal.SIGUSR1: self.ask_counts,
-        }
-        for number, handler in handlers.items():
-            signal.signal(number, lambda *_, handler=handler: self.reactor.callFromThread(handler))
+        self._server_list.start()
+        for number in range(self._worker_count):
+            self._start_worker(number)
+        self._reactor.callWhenRunning(self._start_serving)
+        self._reactor.run()
+        self._counters.log_exit()
+        return self._exit_code
+
+    def _start_serving(self) -> None:
+        self._handle_signal(signal.SIGHUP, self.reload)
+        self._handle_signal(signal.SIGTERM, self.shut_down)
+        self._handle_signal(signal.SIGINT, self.shut_down)
+        self._handle_signal(signal.SIGUSR1, self._counters.query)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
         self._tick()
-        if self.own.cores.balance_ms:
-            self._balance()
-
-    def _spawn(self, number: int) -> None:
-        place = self.places[number] = Place(self, number)
-        ours, theirs = socket.socketpair()
-        ours.setblocking(False)
-        channel = place.channel = Channel(
-            lambda message, handle: self.hear(place, message, handle), place.channel_ended
-        )
-        factory = Factory.forProtocol(lambda: channel)
-        factory.noisy = False
-        self.reactor.adoptStreamConnection(ours.fileno(), socket.AF_UNIX, factory)
-        ours.close()
-        flags = ["-O"] if sys.flags.optimize else []
-        self.reactor.spawnProcess(
-            place,
-            sys.executable,
-            [sys.executable, *flags, "-m", "mapleline.cores.worker"],
-            env=os.environ,
-            childFDs={0: 0, 1: 1, 2: 2, CHANNEL_FD: theirs.fileno(), BOARD_FD: self.board_fd},
-        )
-        theirs.close()
+        if self._settings.balance_ms:
+            self._rebalance()
+
+    def _handle_signal(self, number: signal.Signals, handler: Callable[[], None]) -> None:
+        signal.signal(number, lambda *_: self._reactor.callFromThread(handler))
+
+    def _start_worker(self, number: int) -> None:
+        worker = WorkerProcess(number, self._handle_report, self._handle_exit)
+        self._workers[number] = worker
+        worker.start(self._reactor, self._memory_fd)
         COUNTS["cores.started"] += 1
-        self.bulletin.joined(number)
-        channel.tell(
-            {
-                "config": self.raw,
-                "number": number,
-                "workers": self.workers,
-                "accounts": self.own.cores.accounts,
-                "log": self.own.log.form,
-                "clock": self.clock_start,
-            }
+        self._server_list.add_worker(worker)
+        worker.send(
+            StartWorker(
+                config=self._raw_config,
+                number=number,
+                workers=self._worker_count,
+                customer_rows=self._settings.accounts,
+                log_form=self._log_form,
+                clock_start_ns=self._clock_start_ns,
+            )
         )
-        channel.tell({"counter": self.config.counter})
-        self._tell_news(place)
-
-    # --- news
-
-    def told(self, news: i.ServerNews) -> None:
-        """Vetoes first: from here on nothing new goes to a server that is drained or gone."""
-        COUNTS["discovery.lines"] += len(news.servers)
-        lines = []
-        for s in news.servers:
-            address = self.directory.places[s.server].address if s.life != i.Life.GONE else ("", 0)
-            lines.append([s.server, int(s.life), s.started_ns, s.weight, s.kind, s.zone, s.cell, *address])
-        cached = news.news == i.News.CACHED
-        for server, gone in self.bulletin.tell(lines, cached or news.news == i.News.FULL, cached):
-            self.vetoes.set(server, gone)
-        for place in list(self.places.values()):
-            self._tell_news(place)
-
-    def _tell_news(self, place: Place) -> None:
-        message = self.bulletin.due(place.number)
-        if message is not None:
-            place.channel.tell(message)
-
-    # --- connections
-
-    def doRead(self) -> None:
-        """The listener's reader: accept, as the dispatcher bears it."""
-        for _ in range(ACCEPTED_MOST):
-            try:
-                handle, _ = self.listener.accept()
-            except BlockingIOError:
-                return
-            except OSError:
-                COUNTS["cores.accept_failed"] += 1
-                return self._read(False)  # no descriptor: the tick tries again
-            COUNTS["cores.accepted"] += 1
-            handle.setblocking(False)
-            self._offer(self.dispatcher.accepted(self._keep(handle, False), self._now()))
-            if len(self.handles) >= HANDLES_MOST:
-                return self._read(False)
-
-    def logPrefix(self) -> str:
-        return "listener"
-
-    def connectionLost(self, reason: Failure) -> None:
-        """The reactor is stopping."""
-
-    def _read(self, on: bool) -> None:
-        if on != self.reading:
-            self.reading = on
-            (self.reactor.addReader if on else self.reactor.removeReader)(self)
-
-    def _accept_on(self) -> None:
-        if self.serving and not self.going and len(self.handles) < HANDLES_MOST:
-            self._read(True)
-
-    def _keep(self, handle: socket.socket, asked: bool) -> int:
-        self.next += 1
-        self.handles[self.next] = (handle, asked)
-        return self.next
-
-    def _offer(self, offers: list[Offer]) -> None:
-        for offer in offers:
-            handle, asked = self.handles[offer.connection]
-            self.places[offer.worker].channel.tell({"offer": offer.connection, "asked": asked}, handle)
-
-    @staticmethod
-    def _now() -> int:
-        return time.monotonic_ns()
-
-    # --- what workers say
-
-    def hear(self, place: Place, message: dict[str, Any], handle: socket.socket | None) -> None:
-        number, now = place.number, self._now()
-        if self.places.get(number) is not place:
+        worker.send(SetCounterAddress(self._config.counter))
+        self._server_list.send_update(worker)
+
+    # --- reports of the workers
+
+    def _handle_report(self, worker: WorkerProcess, report: Report, handle: socket.socket | None) -> None:
+        if self._workers.get(worker.number) is not worker:  # it has been replaced
             if handle is not None:
                 handle.close()
             return
-        if "parted" in message:
-            place.open = message["open"]
-            place.counts = message.get("all", place.counts)
-            told = message["parted"], message["load"], message["full"]
-            self._offer(self.dispatcher.report(number, *told, now))
-        elif "claim" in message:
-            yes = self.dispatcher.claimed(number, message["claim"])
-            place.channel.tell({"granted": message["claim"], "yes": yes})
-            if yes:
-                self.handles.pop(message["claim"])[0].close()
-                self._accept_on()
-            else:
-                COUNTS["cores.claimed_late"] += 1
-        elif "refuse" in message:
-            COUNTS["cores.refused"] += 1
-            self._offer(self.dispatcher.refused(number, message["refuse"], now))
-        elif "handed" in message:
-            COUNTS["cores.moved"] += 1
-            connection = self._keep(handle, True)
-            self._offer(self.dispatcher.handed_over(number, connection, message["handed"], now))
-        elif "acked" in message:
-            self.bulletin.acked(number, message["acked"])
-            self._tell_news(place)
-        elif "counts" in message:
-            place.counts = message["counts"]
-            if message["asked"] == self.asked:
-                self.answers[number] = message["counts"]
-                self._counts_done(self.asked, False)
-        elif "ready" in message:
-            self._ready(place, message["ready"], now)
-
-    def _ready(self, place: Place, pid: int, now: int) -> None:
-        place.ready = True
-        self.lives.ready(place.number, now)
-        if self.leaving:
-            place.channel.tell({"leave": True})
-        self._offer(self.dispatcher.joined(place.number, now))
-        log("worker ready", worker=place.number, pid=pid)
-        if not self.serving and all(p.ready for p in self.places.values()):
-            self.serving = True
-            self._read(True)
-            host, port = self.listener.getsockname()[:2]
-            log(
-                "serving",
-                name=self.config.name,
-                listen=f"{host}:{port}",
-                servers=self.bulletin.servers,
-                workers=self.workers,
-            )
+        match report:
+            case LoadReport():
+                self._handle_load_report(worker, report)
+            case ClaimConnection():
+                self._acceptor.handle_claim(worker, report.connection)
+            case RefuseConnection():
+                self._acceptor.handle_refusal(worker, report.connection)
+            case HandOverConnection():
+                assert handle is not None
+                self._acceptor.handle_handover(worker, handle, report.load)
+            case AcknowledgeServerList():
+                self._server_list.handle_acknowledgement(worker, report.revision)
+            case CounterSnapshot():
+                self._counters.handle_snapshot(worker, report)
+            case WorkerReady():
+                self._handle_ready(worker, report.pid)
+
+    def _handle_load_report(self, worker: WorkerProcess, report: LoadReport) -> None:
+        worker.open_requests = report.open_requests
+        if report.counters is not None:
+            worker.counters = report.counters
+        self._acceptor.handle_report(worker, report)
+
+    def _handle_ready(self, worker: WorkerProcess, pid: int) -> None:
+        worker.is_ready = True
+        self._restarts.record_ready(worker.number, time.monotonic_ns())
+        if self._is_shutting_down:
+            worker.send(ShutDown())
+        self._acceptor.add_worker(worker)
+        log("worker ready", worker=worker.number, pid=pid)
+        if not self._is_serving and all(other.is_ready for other in self._workers.values()):
+            self._is_serving = True
+            self._acceptor.start()
+            self._log_serving()
+
+    def _log_serving(self) -> None:
+        host, port = self._acceptor.address
+        log(
+            "serving",
+            name=self._config.name,
+            listen=f"{host}:{port}",
+            servers=self._server_list.server_count,
+            workers=self._worker_count,
+        )
+
+    # --- periodic work
 
     def _tick(self) -> None:
-        self.reactor.callLater(TICK_S, self._tick)
-        now = self._now()
-        before = self.dispatcher.revoked
-        self._offer(self.dispatcher.tick(now))
-        COUNTS["cores.offers_revoked"] += self.dispatcher.revoked - before
-        self.lives.settled(now)
-        self._accept_on()
-
-    def _balance(self) -> None:
-        self.reactor.callLater(self.own.cores.balance_ms / 1e3, self._balance)
-        move = self.dispatcher.balance()
-        if isinstance(move, HandOver) and not self.leaving:
-            self.places[move.worker].channel.tell({"hand": move.wanted})
-
-    # --- life
-
-    def ended(self, place: Place, reason: Failure) -> None:
-        """A worker is gone, by our word or on its own."""
-        number, now = place.number, self._now()
-        clean = reason.check(error.ProcessDone) is not None
-        place.ready = False
-        self.bulletin.parted(number)
-        lost = IdBoard.clear(self.board, number)
-        out = AccountBoard.clear_out(self.board, self.workers, number, self.own.cores.accounts)
-        if clean and self.leaving:
-            self.dispatcher.parted(number, now)
-            return self._stop_if_done()
-        self.dead.update(place.counts)
-        place.counts = {}
+        self._reactor.callLater(TICK_S, self._tick)
+        self._acceptor.revoke_expired_offers()
+        self._restarts.forgive_stable_workers(time.monotonic_ns())
+        self._acceptor.resume_if_possible()
+
+    def _rebalance(self) -> None:
+        self._reactor.callLater(self._settings.balance_ms / MS_PER_S, self._rebalance)
+        if not self._is_shutting_down:
+            self._acceptor.rebalance()
+
+    # --- exits of workers
+
+    def _handle_exit(self, worker: WorkerProcess, reason: Failure) -> None:
+        """Take back what a worker that has exited held, and restart it unless this is the shutdown."""
+        worker.is_ready = False
+        self._server_list.remove_worker(worker)
+        requests_lost = clear_open_request_ids(self._memory, worker.number)
+        attempts_out = self._clear_attempts_in_flight(worker)
+        is_clean = isinstance(reason.value, error.ProcessDone)
+        if is_clean and self._is_shutting_down:
+            self._acceptor.forget_worker(worker)
+            self._stop_if_done()
+            return
+        self._counters.add_exited(worker)
         COUNTS["cores.died"] += 1
-        COUNTS["cores.requests_lost"] += lost
-        log("worker died", worker=number, why=str(reason.value), requests_lost=lost, attempts_out=out)
-        self._offer(self.dispatcher.parted(number, now))
-        if self.leaving:
-            return self._stop_if_done()
-        pause = self.lives.died(number, now)
-        if pause is None:
-            why = f"{self.lives.in_a_row} workers in a row died within {self.own.cores.settled_ms} ms"
-            log("giving up", why=why)
-            self.status = 3
-            return self.leave()
-        self.reactor.callLater(pause / 1e9, self._replace, number)
-
-    def _replace(self, number: int) -> None:
-        if not self.leaving:
-            self._spawn(number)
+        COUNTS["cores.requests_lost"] += requests_lost
+        log(
+            "worker died",
+            worker=worker.number,
+            why=str(reason.value),
+            requests_lost=requests_lost,
+            attempts_out=attempts_out,
+        )
+        self._acceptor.remove_worker(worker)
+        if self._is_shutting_down:
+            self._stop_if_done()
+        else:
+            self._restart_or_give_up(worker.number)
+
+    def _clear_attempts_in_flight(self, worker: WorkerProcess) -> int:
+        """A worker that has exited has no attempts in flight; returns how many it had."""
+        table = CustomerTable(self._memory, self._worker_count, worker.number, self._settings.accounts)
+        return table.clear_in_flight()
+
+    def _restart_or_give_up(self, number: int) -> None:
+        backoff_ns = self._restarts.record_exit(number, time.monotonic_ns())
+        if backoff_ns is not None:
+            self._reactor.callLater(backoff_ns / NS_PER_S, self._restart_worker, number)
+            return
+        early_exits, settled_ms = self._restarts.early_exits, self._settings.settled_ms
+        log("giving up", why=f"{early_exits} workers in a row died within {settled_ms} ms")
+        self._exit_code = EXIT_GAVE_UP
+        self.shut_down()
+
+    def _restart_worker(self, number: int) -> None:
+        if not self._is_shutting_down:
+            self._start_worker(number)
 
     # --- signals
 
     def reload(self) -> None:
         """Read the configuration anew.  It is checked here, once, so that all workers take it or none."""
         try:
-            raw = platform.read_file(os.environ["EDGE_CONFIG"])
-            new = platform.read_config(raw, os.environ)
+            new = platform.read_config(platform.read_file(os.environ["EDGE_CONFIG"]), os.environ)
             Directory(new.zone_names, new.kind_names).read(new.known, cached=True)
         except (ConfigError, ValueError) as err:
             COUNTS["reload.failed"] += 1
-            return log("reload failed", fault=str(err))
+            log("reload failed", fault=str(err))
+            return
         COUNTS["reload.done"] += 1
-        moved = new.discovery != self.config.discovery
-        self.config.counter, self.config.discovery = new.counter, new.discovery
-        for place in self.places.values():
-            place.channel.tell({"counter": new.counter})
-        if moved and self.watcher.running:
-            self.watcher.stop()
-            self.watcher = self._watcher(new.discovery, whole=True)
-            self.watcher.start()
+        has_discovery_moved = new.discovery != self._config.discovery
+        self._config.counter = new.counter
+        self._config.discovery = new.discovery
+        for worker in self._workers.values():
+            worker.send(SetCounterAddress(new.counter))
+        if has_discovery_moved:
+            self._server_list.move(new.discovery)
         log("reloaded", counter=":".join(map(str, new.counter)), discovery=":".join(map(str, new.discovery)))
 
-    def ask_counts(self) -> None:
-        self.asked += 1
-        self.answers = {}
-        for place in self.places.values():
-            place.channel.tell({"counts": self.asked})
-        self.reactor.callLater(COUNTS_WAIT_S, self._counts_done, self.asked, True)
-
-    def _counts_done(self, asked: int, now: bool) -> None:
-        up = {n for n, place in self.places.items() if place.ready}
-        if asked != self.asked or not (now or up <= set(self.answers)):
-            return
-        self.asked += 1  # printed
-        last = {n: self.places[n].counts for n in up - set(self.answers)}
-        self._print("asked", {**last, **self.answers}, sorted(last))
-
-    def _print(self, why: str, by_worker: dict[int, dict[str, int]], silent: list[int]) -> None:
-        """One set, summed over the living and the dead, and each worker's own; `silent` gave old ones."""
-        total = Counter(COUNTS) + self.dead
-        for counts in by_worker.values():
-            total.update(counts)
-        by_name = {str(n): dict(sorted(counts.items())) for n, counts in sorted(by_worker.items())}
-        log("counters", why=why, counts=dict(sorted(total.items())), workers=by_name, silent=silent)
-
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Go on serving for a while, then close the listener; the workers finish what is open."""
-        if self.leaving:
+        if self._is_shutting_down:
             return
-        self.leaving = True
-        log("told to leave", open=sum(place.open for place in self.places.values()))
-        for place in self.places.values():
-            place.channel.tell({"leave": True})
-        self.reactor.callLater(STAY_S, self._close)
-
-    def _close(self) -> None:
-        self.doRead()  # what the kernel accepted is still served: workers stay a little longer
-        self.going = True
-        self._read(False)
-        self.listener.close()
-        self.watcher.stop()
+        self._is_shutting_down = True
+        log("told to leave", open=sum(worker.open_requests for worker in self._workers.values()))
+        for worker in self._workers.values():
+            worker.send(ShutDown())
+        self._reactor.callLater(STAY_S, self._close_listener)
+
+    def _close_listener(self) -> None:
+        self._acceptor.close()  # what the kernel accepted is still served: workers stay a little longer
+        self._is_listener_closed = True
+        self._server_list.stop()
         self._stop_if_done()
-        self.reactor.callLater(KILL_S, self._kill)
+        self._reactor.callLater(KILL_AFTER_S, self._kill_workers)
 
-    def _kill(self) -> None:
-        for place in self.places.values():
-            if place.transport.pid:
-                place.transport.signalProcess("KILL")
+    def _kill_workers(self) -> None:
+        for worker in self._workers.values():
+            if worker.is_running:
+                worker.kill()
 
     def _stop_if_done(self) -> None:
-        if self.going and not any(place.transport and place.transport.pid for place in self.places.values()):
-            for handle, _ in self.handles.values():
-                handle.close()
-            if self.reactor.running:
-                self.reactor.stop()
+        if self._is_listener_closed and not any(worker.is_running for worker in self._workers.values()):
+            self._acceptor.close_pending()
+            if self._reactor.running:
+                self._reactor.stop()
 
 
 def main(own: Own, workers: int) -> int:
@@ -434,12 +347,12 @@
         path = os.environ.get("EDGE_CONFIG")
         if not path:
             raise ConfigError("EDGE_CONFIG: not set")
-        raw = platform.read_file(path)
-        config = platform.read_config(raw, os.environ)
+        raw_config = platform.read_file(path)
+        config = platform.read_config(raw_config, os.environ)
         watch_twisted()
         from twisted.internet import reactor
 
-        return Supervisor(reactor, config, raw, own, workers).run()
+        return Supervisor(reactor, config, raw_config, own, workers).run()
     except ConfigError as err:
         log("configuration", fault=str(err))
-        return 2
+        return EXIT_CONFIGURATION
--- a/mapleline/cores/worker.py
+++ b/mapleline/cores/worker.py
@@ -1,233 +1,293 @@
-"""One worker: an ingress whose connections, server list and orders come from its supervisor.
+"""One worker: an ingress whose connections, server list and commands come from its supervisor.
 
-Started by the supervisor with the channel on descriptor 3 and the shared memory on 4; of no use otherwise.
+Started by the supervisor with the channel and the shared memory on fixed descriptors; of no use otherwise.
 """
 
 from __future__ import annotations
 
-import copy
 import mmap
 import os
 import signal
 import socket
 import sys
-from types import FrameType
-from typing import Any
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from twisted.internet.protocol import Factory
 
 from ..ingress import STAY_S, Ingress, calm_gc, watch_twisted
 from ..lifecycle import Phase
-from ..net.discovery import Directory, Watcher
 from ..net.reactor import install
 from ..net.upstream import Place
-from ..policy import interface as i
+from ..policy import interface
 from ..policy.brain import Brain
-from ..settings.platform import Address, Config, read_config
+from ..settings.platform import read_config
 from ..telemetry import COUNTS, configure_log, log
-from .board import AccountBoard, IdBoard, Vetoes
-from .channel import Channel
-from .kin import Kin
+from .channel import CHANNEL_FD, Channel
+from .customer_table import CustomerTable
+from .drain_flags import DrainFlags
+from .messages import (
+    NO_QUERY,
+    AcknowledgeServerList,
+    ClaimConnection,
+    ClaimReply,
+    Command,
+    CounterSnapshot,
+    HandOverConnection,
+    LoadReport,
+    OfferConnection,
+    QueryCounters,
+    RefuseConnection,
+    RequestHandover,
+    ServerEntry,
+    ServerListUpdate,
+    SetCounterAddress,
+    ShutDown,
+    StartWorker,
+    WorkerReady,
+    decode_command,
+)
+from .open_request_ids import OpenRequestIds
+from .peer_usage import PeerUsage
+from .shared_memory import SHARED_MEMORY_FD
+from .worker_config import divide_config, worker_counter_connections
+
+if TYPE_CHECKING:
+    from types import FrameType
+
+    from ..net.discovery import Watcher
+    from ..settings.platform import Address
+    from .reactor import Reactor
+
+REPORT_INTERVAL_S = 0.1
+REPORTS_PER_COUNTERS = 10  # every so many reports have the counters, so that an exit loses little of them
+EXTRA_STAY_S = 0.15  # beyond the listener's: what it accepted last is offered, claimed and granted by then
+
+
+class NullWatcher:
+    """In place of an ingress's watch of discovery: here the supervisor has it."""
 
-CHANNEL_FD, BOARD_FD = 3, 4
-REPORT_S = 0.1
-COUNTS_EVERY = 10  # reports: the counters, so that a death loses little of them
-COUNTER_CONNECTIONS = 16  # of the whole ingress: half of the 32 that the counter holds for it
-LONGER_S = 0.15  # than the listener: what it accepted last is offered, claimed and granted by then
-SPARE = 40  # descriptors of the supervisor: streams, its listener, discovery
-SPARE_EACH = 16  # and for each worker: its channel, copies of connections that are on their way to it
-LEAST_SOCKETS = 128  # of one worker
-
-
-def sockets_each(sockets: int, workers: int) -> int:
-    """Descriptors of one worker: `limits.sockets` holds for the ingress as a whole."""
-    return (sockets - SPARE) // workers - SPARE_EACH
-
-
-def divided(config: Config, workers: int, number: int) -> Config:
-    """The configuration of one of several workers.
+    running = False
 
-    To the module each is an ingress of its own among `workers` times as many: what it learns of servers, the
-    room it allows itself and its part of a cold server's budget need no word from the others.  Only quotas
-    are not divided: there the workers are one (`Kin`).
-    """
-    config = copy.copy(config)
-    start = config.start = copy.copy(config.start)
-    start.workers = workers
-    start.gateway, start.gateways = start.gateway * workers + number, start.gateways * workers
-    start.seed += number  # else all workers would draw the same lots at the same time
-    config.sockets = sockets_each(config.sockets, workers)
-    config.open_cap = -(-config.open_cap // workers)
-    return config
+    def start(self) -> None:
+        """Do nothing."""
 
+    def stop(self) -> None:
+        """Do nothing."""
 
-class NoWatcher:
-    """Stands where an ingress watches discovery: here the supervisor does."""
 
-    running = False
+@dataclass(slots=True, frozen=True)
+class OfferedConnection:
+    """A connection that the worker has claimed, until the supervisor replies."""
 
-    def start(self) -> None: ...
-    def stop(self) -> None: ...
+    handle: socket.socket
+    has_had_request: bool
 
 
 class Worker(Ingress):
-    """An ingress without a listener or a watch."""
-
-    def __init__(self, reactor: Any, first: dict[str, Any], board: memoryview) -> None:
-        self.number, self.workers = first["number"], first["workers"]
-        whole = read_config(first["config"], os.environ)
-        brain_start = divided(whole, self.workers, self.number)
-        brain = Brain(brain_start.start)
-        accounts = AccountBoard(board, self.workers, self.number, first["accounts"])
-        brain.kin = Kin(accounts)
+    """An ingress without a listener and without a watch of discovery."""
+
+    def __init__(self, reactor: Reactor, start: StartWorker, memory: memoryview, channel: Channel[Command]) -> None:
+        """Build the ingress from the first message of the supervisor."""
+        config = read_config(start.config, os.environ)
+        divided = divide_config(config, start.workers, start.number)
+        brain = Brain(divided.start)
+        table = CustomerTable(memory, start.workers, start.number, start.customer_rows)
+        brain.peers = PeerUsage(table)  # type: ignore[assignment]  # the decision module names no type for it
         # The translator checks what clients say against the settings as they are.
-        whole.sockets, whole.open_cap = brain_start.sockets, brain_start.open_cap
-        super().__init__(reactor, whole, brain, first["clock"], max(1, COUNTER_CONNECTIONS // self.workers))
-        self.front.ids = self.ids = IdBoard(board, self.workers, self.number)
-        self.upstreams.vetoed = Vetoes(board).__getitem__
-        self.accounts = accounts
-        self.offered: dict[int, tuple[socket.socket, bool]] = {}
-        self.counts_due = 0
-        self.full = self.done = False
+        config.sockets = divided.sockets
+        config.open_cap = divided.open_cap
+        connections = worker_counter_connections(start.workers)
+        super().__init__(reactor, config, brain, start.clock_start_ns, connections)
+        ids = OpenRequestIds(memory, start.workers, start.number)
+        self.front.ids = ids  # type: ignore[assignment]  # the front names the class of a single process
+        self.upstreams.vetoed = DrainFlags(memory).is_draining
+        self._channel = channel
+        self._offered: dict[int, OfferedConnection] = {}
+        self._reports = 0  # since the last one with the counters
+        self._is_full = False
+        self._has_stopped = False
 
     def _watcher(self, address: Address, whole: bool = False) -> Watcher:
-        return NoWatcher()  # type: ignore[return-value]
-
-    # --- from the supervisor
-
-    def attach(self, channel: Channel) -> None:
-        self.channel = channel
-        channel.tell({"ready": os.getpid()})
-        self._report()
-
-    def hear(self, message: dict[str, Any], handle: socket.socket | None) -> None:
-        if "offer" in message:
-            self._offered(message["offer"], handle, message["asked"])
-        elif "granted" in message:
-            self._granted(message["granted"], message["yes"])
-        elif "news" in message:
-            self._hear_news(message)
-        elif "hand" in message:
-            self._hand_over(message["hand"])
-        elif "counter" in message:
-            self.counter.move(tuple(message["counter"]))
-        elif "counts" in message:
-            self.channel.tell({"counts": dict(COUNTS), "asked": message["counts"]})
-        elif "leave" in message:
-            self.leave(STAY_S + LONGER_S)
-
-    def _offered(self, number: int, handle: socket.socket, asked: bool) -> None:
-        if len(self.front.streams) >= self.front.most and not any(s.idle for s in self.front.streams):
+        return NullWatcher()  # type: ignore[return-value]  # Ingress names the class; it uses just these members
+
+    def report_ready(self) -> None:
+        """Tell the supervisor that this worker serves, and start the periodic reports."""
+        self._channel.send(WorkerReady(os.getpid()))
+        self._send_report()
+
+    # --- commands of the supervisor
+
+    def handle_command(self, command: Command, handle: socket.socket | None) -> None:
+        """Carry out a command; `handle` is the socket that came with it."""
+        match command:
+            case OfferConnection():
+                assert handle is not None
+                self._handle_offer(command, handle)
+            case ClaimReply():
+                self._handle_claim_reply(command)
+            case ServerListUpdate():
+                self._handle_server_list(command)
+            case RequestHandover():
+                self._handle_handover_request(command)
+            case SetCounterAddress():
+                self.counter.move(command.address)
+            case QueryCounters():
+                self._channel.send(CounterSnapshot(dict(COUNTS), command.query))
+            case ShutDown():
+                self.leave(STAY_S + EXTRA_STAY_S)
+
+    def _has_room(self) -> bool:
+        """Whether it can take a connection: under the limit, or by closing one that is idle."""
+        streams = self.front.streams
+        return len(streams) < self.front.most or any(stream.idle for stream in streams)
+
+    def _handle_offer(self, offer: OfferConnection, handle: socket.socket) -> None:
+        if not self._has_room():
             handle.close()
-            self.full = True
-            return self.channel.tell({"refuse": number})
-        self.offered[number] = (handle, asked)
-        self.channel.tell({"claim": number})
-
-    def _granted(self, number: int, yes: bool) -> None:
-        handle, asked = self.offered.pop(number)
-        if yes:
-            self.front.adopt(handle, asked)
-        handle.close()  # the front has its own copy, or another worker has the connection
-
-    def _hear_news(self, message: dict[str, Any]) -> None:
-        directory: Directory = self.directory
-        if message["whole"]:
-            directory.places = {}
-        lines = []
-        for number, life, started, weight, kind, zone, cell, host, port in message["lines"]:
-            server = i.Server(number, i.Life(life), started, weight, kind, zone, cell)
-            lines.append(server)
-            if server.life == i.Life.GONE:
-                directory.places.pop(number, None)
-            else:
-                directory.places[number] = Place((host, port), started)
-        kind = i.News.CACHED if message["cached"] else i.News.FULL if message["whole"] else i.News.CHANGES
-        self.told(i.ServerNews(kind, lines))
-        self.channel.tell({"acked": message["news"]})
-
-    def _hand_over(self, wanted: float) -> None:
+            self._is_full = True
+            self._channel.send(RefuseConnection(offer.connection))
+            return
+        self._offered[offer.connection] = OfferedConnection(handle, offer.has_had_request)
+        self._channel.send(ClaimConnection(offer.connection))
+
+    def _handle_claim_reply(self, reply: ClaimReply) -> None:
+        offered = self._offered.pop(reply.connection)
+        if reply.is_granted:
+            self.front.adopt(offered.handle, offered.has_had_request)
+        offered.handle.close()  # the front has its own copy, or another worker has the connection
+
+    def _handle_server_list(self, update: ServerListUpdate) -> None:
+        if update.is_complete:
+            self.directory.places = {}
+        servers = [self._apply_server(entry) for entry in update.servers]
+        self.told(interface.ServerNews(_kind_of_update(update), servers))
+        self._channel.send(AcknowledgeServerList(update.revision))
+
+    def _apply_server(self, entry: ServerEntry) -> interface.Server:
+        """Update the server's address; returns the entry as the decision module has it."""
+        if entry.life == interface.Life.GONE:
+            self.directory.places.pop(entry.number, None)
+        else:
+            self.directory.places[entry.number] = Place((entry.host, entry.port), entry.started_ns)
+        return interface.Server(
+            entry.number, entry.life, entry.started_ns, entry.weight, entry.kind, entry.zone, entry.cell
+        )
+
+    def _handle_handover_request(self, request: RequestHandover) -> None:
         if self.life.phase is not Phase.LEAVING:
-            self.front.hand_over(wanted, self._handed)
+            self.front.hand_over(request.wanted_load, self._hand_over)
 
-    def _handed(self, handle: socket.socket, load: float) -> None:
-        self.channel.tell({"handed": load}, handle)
+    def _hand_over(self, handle: socket.socket, load: float) -> None:
+        self._channel.send(HandOverConnection(load), handle)
         handle.close()  # the channel has its own copy
 
-    def _report(self) -> None:
-        self.reactor.callLater(REPORT_S, self._report)
-        front = self.front
-        load = sum(stream.recent for stream in front.streams)
-        front.fade()
-        if self.full and (len(front.streams) < front.most or any(s.idle for s in front.streams)):
-            self.full = False
-        parted = COUNTS["client.connected"] - len(front.streams)
-        message: dict[str, Any] = {"parted": parted, "load": load, "full": self.full, "open": len(self.engine.requests)}
-        self.counts_due = (self.counts_due + 1) % COUNTS_EVERY
-        if not self.counts_due:
-            message["all"] = dict(COUNTS)
-        self.channel.tell(message)
-
-    # --- the end
+    # --- reports to the supervisor
+
+    def _send_report(self) -> None:
+        self.reactor.callLater(REPORT_INTERVAL_S, self._send_report)
+        streams = self.front.streams
+        load = sum(stream.recent for stream in streams)
+        self.front.fade()
+        if self._is_full and self._has_room():
+            self._is_full = False
+        self._reports = (self._reports + 1) % REPORTS_PER_COUNTERS
+        report = LoadReport(
+            released=COUNTS["client.connected"] - len(streams),
+            load=load,
+            is_full=self._is_full,
+            open_requests=len(self.engine.requests),
+            counters=None if self._reports else dict(COUNTS),
+        )
+        self._channel.send(report)
+
+    # --- shutdown
 
     def _finish(self) -> None:
-        for handle, _ in self.offered.values():
-            handle.close()
-        self.offered.clear()
+        for offered in self._offered.values():
+            offered.handle.close()
+        self._offered.clear()
         super()._finish()
 
     def _stop(self) -> None:
-        """The last counters go out before the end does."""
-        self.done = True
-        if not self.channel.up:
-            return self.reactor.stop()
-        self.channel.tell({"counts": dict(COUNTS), "asked": 0})
-        self.channel.transport.loseConnection()
-
-    def orphaned(self) -> None:
-        """The supervisor is gone: nothing new will come, and what is open is finished."""
-        if self.done:
+        """Send the last counters before the process ends."""
+        self._has_stopped = True
+        if not self._channel.is_connected:
+            self.reactor.stop()
+            return
+        self._channel.send(CounterSnapshot(dict(COUNTS), NO_QUERY))
+        self._channel.close()
+
+    def handle_supervisor_exit(self) -> None:
+        """Finish what is open and stop: the supervisor is gone, and nothing new will come."""
+        if self._has_stopped:
             self.reactor.stop()
         elif self.life.leave(self.reactor.seconds()):
             log("supervisor gone", open=len(self.engine.requests))
             self._finish()
 
 
+def _kind_of_update(update: ServerListUpdate) -> interface.News:
+    if update.is_cached:
+        return interface.News.CACHED
+    return interface.News.FULL if update.is_complete else interface.News.CHANGES
+
+
+class WorkerProgram:
+    """The process of a worker: the channel, and the worker once the supervisor's first message has come."""
+
+    def __init__(self, reactor: Reactor, memory: memoryview) -> None:
+        """Prepare the channel."""
+        self._reactor = reactor
+        self._memory = memory
+        self._worker: Worker | None = None
+        self._channel: Channel[Command] = Channel(decode_command, self._handle_command, self._handle_disconnect)
+
+    def run(self) -> None:
+        """Run until the worker has shut down."""
+        end = socket.socket(fileno=CHANNEL_FD)
+        end.setblocking(False)
+        factory = Factory.forProtocol(lambda: self._channel)
+        factory.noisy = False
+        self._reactor.callWhenRunning(lambda: signal.signal(signal.SIGTERM, self._handle_sigterm))
+        self._reactor.adoptStreamConnection(end.fileno(), socket.AF_UNIX, factory)
+        end.close()
+        self._reactor.run()
+
+    def _handle_command(self, command: Command, handle: socket.socket | None) -> None:
+        if self._worker is not None:
+            self._worker.handle_command(command, handle)
+        elif isinstance(command, StartWorker):
+            configure_log(command.log_form, worker=command.number)
+            self._worker = Worker(self._reactor, command, self._memory, self._channel)
+            calm_gc()
+            self._worker.report_ready()
+
+    def _handle_disconnect(self) -> None:
+        if self._worker is not None:
+            self._worker.handle_supervisor_exit()
+        elif self._reactor.running:
+            self._reactor.stop()
+
+    def _handle_sigterm(self, number: int, frame: FrameType | None) -> None:
+        self._reactor.callFromThread(self._shut_down)
+
+    def _shut_down(self) -> None:
+        if self._worker is not None:
+            self._worker.leave()
+        else:
+            self._reactor.stop()
+
+
 def main() -> int:
+    """Run one worker; returns the exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a terminal's goes to the whole group
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
     watch_twisted()
     reactor = install()
-    state: dict[str, Worker] = {}
-    board = memoryview(mmap.mmap(BOARD_FD, 0))
-
-    def told(message: dict[str, Any], handle: socket.socket | None) -> None:
-        if state:
-            return state["worker"].hear(message, handle)
-        configure_log(message["log"], worker=message["number"])
-        state["worker"] = worker = Worker(reactor, message, board)
-        calm_gc()
-        worker.attach(channel)
-
-    def ended() -> None:
-        if state:
-            state["worker"].orphaned()
-        elif reactor.running:
-            reactor.stop()
-
-    def term(number: int, frame: FrameType | None) -> None:
-        reactor.callFromThread(lambda: state["worker"].leave() if state else reactor.stop())
-
-    channel = Channel(told, ended)
-    end = socket.socket(fileno=CHANNEL_FD)
-    end.setblocking(False)
-    factory = Factory.forProtocol(lambda: channel)
-    factory.noisy = False
-    reactor.callWhenRunning(lambda: signal.signal(signal.SIGTERM, term))
-    reactor.adoptStreamConnection(end.fileno(), socket.AF_UNIX, factory)
-    end.close()
-    reactor.run()
+    memory = memoryview(mmap.mmap(SHARED_MEMORY_FD, 0))
+    WorkerProgram(reactor, memory).run()
     return 0
 
 
--- /dev/null
+++ b/mapleline/cores/worker_process.py
@@ -0,0 +1,105 @@
+"""One worker as the supervisor sees it: the process, its channel and what it last reported."""
+
+from __future__ import annotations
+
+import os
+import socket
+import sys
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from twisted.internet.protocol import Factory, ProcessProtocol
+
+from .channel import CHANNEL_FD, Channel
+from .messages import Message, Report, decode_report
+from .shared_memory import SHARED_MEMORY_FD
+
+if TYPE_CHECKING:
+    from twisted.python.failure import Failure
+
+    from .reactor import ProcessTransport, Reactor
+
+WORKER_MODULE = "mapleline.cores.worker"
+
+
+class WorkerProcess(ProcessProtocol):
+    """A worker's process and its channel.
+
+    Attributes:
+        number: Of the worker; a replacement has the same.
+        is_ready: Whether it serves.
+        open_requests: Requests in flight, as last reported.
+        counters: Telemetry counters of this process, as last reported.
+    """
+
+    transport: ProcessTransport | None  # type: ignore[assignment]  # Twisted's stub of the interface is unusable
+
+    def __init__(
+        self,
+        number: int,
+        on_report: Callable[[WorkerProcess, Report, socket.socket | None], None],
+        on_exit: Callable[[WorkerProcess, Failure], None],
+    ) -> None:
+        """Prepare the channel.
+
+        Args:
+            number: Of the worker.
+            on_report: Called with each message of the worker, and the socket that came with it.
+            on_exit: Called with the reason once both the process and the channel have ended.
+        """
+        self.number = number
+        self.is_ready = False
+        self.open_requests = 0
+        self.counters: dict[str, int] = {}
+        self._on_exit = on_exit
+        self._exit_reason: Failure | None = None
+        self._is_channel_closed = False
+        self._channel: Channel[Report] = Channel(
+            decode_report, lambda report, handle: on_report(self, report, handle), self._handle_disconnect
+        )
+
+    def start(self, reactor: Reactor, memory_fd: int) -> None:
+        """Start the process, with the shared memory of this descriptor."""
+        own_end, worker_end = socket.socketpair()
+        own_end.setblocking(False)
+        factory = Factory.forProtocol(lambda: self._channel)
+        factory.noisy = False
+        reactor.adoptStreamConnection(own_end.fileno(), socket.AF_UNIX, factory)
+        own_end.close()
+        flags = ["-O"] if sys.flags.optimize else []
+        reactor.spawnProcess(
+            self,
+            sys.executable,
+            [sys.executable, *flags, "-m", WORKER_MODULE],
+            env=os.environ,
+            childFDs={0: 0, 1: 1, 2: 2, CHANNEL_FD: worker_end.fileno(), SHARED_MEMORY_FD: memory_fd},
+        )
+        worker_end.close()
+
+    @property
+    def is_running(self) -> bool:
+        """Whether the process has been started and has not exited."""
+        return bool(self.transport and self.transport.pid)
+
+    def send(self, message: Message, handle: socket.socket | None = None) -> None:
+        """Send a message, with a duplicate of the socket `handle` if one is given."""
+        self._channel.send(message, handle)
+
+    def kill(self) -> None:
+        """End the process at once."""
+        if self.transport is not None:
+            self.transport.signalProcess("KILL")
+
+    def processEnded(self, reason: Failure) -> None:  # noqa: N802  # called by Twisted
+        """Called by Twisted when the process has exited."""
+        self._exit_reason = reason
+        self._notify_if_ended()
+
+    def _handle_disconnect(self) -> None:
+        self._is_channel_closed = True
+        self._notify_if_ended()
+
+    def _notify_if_ended(self) -> None:
+        """Notify once both have ended: what the process sent last may be read after its exit is known."""
+        if self._is_channel_closed and self._exit_reason is not None:
+            self._on_exit(self, self._exit_reason)
--- a/mapleline/net/clients.py
+++ b/mapleline/net/clients.py
@@ -294,7 +294,7 @@
 
 
 class OpenIds:
-    """The ids of requests in hand; of several workers each would need to know the others' (`cores.board`)."""
+    """The ids of requests in hand; with several workers see `cores.open_request_ids`."""
 
     def __init__(self) -> None:
         self._held: set[bytes] = set()
--- a/mapleline/policy/admission.py
+++ b/mapleline/policy/admission.py
@@ -34,16 +34,16 @@
     def roll(self, c: Customer, plan: i.Plan) -> float:
         """Bring the customer's windows up to now; returns the share of the current window that is left."""
         win, into = divmod(self.now, self.window(plan))
-        if self.kin is not None:
-            self.kin.meet(c, win)
+        if self.peers is not None:
+            self.peers.merge(c, win)
         if win != c.win:
-            total, follows, own = max(0.0, c.known + c.unseen / c.share), win == c.win + 1, c.own + c.kin_own
+            total, follows, own = max(0.0, c.known + c.unseen / c.share), win == c.win + 1, c.own + c.peer_own
             if follows and total > 0 and own > 0:  # own part, for when the counter is gone
                 c.share += 0.5 * (min(1.0, max(own / total, 0.5 / c.spread)) - c.share)
             # Never above the limit: what lies beyond was refused, if not taken off again.
             c.prev = min(self.limit(plan), total) if follows else 0.0
             c.win, c.known, c.blind, c.owed, c.own = win, 0.0, 0.0, 0.0, 0.0
-            c.kin_blind, c.kin_own, c.known_at, c.put, c.least = 0.0, 0.0, 0, 0.0, 0.0
+            c.peer_blind, c.peer_own, c.known_at, c.put, c.least = 0.0, 0.0, 0, 0.0, 0.0
         gained = plan.rate * (self.now - c.saved_at) / 1e9 if c.saved_at else self.limit(plan)
         c.saved, c.saved_at = min(self.limit(plan), c.saved + gained), self.now
         return 1.0 - into / self.window(plan)
@@ -116,7 +116,7 @@
             known = max(0.0, c.least, ev.total + c.owed)
             c.saved += c.known + c.blind / c.share - known
             c.known, c.blind, c.known_at = known, 0.0, self.now
-            r.before = c.known + c.kin_blind - r.charged
+            r.before = c.known + c.peer_blind - r.charged
         elif c.win == win and ev.result in i.NEVER_RAN:
             c.owed += amount  # proven not added; after a time-out it may have been
         if not r.decided:
@@ -172,7 +172,7 @@
 
     def open_room(self, r: Request) -> bool:
         """Attempts out at once: this gateway's part of the cap, at least one."""
-        return not r.plan.open or r.who.out + r.who.kin_out < max(1, round(r.plan.open * r.who.share + 0.25))
+        return not r.plan.open or r.who.out + r.who.peer_out < max(1, round(r.plan.open * r.who.share + 0.25))
 
     def extra(self, r: Request) -> bool:
         """Beyond the quota only where it earns more than it costs and less than half the room is used."""
--- a/mapleline/policy/brain.py
+++ b/mapleline/policy/brain.py
@@ -34,8 +34,8 @@
             self.timer(self.aim // 2, TICK, 0)
             self.acts += [i.Watch()] if self.s.list_on_request else []
         self.on[type(event)](event)
-        if self.kin is not None:
-            self.kin.show()
+        if self.peers is not None:
+            self.peers.publish()
         return self.acts
 
     def timer(self, after: float, kind: int, ref: int) -> None:
--- a/mapleline/policy/state.py
+++ b/mapleline/policy/state.py
@@ -45,14 +45,14 @@
     seen_at: int = 0
     key: int = 0
     known_at: int = 0  #: when the counter gave that total; 0 in a window without one
-    kin_blind: float = 0.0  #: blind, own and out of the ingress's other workers, where it has some
-    kin_own: float = 0.0
-    kin_out: int = 0
+    peer_blind: float = 0.0  #: blind, own and out of the ingress's other workers, where it has some
+    peer_own: float = 0.0
+    peer_out: int = 0
 
     @property
     def unseen(self) -> float:
         """Units that this ingress let in and the last total does not hold."""
-        return self.blind + self.kin_blind
+        return self.blind + self.peer_blind
 
     def __post_init__(self) -> None:
         self.share = 1.0 / self.spread
@@ -122,6 +122,6 @@
         self.credit = 5.0 / start.workers  #: retries saved
         self.fleet = None  #: this ingress's parts of the fleet's budgets, where those are divided
         self.zones, self.left, self.tiers = None, {}, []  #: the fleet's word on zones, where it gives one
-        self.kin = None  #: the ingress's other workers, where it has some: they keep one count of a customer
+        self.peers = None  #: the ingress's other workers, where it has some: they keep one count of a customer
         refills = [p.ceiling_burst / p.ceiling_rate * 1e9 for p in start.plans if p.ceiling_rate > 0]
         self.keep = NAME_LIFE_NS + max(refills, default=0.0)  #: after that nothing of a customer is held
--- a/mapleline/policy/tries.py
+++ b/mapleline/policy/tries.py
@@ -54,8 +54,8 @@
     def count_out(self, r: Request, n: int) -> None:
         self.out += n
         r.who.out += n
-        if self.kin is not None:
-            self.kin.touch(r.who)
+        if self.peers is not None:
+            self.peers.mark_changed(r.who)
 
     def forget(self, r: Request) -> None:
         """The request is over: take a refused try's units off again, stop what is still out, drop it."""
--- /dev/null
+++ b/tests/cores/test_drain_flags.py
@@ -0,0 +1,15 @@
+"""Drain flags in shared memory."""
+
+from shared_memory_builders import new_memory
+
+from mapleline.cores.drain_flags import DrainFlags
+from mapleline.cores.shared_memory import DRAIN_FLAGS
+
+
+def test_a_flag_is_of_one_server_and_numbers_may_come_round():
+    flags = DrainFlags(new_memory(1))
+    flags.set(DRAIN_FLAGS + 3, True)
+    assert flags.is_draining(DRAIN_FLAGS + 3)
+    assert not flags.is_draining(4)
+    flags.set(2 * DRAIN_FLAGS + 3, False)
+    assert not flags.is_draining(2 * DRAIN_FLAGS + 3)
--- /dev/null
+++ b/tests/cores/test_restart_policy.py
@@ -0,0 +1,28 @@
+"""Restarts of workers: exponential backoff, and when the supervisor gives up."""
+
+import pytest
+from helpers import MS, S
+
+from mapleline.cores.restart_policy import RestartPolicy
+
+
+def test_backoff_doubles_with_early_exits_and_starts_anew_after_a_stable_worker():
+    policy = RestartPolicy(100 * MS, 1000 * MS, 2 * S, 99)
+    backoffs = [policy.record_exit(0, n) for n in range(6)]
+    assert backoffs == [100 * MS, 200 * MS, 400 * MS, 800 * MS, 1000 * MS, 1000 * MS]
+    assert policy.record_exit(1, 0) == 100 * MS  # another slot
+    policy.record_ready(0, 10 * S)
+    assert policy.record_exit(0, 13 * S) == 100 * MS
+    assert policy.early_exits == 0
+
+
+@pytest.mark.parametrize("is_stable", [False, True])
+def test_early_exits_end_it_unless_a_worker_is_stable(is_stable):
+    policy = RestartPolicy(100 * MS, 1000 * MS, 2 * S, 3)
+    ends = []
+    for n in range(6):
+        policy.record_ready(n % 2, 10 * n * S)
+        if is_stable:
+            policy.forgive_stable_workers(10 * n * S + 2 * S)
+        ends.append(policy.record_exit(n % 2, 10 * n * S + (2 * S if is_stable and n % 2 else MS)))
+    assert (None in ends) != is_stable
