--- a/tests/cores/test_open_request_ids.py
+++ b/tests/cores/test_open_request_ids.py
@@ -10,16 +10,18 @@
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 5), st.booleans()), max_size=60))
 def test_an_id_is_open_in_one_worker_at_a_time(steps):
     memory = new_memory(3)
-    ids, open_ids = [OpenRequestIds(memory, 3, n) for n in range(3)], {}
+    workers = [OpenRequestIds(memory, 3, n) for n in range(3)]
+    open_ids = {}  # the worker of each
     for worker, request, is_claim in steps:
         request_id = b"id%d" % request
         if is_claim:
-            assert ids[worker].claim(request_id) == (request_id not in open_ids)
+            assert workers[worker].claim(request_id) == (request_id not in open_ids)
             open_ids.setdefault(request_id, worker)
         elif open_ids.get(request_id) == worker:
-            ids[worker].release(request_id)
+            workers[worker].release(request_id)
             del open_ids[request_id]
-    assert [clear_open_request_ids(memory, n) for n in range(3)] == [list(open_ids.values()).count(n) for n in range(3)]
+    open_counts = [list(open_ids.values()).count(n) for n in range(3)]
+    assert [clear_open_request_ids(memory, n) for n in range(3)] == open_counts
     assert all(OpenRequestIds(memory, 3, 0).claim(b"id%d" % n) for n in range(6))
 
 
--- a/tests/cores/test_restart_policy.py
+++ b/tests/cores/test_restart_policy.py
@@ -19,10 +19,13 @@
 @pytest.mark.parametrize("is_stable", [False, True])
 def test_early_exits_end_it_unless_a_worker_is_stable(is_stable):
     policy = RestartPolicy(100 * MS, 1000 * MS, 2 * S, 3)
-    ends = []
-    for n in range(6):
-        policy.record_ready(n % 2, 10 * n * S)
+    backoffs = []
+    for number in range(6):
+        slot = number % 2
+        ready_at = 10 * number * S
+        policy.record_ready(slot, ready_at)
         if is_stable:
-            policy.forgive_stable_workers(10 * n * S + 2 * S)
-        ends.append(policy.record_exit(n % 2, 10 * n * S + (2 * S if is_stable and n % 2 else MS)))
-    assert (None in ends) != is_stable
+            policy.forgive_stable_workers(ready_at + 2 * S)
+        lifetime = 2 * S if is_stable and slot == 1 else MS
+        backoffs.append(policy.record_exit(slot, ready_at + lifetime))
+    assert (None in backoffs) != is_stable
--- a/tests/cores/test_server_list_feed.py
+++ b/tests/cores/test_server_list_feed.py
@@ -23,8 +23,8 @@
     first = feed.next_update(0)
     assert first.is_complete
     assert len(first.servers) == 3
-    for n in range(1000):
-        feed.apply([entry(1, life=n % 2 * 2)], is_complete=False)
+    for revision in range(1000):
+        feed.apply([entry(1, life=revision % 2 * 2)], is_complete=False)
         assert feed.next_update(0) is None  # one update in flight at a time
     feed.apply([entry(2, life=1)], is_complete=False)
     feed.acknowledge(0, first.revision)
--- a/tests/cores/test_worker_config.py
+++ b/tests/cores/test_worker_config.py
@@ -13,9 +13,9 @@
         "n", ("", 0), ("", 0), ("", 0), settings(gateway=1, gateways=3), [], [], [], [], None, 1024, 1.0, 1.0, 30_001
     )
     parts = [divide_config(config, 4, n) for n in range(4)]
-    assert [p.start.gateway for p in parts] == [4, 5, 6, 7]
+    assert [part.start.gateway for part in parts] == [4, 5, 6, 7]
     assert parts[0].start.gateways == 12
-    assert all(a.start.seed != b.start.seed for a, b in pairwise(parts))
-    assert sum(p.sockets for p in parts) <= 1024 - 40
+    assert all(one.start.seed != other.start.seed for one, other in pairwise(parts))
+    assert sum(part.sockets for part in parts) <= 1024 - 40
     assert config.start.gateways == 3
-    assert sum(p.open_cap for p in parts) >= 30_001
+    assert sum(part.open_cap for part in parts) >= 30_001
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""An ingress of several processes: what its workers share, and what is left when one of them dies."""
+"""An ingress of several processes: what its workers share, and what is left when one of them exits."""
 
 import json
 import os
@@ -13,26 +13,27 @@
 import pytest
 from ingress import WAIT_S, Counter, Discovery, Peer, config_for, message, running, start, target
 
-ROOMY = {"sockets": 1024}
+MANY_SOCKETS = {"sockets": 1024}
 
 
 @contextmanager
-def workers(tmp_path, *servers, number=2, own="", **kw):
+def workers(tmp_path, *servers, number=2, own="", **options):
+    """An ingress with so many workers; `own` are further settings of the block `cores`."""
     file = tmp_path / "own.hcl"
     file.write_text(f"cores {{\n workers = {number}\n {own}\n}}\n")
     command = ("run", "--settings", str(file))
-    with running(tmp_path, *servers, command=command, **{"limits": ROOMY, **kw}) as ingress:
+    with running(tmp_path, *servers, command=command, **{"limits": MANY_SOCKETS, **options}) as ingress:
         yield ingress
 
 
-def children(pid):
-    """Worker processes by their number."""
+def child_pids(pid):
+    """Pids of the processes that this one started."""
     with open(f"/proc/{pid}/task/{pid}/children") as file:
         return [int(word) for word in file.read().split()]
 
 
-def pids_of(ingress):
-    """From the log, whose lines come in the order in which workers were ready."""
+def worker_pids(ingress):
+    """Pids by worker, from the log, whose lines come in the order in which workers were ready."""
     pids = {}
     for line in ingress.past:
         if line["event"] == "worker ready":
@@ -40,7 +41,8 @@
     return pids
 
 
-def gone(pid):
+def has_exited(pid):
+    """Wait for the process to exit."""
     deadline = time.monotonic() + WAIT_S
     while time.monotonic() < deadline:
         try:
@@ -53,157 +55,168 @@
     return False
 
 
-def until(true, what="it"):
+def wait_until(is_true, what="it"):
     deadline = time.monotonic() + WAIT_S
-    while not true():
+    while not is_true():
         assert time.monotonic() < deadline, f"{what} never came"
         time.sleep(0.01)
 
 
-def serving():
+def serving_peer():
+    """A server that answers each request."""
     return Peer(lambda *_: message(body=b"slots"))
 
 
-def spread(ingress):
-    """Connections taken by each worker."""
+def query_counters(ingress):
+    """The line of the log with the counters, and the connections that each worker has taken."""
     ingress.process.send_signal(signal.SIGUSR1)
     counts = ingress.event("counters")
-    return counts, {n: c.get("client.connected", 0) for n, c in counts["workers"].items()}
+    connected = {worker: own.get("client.connected", 0) for worker, own in counts["workers"].items()}
+    return counts, connected
 
 
 @pytest.mark.parametrize(("number", "connections"), [(2, 8), (3, 60)])
-def test_connections_lie_evenly_and_counters_are_summed(tmp_path, number, connections):
+def test_connections_are_spread_evenly_and_counters_are_summed(tmp_path, number, connections):
     own = "balance_ms = 0"  # none is moved and counted twice, however long the test takes
-    with workers(tmp_path, serving(), number=number, own=own) as ingress:
+    with workers(tmp_path, serving_peer(), number=number, own=own) as ingress:
         clients = [ingress.client() for _ in range(connections)]
         assert {client.ask()[0] for client in clients} == {200}
-        counts, taken = spread(ingress)
+        counts, taken = query_counters(ingress)
         ingress.process.send_signal(signal.SIGTERM)
         last = ingress.event("counters")
         assert ingress.process.wait(WAIT_S) == 0
     assert taken == {str(n): connections // number for n in range(number)}
-    assert {n: c["client.connected"] for n, c in last["workers"].items()} == taken  # the last word too
+    assert {worker: own["client.connected"] for worker, own in last["workers"].items()} == taken
     assert last["counts"]["request.served"] == connections
-    assert counts["counts"]["request.served"] == connections and counts["silent"] == []
+    assert counts["counts"]["request.served"] == connections
+    assert counts["silent"] == []
     assert counts["counts"]["cores.accepted"] == connections
 
 
-def test_a_front_that_sends_most_is_given_a_worker_with_little_else(tmp_path):
-    """Its worker hands over idle connections; their clients notice nothing."""
-    with workers(tmp_path, serving(), own="balance_ms = 50") as ingress:
-        clients, ends = [ingress.client() for _ in range(6)], []
+def test_the_busiest_connections_worker_hands_over_idle_ones(tmp_path):
+    """Their clients notice nothing."""
+    with workers(tmp_path, serving_peer(), own="balance_ms = 50") as ingress:
+        clients = [ingress.client() for _ in range(6)]
+        statuses = []
         assert {client.ask()[0] for client in clients} == {200}
         done = threading.Event()
 
         def flood(client):
             while not done.is_set():  # from many customers: none is over its quota
-                ends.append(client.ask(customer=len(ends) % 1000)[0])
+                statuses.append(client.ask(customer=len(statuses) % 1000)[0])
 
         threads = [threading.Thread(target=flood, args=(client,)) for client in (clients[0], clients[2])]
         # Both of the busy ones are on one worker: connections are dealt out in turn.
         for thread in threads:
             thread.start()
         try:
-            until(lambda: spread(ingress)[0]["counts"].get("cores.moved", 0) >= 1, "a move")
+            wait_until(lambda: query_counters(ingress)[0]["counts"].get("cores.moved", 0) >= 1, "a move")
         finally:
             done.set()
             for thread in threads:
                 thread.join()
-        assert set(ends) == {200}
+        assert set(statuses) == {200}
         assert {client.ask()[0] for client in clients} == {200}
         counts = ingress.counts()
     assert counts["client.handed_over"] == counts["cores.moved"]
     assert counts["request.accepted"] == counts["request.served"]
 
 
-def test_nothing_new_goes_to_a_drained_server_from_a_worker_that_was_stopped_meanwhile(tmp_path):
+def test_a_worker_that_was_stopped_meanwhile_sends_nothing_new_to_a_drained_server(tmp_path):
     """Hard case 2: requests wait on the stopped worker's connections when it wakes."""
-    first, second, discovery = serving(), serving(), Discovery()
+    first, second, discovery = serving_peer(), serving_peer(), Discovery()
     with workers(tmp_path, first, second, discovery=discovery) as ingress:
         clients = [ingress.client() for _ in range(8)]
         for client in clients:
             for _ in range(4):
                 assert client.ask()[0] == 200  # both servers have idle connections from both workers
-        pids = list(pids_of(ingress).values())
+        pids = list(worker_pids(ingress).values())
         for pid in pids:
             os.kill(pid, signal.SIGSTOP)
         for client in clients:
             client.send()
         discovery.tell(2, [target(first, 0, "terminating")])
-        until(lambda: discovery.seen.qsize() >= 2, "the next watch")  # the ingress was told
+        wait_until(lambda: discovery.seen.qsize() >= 2, "the next watch")  # the ingress was told
         seen = first.seen.qsize()
         for pid in pids:
             os.kill(pid, signal.SIGCONT)
         assert {client.answer()[0] for client in clients} == {200}
-        assert first.seen.qsize() == seen and second.seen.qsize() >= len(clients)
+        assert first.seen.qsize() == seen
+        assert second.seen.qsize() >= len(clients)
 
 
 def test_a_connection_offered_to_a_stopped_worker_goes_to_another(tmp_path):
-    with workers(tmp_path, serving(), own="offer_ms = 50") as ingress:
-        pids = pids_of(ingress)
+    with workers(tmp_path, serving_peer(), own="offer_ms = 50") as ingress:
+        pids = worker_pids(ingress)
         os.kill(pids[0], signal.SIGSTOP)
         clients = [ingress.client() for _ in range(6)]
         try:
             assert {client.ask()[0] for client in clients} == {200}
         finally:
             os.kill(pids[0], signal.SIGCONT)
-        until(lambda: spread(ingress)[0]["counts"].get("cores.claimed_late", 0) >= 1, "the late claim")
+        wait_until(lambda: query_counters(ingress)[0]["counts"].get("cores.claimed_late", 0) >= 1, "the late claim")
         assert {client.ask()[0] for client in clients} == {200}  # its copies closed, the connections go on
-        counts, taken = spread(ingress)
-    assert taken == {"0": 0, "1": 6} and counts["counts"]["cores.offers_revoked"] >= 1
+        counts, taken = query_counters(ingress)
+    assert taken == {"0": 0, "1": 6}
+    assert counts["counts"]["cores.offers_revoked"] >= 1
 
 
 def test_a_killed_worker_loses_its_own_requests_and_is_replaced(tmp_path):
-    """Hard case 3: the counter owes it answers, it holds ids; nobody else is touched."""
-    held, counter = Peer(lambda *_: None), Counter()
-    with workers(tmp_path, held, counter=counter) as ingress:
+    """Hard case 3: the counter owes it answers, ids are open in it; the other worker's requests go on."""
+    server, counter = Peer(lambda *_: None), Counter()
+    with workers(tmp_path, server, counter=counter) as ingress:
         clients = [ingress.client().send(ttl=4000, X_Request_ID=f"open{n}") for n in range(4)]
         for _ in clients:
-            held.next()
+            server.next()
         counter.answer = lambda *_: None
-        os.kill(pids_of(ingress)[0], signal.SIGKILL)
+        os.kill(worker_pids(ingress)[0], signal.SIGKILL)
         died = ingress.event("worker died")
-        assert died["worker"] == 0 and died["requests_lost"] == 2
-        held.answer = lambda *_: message(body=b"slots")
+        assert died["worker"] == 0
+        assert died["requests_lost"] == 2
+        server.answer = lambda *_: message(body=b"slots")
         ingress.event("worker ready")
-        dead = [n for n, c in enumerate(clients) if select.select([c.sock], [], [], 0)[0]]
-        assert len(dead) == 2 and all(clients[n].answer() is None for n in dead)
-        # What it held is given back: its ids are free for every worker, those of the living are not.
+        lost = [n for n, client in enumerate(clients) if select.select([client.sock], [], [], 0)[0]]
+        assert len(lost) == 2
+        assert all(clients[n].answer() is None for n in lost)
+        # Its ids are released: free for every worker; those of the other worker are not.
         for other in [ingress.client() for _ in range(4)]:
             taken = [other.ask(X_Request_ID=f"open{n}")[0] == 409 for n in range(4)]
-            assert taken == [n not in dead for n in range(4)]
-        assert all(clients[n].answer() is not None for n in range(4) if n not in dead)  # none lost
+            assert taken == [n not in lost for n in range(4)]
+        assert all(clients[n].answer() is not None for n in range(4) if n not in lost)  # none lost
         counts = ingress.counts()
-    assert counts["cores.requests_lost"] == 2 and counts["cores.died"] == 1
-    assert counts["request.accepted"] >= 4  # of the dead one too, as it last reported
+    assert counts["cores.requests_lost"] == 2
+    assert counts["cores.died"] == 1
+    assert counts["request.accepted"] >= 4  # of the killed one too, as it last reported
 
 
-def test_an_id_that_another_worker_has_open_is_turned_down(tmp_path):
-    held = Peer(lambda *_: None)
-    with workers(tmp_path, held, number=3) as ingress:
+def test_an_id_that_another_worker_has_open_is_rejected(tmp_path):
+    server = Peer(lambda *_: None)
+    with workers(tmp_path, server, number=3) as ingress:
         clients = [ingress.client() for _ in range(3)]
         clients[0].send(X_Request_ID="same", ttl=1500)
-        held.next()
+        server.next()
         assert [client.ask(X_Request_ID="same")[0] for client in clients[1:]] == [409, 409]
-        assert clients[0].answer()[0] in (502, 503) and held.seen.qsize() == 0
-        held.answer = lambda *_: message()
+        assert clients[0].answer()[0] in (502, 503)
+        assert server.seen.qsize() == 0
+        server.answer = lambda *_: message()
         assert clients[1].ask(X_Request_ID="same")[0] == 200
 
 
-def test_a_worker_without_descriptors_sends_connections_on_to_one_that_has_room(tmp_path):
+def test_connections_refused_for_want_of_descriptors_go_to_a_worker_that_has_room(tmp_path):
     """Hard case 5: `limits.sockets` holds for all together, and is of use to all."""
-    held = Peer(lambda *_: None)
-    with workers(tmp_path, held, limits={"sockets": 344}) as ingress:
+    server = Peer(lambda *_: None)
+    with workers(tmp_path, server, limits={"sockets": 344}) as ingress:
         most = 40  # of one worker, of its 136 descriptors: the others are for what it needs besides
         clients = [ingress.client() for _ in range(4 * most)]
         for client in clients:
             client.send(ttl=4000)
-        until(lambda: spread(ingress)[0]["counts"].get("client.connected", 0) >= most)
+        wait_until(lambda: query_counters(ingress)[0]["counts"].get("client.connected", 0) >= most)
         for _ in range(20):
-            pids = [ingress.process.pid, *children(ingress.process.pid)]
+            pids = [ingress.process.pid, *child_pids(ingress.process.pid)]
             supervisor, *others = (len(os.listdir(f"/proc/{pid}/fd")) for pid in pids)
-            assert supervisor <= 72 and max(others) <= 136  # together no more than 344
-        held.answer = lambda *_: message()
+            assert supervisor <= 72  # together no more than 344
+            assert max(others) <= 136
+        server.answer = lambda *_: message()
         late = ingress.client()
         assert late.ask(ttl=3000) is not None
         for client in clients:
@@ -211,72 +224,74 @@
         assert ingress.client().ask()[0] == 200
 
 
-def test_workers_that_die_at_once_end_the_program_with_a_plain_message(tmp_path):
-    with workers(tmp_path, serving(), own="restart_pause_ms = 1\n deaths_most = 3") as ingress:
+def test_early_exits_in_a_row_end_the_program_with_a_plain_message(tmp_path):
+    with workers(tmp_path, serving_peer(), own="restart_pause_ms = 1\n deaths_most = 3") as ingress:
         for _ in range(3):
-            os.kill(children(ingress.process.pid)[0], signal.SIGKILL)
+            os.kill(child_pids(ingress.process.pid)[0], signal.SIGKILL)
             ingress.event("worker died")
         assert "3 workers in a row died" in ingress.event("giving up")["why"]
         assert ingress.process.wait(WAIT_S) == 3
 
 
-def test_when_the_supervisor_is_killed_what_is_open_is_finished_and_no_worker_stays(tmp_path):
-    held = Peer(lambda *_: None)
-    with workers(tmp_path, held) as ingress:
-        pids = list(pids_of(ingress).values())
+def test_workers_finish_what_is_open_and_exit_when_the_supervisor_is_killed(tmp_path):
+    server = Peer(lambda *_: None)
+    with workers(tmp_path, server) as ingress:
+        pids = list(worker_pids(ingress).values())
         clients = [ingress.client().send(ttl=1000) for _ in range(4)]
         for _ in clients:
-            held.next()
+            server.next()
         os.kill(pids[1], signal.SIGSTOP)
         ingress.process.kill()
         ingress.process.wait(WAIT_S)
         os.kill(pids[1], signal.SIGCONT)
         assert all(client.answer()[0] in (502, 503) for client in clients)
-        assert all(gone(pid) for pid in pids)
+        assert all(has_exited(pid) for pid in pids)
 
 
 def test_sigterm_while_a_worker_starts_ends_all_of_them_and_loses_nothing(tmp_path):
     """Hard case 4, also: SIGHUP while one is being replaced reaches the new one."""
-    held, counters = Peer(lambda *_: None), (Counter(), Counter())
-    with workers(tmp_path, held, counter=counters[0]) as ingress:
-        os.kill(pids_of(ingress)[0], signal.SIGKILL)
+    server = Peer(lambda *_: None)
+    old_counter, new_counter = Counter(), Counter()
+    with workers(tmp_path, server, counter=old_counter) as ingress:
+        os.kill(worker_pids(ingress)[0], signal.SIGKILL)
         ingress.event("worker died")
         config = json.loads(ingress.file.read_text())
-        ingress.reload({**config, "counter": counters[1].address})
+        ingress.reload({**config, "counter": new_counter.address})
         ingress.event("reloaded")
         ingress.event("worker ready")
-        held.answer = lambda *_: message()
+        server.answer = lambda *_: message()
         clients = [ingress.client() for _ in range(2)]
 
-        def new_one_asks():
+        def has_replacement_called_the_counter():
             assert all(client.ask() for client in clients)
-            return spread(ingress)[0]["workers"]["0"].get("counter.called", 0) >= 3
-
-        until(new_one_asks)
-        assert counters[1].seen.qsize() and counters[0].seen.qsize() == 0  # none was asked before the reload
-        held.answer = lambda *_: None
-        while not held.seen.empty():
-            held.next()
+            return query_counters(ingress)[0]["workers"]["0"].get("counter.called", 0) >= 3
+
+        wait_until(has_replacement_called_the_counter)
+        assert new_counter.seen.qsize()
+        assert old_counter.seen.qsize() == 0  # none was asked before the reload
+        server.answer = lambda *_: None
+        while not server.seen.empty():
+            server.next()
         for client in clients:
             client.send(ttl=900)
-            held.next()
-        os.kill(pids_of(ingress)[0], signal.SIGKILL)
+            server.next()
+        os.kill(worker_pids(ingress)[0], signal.SIGKILL)
         ingress.event("worker died")
         ingress.process.send_signal(signal.SIGTERM)
         ingress.event("told to leave")
-        ends = [client.answer() for client in clients]
-        assert len([end for end in ends if end is not None]) == 1  # the other was the killed worker's
+        answers = [client.answer() for client in clients]
+        assert len([answer for answer in answers if answer is not None]) == 1  # the other was the killed worker's
         assert ingress.process.wait(WAIT_S) == 0
 
 
-def test_a_file_that_cannot_be_used_changes_nothing_for_anyone(tmp_path):
-    with workers(tmp_path, serving()) as ingress:
+def test_a_reload_of_an_unusable_file_changes_nothing(tmp_path):
+    with workers(tmp_path, serving_peer()) as ingress:
         ingress.reload("{")
         assert "not JSON" in ingress.event("reload failed")["fault"]
         assert ingress.client().ask()[0] == 200
 
 
-def test_too_few_descriptors_for_so_many_workers_name_the_key(tmp_path):
+def test_a_start_with_too_few_descriptors_names_the_key(tmp_path):
     process = start(
         config_for(Counter(), Discovery(), [], limits={"sockets": 256}), tmp_path, command=("run", "--workers", "4")
     )
@@ -286,22 +301,23 @@
 
 
 def test_one_worker_is_the_single_process(tmp_path):
-    with running(tmp_path, serving(), command=("run", "--workers", "1")) as ingress:
-        assert ingress.client().ask()[0] == 200 and children(ingress.process.pid) == []
+    with running(tmp_path, serving_peer(), command=("run", "--workers", "1")) as ingress:
+        assert ingress.client().ask()[0] == 200
+        assert child_pids(ingress.process.pid) == []
         with open(f"/proc/{ingress.process.pid}/maps") as file:
             assert "memfd" not in file.read()
 
 
-def test_nothing_is_left_behind_after_any_end(tmp_path):
-    def shared():
+def test_no_process_or_file_is_left_behind_after_any_exit(tmp_path):
+    def shared_files():
         listing = subprocess.check_output(["ls", "/dev/shm", os.environ.get("TMPDIR", "/tmp")], text=True)
         return Tally(line for line in listing.splitlines() if "mapleline" in line)
 
-    before = shared()
-    for number in (signal.SIGTERM, signal.SIGKILL):
-        with workers(tmp_path, serving()) as ingress:
-            pids = list(pids_of(ingress).values())
-            ingress.process.send_signal(number)
+    before = shared_files()
+    for signal_number in (signal.SIGTERM, signal.SIGKILL):
+        with workers(tmp_path, serving_peer()) as ingress:
+            pids = list(worker_pids(ingress).values())
+            ingress.process.send_signal(signal_number)
             ingress.process.wait(WAIT_S)
-            assert all(gone(pid) for pid in pids)
-    assert shared() == before
+            assert all(has_exited(pid) for pid in pids)
+    assert shared_files() == before
