--- a/mapleline/cores/worker.py
+++ b/mapleline/cores/worker.py
@@ -175,7 +175,7 @@
         )
 
     def _handle_handover_request(self, request: RequestHandover) -> None:
-        if self.life.phase is not Phase.LEAVING:
+        if self.life.phase is not Phase.SHUTTING_DOWN:
             self.front.hand_over(request.wanted_load, self._hand_over)
 
     def _hand_over(self, handle: socket.socket, load: float) -> None:
@@ -222,7 +222,7 @@
         """Finish what is open and stop: the supervisor is gone, and nothing new will come."""
         if self._has_stopped:
             self.reactor.stop()
-        elif self.life.leave(self.reactor.seconds()):
+        elif self.life.begin_shutdown(self.reactor.seconds()):
             log("supervisor gone", open=len(self.engine.requests))
             self._finish()
 
--- a/mapleline/ingress.py
+++ b/mapleline/ingress.py
@@ -30,7 +30,7 @@
 from .settings.platform import ACCEPT_FD, Address, Config, ConfigError
 from .takeover.descriptors import DescriptorUse, descriptor_claim
 from .takeover.slots import Slots
-from .telemetry import COUNTS, log, print_counters
+from .telemetry import COUNTS, log, log_counters
 
 if TYPE_CHECKING:
     from .settings.own import Own
@@ -78,10 +78,10 @@
         self.settings_file, self.peers = settings_file, None
         start = config.start
         clock = unix_clock(clock_start)
-        self.life = Lifecycle(shared=config.accept_fd is not None)
-        if self.life.shared:
+        self.life = Lifecycle(is_socket_shared=config.accept_fd is not None)
+        if self.life.is_socket_shared:
             lanes //= 2  # the other process has as many
-        memory = config.memory // (2 if self.life.shared else 1)  # the other process needs as much
+        memory = config.memory // (2 if self.life.is_socket_shared else 1)  # the other process needs as much
         for_bodies = int(max(BODIES_LEAST, (memory - OWN_MEMORY) * BODIES_SHARE))
         buffers = self.buffers = BufferPool(most=for_bodies)
         self.engine = Engine(brain or Brain(start), clock)
@@ -117,7 +117,7 @@
         self.fault: ConfigError | None = None  #: why it could not start
         self.door = Door(reactor, self.life, buffers, self._held)
         self.directory = Directory(config.zone_names, config.kind_names)
-        self.watcher = self._watcher(config.discovery, whole=self.life.shared)
+        self.watcher = self._watcher(config.discovery, whole=self.life.is_socket_shared)
 
     def _watcher(self, address: Address, whole: bool = False) -> Watcher:
         pauses = backoff(self.config.start)
@@ -142,10 +142,10 @@
             self._listed()
         elif news.servers:
             # Who takes over from a process that serves has time to hear what is true now.
-            self.reactor.callLater(LISTED_S, self._listed) if self.life.shared else self._listed()
+            self.reactor.callLater(LISTED_S, self._listed) if self.life.is_socket_shared else self._listed()
 
     def _listed(self) -> None:
-        self.life.listed()
+        self.life.mark_servers_known()
         self.front.read_port()
 
     def run(self) -> None:
@@ -164,14 +164,14 @@
         self.reactor.run()
         if self.fault is not None:
             raise self.fault
-        print_counters("exit")
+        log_counters("exit")
 
     def _open(self) -> None:
         """Listen, and say so."""
-        if self.life.phase is Phase.LEAVING:
+        if self.life.phase is Phase.SHUTTING_DOWN:
             return
         try:
-            if self.life.shared:
+            if self.life.is_socket_shared:
                 self._inherit()
             else:
                 self.front.port = self._listen("listen", self.config.listen, self.front, FrontPort)
@@ -228,7 +228,7 @@
         if self.slots is not None:
             held = self.own + len(self.front.streams) + self.upstreams.held
             others = [total - start if one is None else one for one in self.slots.others()]
-            leaving = self.life.phase is Phase.LEAVING
+            leaving = self.life.phase is Phase.SHUTTING_DOWN
             use = DescriptorUse(total, start, held, self.slots.is_elder, leaving)
             claimed = descriptor_claim(use, others)
             try:
@@ -258,7 +258,7 @@
             signal.SIGHUP: self.reload,
             signal.SIGTERM: self.leave,
             signal.SIGINT: self.leave,
-            signal.SIGUSR1: lambda: print_counters("asked"),
+            signal.SIGUSR1: lambda: log_counters("asked"),
         }
         for number, handler in handlers.items():
             signal.signal(number, lambda *_, handler=handler: self.reactor.callFromThread(handler))
@@ -300,10 +300,10 @@
 
     def leave(self, stay_s: float = STAY_S) -> None:
         """Go on serving for a while, then take nothing new, finish what is open, and stop."""
-        if not self.life.leave(self.reactor.seconds()):
+        if not self.life.begin_shutdown(self.reactor.seconds()):
             return
         log("told to leave", open=len(self.engine.requests))
-        if self.life.shared:
+        if self.life.is_socket_shared:
             self.front.stop_accepting()  # at once: the other process takes what waits
             stay_s = GIVEN_UP_S
         self.reactor.callLater(stay_s, self._finish)
--- a/mapleline/lifecycle.py
+++ b/mapleline/lifecycle.py
@@ -1,107 +1,129 @@
-"""Whether the ingress is ready, and which client connections may stay; pure, with the time as an argument.
+"""Whether the ingress is ready, and which client connections it keeps.
 
-The front, the operators' door and the signals ask this one place (docs/design/daily-operation.md).
+A pure state machine: every method that needs the time takes it as an argument.  The listener, the management
+port and the signal handlers share one instance (docs/design/daily-operation.md).
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-#: Seconds from a no until no new connection comes any more: the front asks every 0.1 s and stops 0.2 s after
-#: the no; the rest is for an answer that was slow.
-SETTLED_S = 0.5
+#: Seconds from the first failing readiness check until no new connection arrives: the TCP load balancer in front
+#: checks every 0.1 s and stops 0.2 s after a failure; the rest allows for a slow answer.
+DRAIN_SETTLE_S = 0.5
 
 
 class Phase(Enum):
-    """Where the process stands; the values are what operators read."""
+    """The state of the process; the values are what operators read."""
 
     STARTING = "starting"
     READY = "ready"
     DRAINING = "draining"
-    LEAVING = "leaving"
+    SHUTTING_DOWN = "leaving"
 
 
 class Lifecycle:
-    """Starting, ready, draining, leaving.  Times are in seconds, on a clock that never goes back.
+    """State of one process: starting, ready, draining, shutting down.
 
-    `shared`: another process may serve the same listening socket, before this one is ready and after it
-    leaves.
+    All times are seconds on one monotonic clock.
     """
 
-    def __init__(self, shared: bool = False) -> None:
-        self.shared = shared
-        self._listed = False
-        self._drained_at: float | None = None
-        self._left_at: float | None = None
-        self._closed = False
+    def __init__(self, is_socket_shared: bool = False) -> None:
+        """Start without a server list.
+
+        Args:
+            is_socket_shared: Whether another process may serve the same listening socket, before this process is
+                ready and after it shuts down.
+        """
+        self.is_socket_shared = is_socket_shared
+        self._has_servers = False
+        self._drain_began_s: float | None = None
+        self._shutdown_began_s: float | None = None
+        self._is_listener_closed = False
 
     @property
     def phase(self) -> Phase:
-        if self._left_at is not None:
-            return Phase.LEAVING
-        if self._drained_at is not None:
+        """The current state; a shutdown outranks a drain, and a drain outranks readiness."""
+        if self._shutdown_began_s is not None:
+            return Phase.SHUTTING_DOWN
+        if self._drain_began_s is not None:
             return Phase.DRAINING
-        return Phase.READY if self._listed else Phase.STARTING
+        return Phase.READY if self._has_servers else Phase.STARTING
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this process is ready to serve."""
         return self.phase is Phase.READY
 
     @property
-    def open(self) -> bool:
-        """What `/health/ready` says: whether clients may come to this address, whoever takes them."""
-        handed_on = self.shared and self._left_at is not None and self._drained_at is None
-        return self.ready or handed_on and self._listed
+    def is_address_ready(self) -> bool:
+        """Whether clients may connect to this address, whichever process serves it (`/health/ready`)."""
+        was_draining = self._drain_began_s is not None
+        return self.is_ready or (self._has_successor and not was_draining and self._has_servers)
+
+    @property
+    def accepts_connections(self) -> bool:
+        """Whether this process accepts new connections."""
+        if self.is_socket_shared:
+            return self._has_servers and self._shutdown_began_s is None
+        return not self._is_listener_closed
 
     @property
-    def accepts(self) -> bool:
-        """Whether new connections are taken."""
-        if self.shared:
-            return self._listed and self._left_at is None
-        return not self._closed
+    def _has_successor(self) -> bool:
+        """Whether this process shuts down and another process serves its socket."""
+        return self.is_socket_shared and self._shutdown_began_s is not None
 
-    # --- what happened
+    def mark_servers_known(self) -> None:
+        """Record that a server list fit for serving has arrived."""
+        self._has_servers = True
 
-    def listed(self) -> None:
-        """A list of servers is known that is worth serving by."""
-        self._listed = True
+    def drain(self, now_s: float) -> bool:
+        """Stop attracting clients until `resume`; a repeated drain continues the first.
 
-    def drain(self, now: float) -> bool:
-        """Send clients away until `resume`; False while leaving.  A second drain goes on with the first."""
-        if self._left_at is not None:
+        Returns:
+            Whether the order was accepted; it is not during a shutdown.
+        """
+        if self._shutdown_began_s is not None:
             return False
-        if self._drained_at is None:
-            self._drained_at = now
+        if self._drain_began_s is None:
+            self._drain_began_s = now_s
         return True
 
     def resume(self) -> bool:
-        """The drain, if there is one, is over; False while leaving."""
-        if self._left_at is None:
-            self._drained_at = None
-        return self._left_at is None
-
-    def leave(self, now: float) -> bool:
-        """Told to go; False if that is known already."""
-        if self._left_at is not None:
+        """End the drain, if there is one.
+
+        Returns:
+            Whether the order was accepted; it is not during a shutdown.
+        """
+        if self._shutdown_began_s is not None:
             return False
-        self._left_at = now
+        self._drain_began_s = None
         return True
 
-    def close(self) -> None:
-        """Leaving, and the listener is closed: what is open is finished and nothing else."""
-        self._closed = True
+    def begin_shutdown(self, now_s: float) -> bool:
+        """Begin the graceful shutdown.
 
-    # --- what that means for client connections
+        Returns:
+            False if it had begun already.
+        """
+        if self._shutdown_began_s is not None:
+            return False
+        self._shutdown_began_s = now_s
+        return True
+
+    def mark_listener_closed(self) -> None:
+        """Record that the listener is closed: open requests are finished and no others begin."""
+        self._is_listener_closed = True
 
     @property
-    def last(self) -> bool:
-        """Whether an answer given now is the last on its connection."""
-        handed_on = self.shared and self._left_at is not None
-        return self._closed or handed_on or self.phase is Phase.DRAINING
-
-    def sheds(self, now: float) -> bool:
-        """Whether connections between requests are to be closed now."""
-        if self._closed:
+    def closes_after_answer(self) -> bool:
+        """Whether a connection closes after the answer that is sent on it now."""
+        return self._is_listener_closed or self._has_successor or self.phase is Phase.DRAINING
+
+    def closes_idle_connections(self, now_s: float) -> bool:
+        """Whether connections without an open request are to be closed now."""
+        if self._is_listener_closed:
             return True
-        return self.phase is Phase.DRAINING and now - self._drained_at >= SETTLED_S
+        if self._drain_began_s is None or self._shutdown_began_s is not None:
+            return False
+        return now_s - self._drain_began_s >= DRAIN_SETTLE_S
--- a/mapleline/net/clients.py
+++ b/mapleline/net/clients.py
@@ -142,7 +142,7 @@
 
     def _take(self, request: Request) -> None:
         if request.target == READY_PATH and request.method == b"GET":
-            return self.answer(200 if self.front.life.open else 503)
+            return self.answer(200 if self.front.life.is_address_ready else 503)
         wish = self.front.translator.read(request)
         if len(self.front.engine.requests) >= self.front.open_cap:
             COUNTS["client.over_open_cap"] += 1
@@ -169,7 +169,7 @@
         self._forget()
         if not self.connected:
             return
-        if self.front.life.last:
+        if self.front.life.closes_after_answer:
             self.machine.closing = True
         if self.machine.passing:
             # What is still to come is no request; a client may read its answer only once it has sent that.
@@ -219,7 +219,7 @@
         """The answer goes out as it comes: `part`s, then `ended`.  `source` is paused and resumed."""
         if not self.connected:
             return
-        if self.front.life.last:
+        if self.front.life.closes_after_answer:
             self.machine.closing = True
         self.source = source
         self.front.touch(self)
@@ -410,7 +410,7 @@
     def read_port(self) -> None:
         """Take new connections, or leave them to the kernel: as there is room, and as the lifecycle says."""
         if self.port is not None and self.port.connected:
-            (self.port.startReading if self._accepting and self.life.accepts else self.port.stopReading)()
+            (self.port.startReading if self._accepting and self.life.accepts_connections else self.port.stopReading)()
 
     def resize(self, most: int) -> None:
         """Another bound on connections; idle ones beyond it go."""
@@ -424,7 +424,7 @@
         self.reactor.callLater(SWEEP_S, self._sweep)
         now = self.reactor.seconds()
         crowded = not self._accepting
-        if self.life.sheds(now):
+        if self.life.closes_idle_connections(now):
             self.shed()
         waiting = list(takewhile(lambda s: now - s.since >= CROWDED_S, self.streams))
         for stream in waiting:
@@ -497,7 +497,7 @@
 
         On a socket that another process shares, a connection that is new has not been closed by `leave`.
         """
-        coming = self.life.shared
+        coming = self.life.is_socket_shared
         return any(
             not s.flushed or s.machine.busy or half_in and (s.machine.partial or coming and not s.asked)
             for s in self.streams
@@ -518,10 +518,10 @@
 
     def leave(self) -> None:
         """No new connections; those that stand idle close, the others close with their answer."""
-        self.life.close()
+        self.life.mark_listener_closed()
         self.stop_accepting()
         for stream in list(self.streams):
-            if stream.idle and not stream.asked and not self.life.shared:
+            if stream.idle and not stream.asked and not self.life.is_socket_shared:
                 stream.close()
         self.shed()
         log("leaving", open=len(self.engine.requests), connections=len(self.streams))
--- a/mapleline/net/management.py
+++ b/mapleline/net/management.py
@@ -63,7 +63,7 @@
         return {"state": self.life.phase.value, **more, **self.held()}
 
     def _ready(self) -> Answer:
-        return 200 if self.life.ready else 503, self._state(ready=self.life.ready)
+        return 200 if self.life.is_ready else 503, self._state(ready=self.life.is_ready)
 
     def _drain(self) -> Answer:
         return self._ordered("drain", self.life.drain(self.reactor.seconds()))
@@ -76,7 +76,7 @@
         log("door", order=order, done=done, state=self.life.phase.value)
         if not done:
             return 409, self._state(error="this process has been told to leave")
-        return 200, self._state(ready=self.life.ready)
+        return 200, self._state(ready=self.life.is_ready)
 
 
 class Caller(Stream):
--- a/mapleline/telemetry.py
+++ b/mapleline/telemetry.py
@@ -1,68 +1,97 @@
-"""What an operator sees: the log (one JSON line an event), the counters and broken invariants."""
+"""The log (one JSON line per event), the counters and the checks of invariants."""
 
 from __future__ import annotations
 
 import sys
 import time
 from collections import Counter
-from typing import Any
+from typing import TYPE_CHECKING, Protocol
 
-#: Everything taken in, sent and answered, by name.  `print_counters` shows it on SIGUSR1 and at exit.
+if TYPE_CHECKING:
+    from collections.abc import Callable, MutableMapping
+    from typing import Any
+
+    from structlog.typing import WrappedLogger
+
+    #: Turns one event into a line of the log; structlog calls it a processor.
+    Formatter = Callable[[WrappedLogger, str, MutableMapping[str, Any]], bytes]
+
+#: Events by name since the start.  `log_counters` writes them on SIGUSR1 and at exit.
 COUNTS: Counter[str] = Counter()
 
 
-def _as_json(logger: Any, method: str, event: dict[str, Any]) -> bytes:
+class EventLogger(Protocol):
+    """The part of a structlog logger that `log` needs."""
+
+    def info(self, event: str, **fields: object) -> object:
+        """Write one event with its fields."""
+
+
+#: Made by `configure_log`, or with its defaults by the first `log`.
+_logger: EventLogger | None = None
+
+
+def _format_json(logger: WrappedLogger, method: str, event: MutableMapping[str, Any]) -> bytes:
     import orjson
 
-    return orjson.dumps({"at": time.time(), "event": event.pop("event"), **event}, default=str)
+    line = {"at": time.time(), "event": event.pop("event"), **event}
+    return orjson.dumps(line, default=str)
 
 
-def _as_text() -> Any:
-    """For a terminal: the same fields, readable."""
+def _text_formatter() -> Formatter:
+    """Return a formatter for terminals: the same fields, readable."""
     import structlog
 
     render = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
 
-    def line(logger: Any, method: str, event: dict[str, Any]) -> bytes:
+    def format_text(logger: WrappedLogger, method: str, event: MutableMapping[str, Any]) -> bytes:
         event["timestamp"] = time.strftime("%H:%M:%S")
         return render(logger, method, event).encode()
 
-    return line
+    return format_text
 
 
 def configure_log(form: str = "json", **bound: object) -> None:
-    """Choose the form (`json`, `text`, or `auto`: text on a terminal) and fields that every line has."""
-    import structlog  # with orjson, half of a start's imports that a program with another log does without
+    """Set the format of the log and the fields that every line carries.
+
+    Args:
+        form: `json`, `text`, or `auto` (text on a terminal, JSON elsewhere).
+        **bound: Fields added to every line.
+    """
+    global _logger
+    import structlog  # late: with orjson half of the imports of a start, and the balancer logs without them
 
-    text = form == "text" or (form == "auto" and sys.stderr.isatty())
+    is_text = form == "text" or (form == "auto" and sys.stderr.isatty())
     structlog.configure(
-        processors=[_as_text() if text else _as_json],
+        processors=[_text_formatter() if is_text else _format_json],
         logger_factory=structlog.BytesLoggerFactory(file=sys.stderr.buffer),
         cache_logger_on_first_use=False,
     )
-    global _logger
     _logger = structlog.get_logger(**bound)
 
 
-_logger: Any = None
-
-
 def log(event: str, **fields: object) -> None:
-    """Write one event.  Never called for each request: a line costs more than a request should."""
+    """Write one event.
+
+    Not for the path of a request: a line costs more than a request may.  A line that cannot be written is counted
+    as `log.lost`, and the process goes on serving.
+    """
     if _logger is None:
         configure_log()
+    assert _logger is not None
     try:
         _logger.info(event, **fields)
     except (OSError, ValueError):
-        COUNTS["log.lost"] += 1  # nobody reads the log any more: no reason to stop serving
+        COUNTS["log.lost"] += 1
 
 
-def print_counters(why: str) -> None:
+def log_counters(why: str) -> None:
+    """Write all counters as one event; `why` names the occasion."""
     log("counters", why=why, counts=dict(sorted(COUNTS.items())))
 
 
 def invariant(holds: object, what: str) -> None:
-    """What must hold: asserted in debug builds, counted in release builds (`python -O`)."""
+    """Check what must hold: asserted in debug builds, counted as `broken.<what>` under `python -O`."""
     if __debug__:
         assert holds, what
     elif not holds:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -321,7 +321,7 @@
     relay = Clocked()
     relay.client.grant(10**7)
     life = relay.client.protocol.front.life
-    life.listed()
+    life.mark_servers_known()
     sent, coming = request(400_000, "length")
     while not relay.servers:
         coming = relay.client.give(coming)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -48,7 +48,7 @@
     for name in ("_listen", "_inherit", "_heed_signals", "told"):
         monkeypatch.setattr(made, name, lambda *_, name=name: seen.append(name))
     monkeypatch.setattr(ingress, "calm_gc", lambda: seen.append("gc"))
-    monkeypatch.setattr(ingress, "print_counters", lambda why: None)
+    monkeypatch.setattr(ingress, "log_counters", lambda why: None)
     monkeypatch.setattr(ingress, "log", lambda event, **_: seen.append(event))
     made.watcher.start = lambda: seen.append("watch")
     made.run()
