--- a/mapleline/balancer/control/api.py
+++ b/mapleline/balancer/control/api.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ...http1.messages import Request
+from ...http1 import Request
 from ..configuration import ConfigurationError, parse_configuration
 from ..membership.member import MemberFlags
 from ..transport.addresses import ip_from_int, ip_to_int
--- a/mapleline/balancer/discovery/directory.py
+++ b/mapleline/balancer/discovery/directory.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from random import Random
 
-    from ...http1.messages import Request
+    from ...http1 import Request
     from ..clock import Clock
     from ..membership.table import MembershipTable
     from ..proxy.client_connection import ClientConnection
--- a/mapleline/balancer/discovery/platform_client.py
+++ b/mapleline/balancer/discovery/platform_client.py
@@ -13,9 +13,7 @@
 import msgspec
 from twisted.internet.protocol import connectionDone
 
-from ...http1.buffers import BufferPool
-from ...http1.client import ClientConnection
-from ...http1.messages import Response
+from ...http1 import BufferPool, ClientConnection, Response
 from ...net.dial import dial
 from ...net.streams import Stream
 from .endpoints import InstancePage, ListedInstance, decode_page
@@ -61,7 +59,7 @@
     transport: Any  # Twisted's interfaces declare methods without self, which mypy takes for attributes
 
     def __init__(self, pool: BufferPool, on_response: Callable[[Response | None], None]) -> None:
-        self._http = ClientConnection(pool, MAX_RESPONSE_BYTES)
+        self._http: ClientConnection[None] = ClientConnection(pool, MAX_RESPONSE_BYTES)
         self._on_response: Callable[[Response | None], None] | None = on_response
 
     def request(self, data: bytes) -> None:
@@ -101,7 +99,7 @@
         self.settings = settings
         self.endpoints = endpoints
         self.on_listed = on_listed
-        self._pool = BufferPool(kept=KEPT_BUFFERS)
+        self._pool = BufferPool(max_free=KEPT_BUFFERS)
         self._is_fetching = False
 
     def fetch(self) -> None:
--- a/mapleline/balancer/environment.py
+++ b/mapleline/balancer/environment.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from twisted.internet.defer import Deferred
 
-    from ..http1.buffers import BufferPool
+    from ..http1 import BufferPool
     from .control.audit_log import AuditLog
     from .control.snapshot import ReplicaStore
     from .discovery.endpoints import EndpointList
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from ..http1.buffers import BufferPool
+from ..http1 import BufferPool
 from .configuration_applier import ConfigurationApplier
 from .context import NodeContext
 from .control.api import ControlApi
@@ -38,7 +38,7 @@
 from .transport.fencing import Fence
 
 if TYPE_CHECKING:
-    from ..http1.messages import Request
+    from ..http1 import Request
     from .clock import Reactor
     from .control.state import State
     from .environment import Environment
@@ -88,7 +88,7 @@
         self.fence = Fence(self.membership)
         self.endpoints = EndpointList(settings.cloud_api.max_lag)
         self.leadership = Leadership(self.membership.local_member.ip)
-        body_pool = BufferPool(most=int(settings.limits.memory_mb * BODY_MEMORY_BYTES_PER_MB))
+        body_pool = BufferPool(limit_bytes=int(settings.limits.memory_mb * BODY_MEMORY_BYTES_PER_MB))
         self.upstream_pool = environment.upstream_pool(body_pool)
         self.control_plane = self._make_control_plane()
         self.electorate = Electorate(self.control_plane.committed.voter_ips, self.membership)
@@ -198,7 +198,7 @@
 
     def _listen(self) -> None:
         addresses = self.settings.listen_addresses
-        pool = BufferPool(kept=CONTROL_BUFFERS_KEPT)  # without a bound: these requests are small and held in whole
+        pool = BufferPool(max_free=CONTROL_BUFFERS_KEPT)  # without a bound: these requests are small and held in whole
         for address, handler in (
             (addresses.ready_addr, self.handle_readiness),
             (addresses.control_addr, self.control.handle_request),
--- a/mapleline/balancer/process_environment.py
+++ b/mapleline/balancer/process_environment.py
@@ -19,7 +19,7 @@
     from twisted.internet.defer import Deferred
     from twisted.internet.protocol import DatagramProtocol
 
-    from ..http1.buffers import BufferPool
+    from ..http1 import BufferPool
     from .control.snapshot import ReplicaStore
     from .discovery.endpoints import EndpointList
     from .settings import Settings
--- a/mapleline/balancer/proxy/admission.py
+++ b/mapleline/balancer/proxy/admission.py
@@ -8,7 +8,7 @@
 from .request_context import AdmittedRequest, Rejection
 
 if TYPE_CHECKING:
-    from ...http1.messages import Request
+    from ...http1 import Request
     from ..configuration import Route
     from ..routing_table import RoutingTable
     from .counters import RequestCounters
--- a/mapleline/balancer/proxy/attempts.py
+++ b/mapleline/balancer/proxy/attempts.py
@@ -25,7 +25,7 @@
 from .upstream_attempt import Attempt
 
 if TYPE_CHECKING:
-    from ...http1.messages import Response
+    from ...http1 import Response
     from ...policy.placing import Target
     from ..routing_table import RoutingTable
     from .client_connection import ClientConnection
--- a/mapleline/balancer/proxy/client_connection.py
+++ b/mapleline/balancer/proxy/client_connection.py
@@ -7,9 +7,8 @@
 
 from twisted.internet.protocol import connectionDone
 
-from ...http1.messages import Malformed, Request
-from ...http1.server import ServerConnection as Http1Server
-from ...http1.upload import Upload
+from ...http1 import RemoteProtocolError, Request, Upload
+from ...http1 import ServerConnection as Http1Server
 from ...net.streams import Stream
 
 if TYPE_CHECKING:
@@ -104,9 +103,9 @@
     def _receive_body_part(self, upload: Upload) -> None:
         try:
             part = self._http1.next_part()
-        except Malformed as error:
+        except RemoteProtocolError as error:
             request_in_flight = self._request_in_flight
-            self.reply(error.status, error.why.encode())
+            self.reply(error.status, error.reason.encode())
             if request_in_flight is not None:
                 request_in_flight.on_client_disconnected()
             return
@@ -121,8 +120,8 @@
         while not self._http1.busy and self.connected:
             try:
                 request = self._http1.next_request()
-            except Malformed as error:
-                self.reply(error.status, error.why.encode())
+            except RemoteProtocolError as error:
+                self.reply(error.status, error.reason.encode())
                 return
             if request is None:
                 if self._http1.expects:
@@ -139,7 +138,7 @@
 
     def _reserve_memory(self, size_bytes: int) -> None:
         """Count the body of the request in flight in the bound of the buffer pool."""
-        self._listener.buffer_pool.held += size_bytes - self._reserved_bytes
+        self._listener.buffer_pool.reserved_bytes += size_bytes - self._reserved_bytes
         self._reserved_bytes = size_bytes
 
     def _on_body_discarded(self, request: Request) -> None:
--- a/mapleline/balancer/proxy/forwarded_request.py
+++ b/mapleline/balancer/proxy/forwarded_request.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from ...http1.messages import write_chunk
+from ...http1 import write_chunk
 
 if TYPE_CHECKING:
-    from ...http1.messages import Response
+    from ...http1 import Response
     from .request_context import RequestContext
 
 HOP_BY_HOP_HEADERS = frozenset(
--- a/mapleline/balancer/proxy/listener.py
+++ b/mapleline/balancer/proxy/listener.py
@@ -12,8 +12,7 @@
 if TYPE_CHECKING:
     from twisted.internet.interfaces import IAddress
 
-    from ...http1.buffers import BufferPool
-    from ...http1.messages import Request
+    from ...http1 import BufferPool, Request
     from ..clock import Clock
 
 NEVER_STREAM = 1 << 30
--- a/mapleline/balancer/proxy/outcome.py
+++ b/mapleline/balancer/proxy/outcome.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from ...http1.messages import Response
+    from ...http1 import Response
 
 IDEMPOTENT = "idempotent"
 """The kind of route whose requests may be executed more than once."""
--- a/mapleline/balancer/proxy/proxy.py
+++ b/mapleline/balancer/proxy/proxy.py
@@ -18,7 +18,7 @@
 from .slow_start import SlowStart
 
 if TYPE_CHECKING:
-    from ...http1.messages import Request
+    from ...http1 import Request
     from ...policy.placing import Target
     from ..routing_table import RoutingTable
     from ..transport.messages import LoadReport
--- a/mapleline/balancer/proxy/request_context.py
+++ b/mapleline/balancer/proxy/request_context.py
@@ -10,8 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from ...http1.messages import Request
-    from ...http1.upload import Upload
+    from ...http1 import Request, Upload
     from ..clock import DelayedCall
     from ..configuration import Route
     from .client_connection import ClientConnection
--- a/mapleline/balancer/proxy/server_feedback.py
+++ b/mapleline/balancer/proxy/server_feedback.py
@@ -7,7 +7,7 @@
 from .outcome import MISDIRECTED_REQUEST, EndReason, Outcome
 
 if TYPE_CHECKING:
-    from ...http1.messages import Response
+    from ...http1 import Response
     from ...policy.placing import Target
     from .route_statistics import RouteStatistics, StatisticsKey
     from .upstream_attempt import Attempt
--- a/mapleline/balancer/proxy/upstream_attempt.py
+++ b/mapleline/balancer/proxy/upstream_attempt.py
@@ -10,8 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from ...http1.messages import Response
-    from ...http1.upload import Upload
+    from ...http1 import Response, Upload
     from ...policy.placing import Target
     from .upstream_connection import UpstreamConnection
 
--- a/mapleline/balancer/proxy/upstream_connection.py
+++ b/mapleline/balancer/proxy/upstream_connection.py
@@ -9,15 +9,15 @@
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import connectionDone
 
-from ...http1.buffers import BUFFER_SIZE, BufferPool
-from ...http1.client import ClientConnection as Http1Client
+from ...http1 import BUFFER_SIZE, BufferPool
+from ...http1 import ClientConnection as Http1Client
 from ...net.streams import Stream
 from .outcome import EndReason
 
 if TYPE_CHECKING:
     from twisted.python.failure import Failure
 
-    from ...http1.messages import Response
+    from ...http1 import Response
     from ...policy.placing import Target
     from ..clock import Clock
     from .upstream_attempt import Attempt, ResponseSink
--- a/mapleline/balancer/proxy/upstream_pool.py
+++ b/mapleline/balancer/proxy/upstream_pool.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from twisted.python.failure import Failure
 
-    from ...http1.buffers import BufferPool
+    from ...http1 import BufferPool
     from ...policy.placing import Target
     from ..clock import Reactor
     from .upstream_attempt import Attempt
--- a/mapleline/cores/server_list_publisher.py
+++ b/mapleline/cores/server_list_publisher.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from ..http1.buffers import BufferPool
+from ..http1 import BufferPool
 from ..net.discovery import Directory, Watcher, backoff
 from ..policy.interface import Life, News, Server, ServerNews
 from ..telemetry import COUNTS
--- a/mapleline/http1/chunked.py
+++ b/mapleline/http1/chunked.py
@@ -1,20 +1,26 @@
-"""A body in chunks (RFC 9112, section 7.1), decoded as it comes."""
+"""The chunked transfer coding (RFC 9112, section 7.1), decoded as it arrives."""
 
 from __future__ import annotations
 
 import re
 
-from .buffers import BufferPool, Inbox
+from .bodies import BufferedBody
+from .buffers import BufferPool
+from .errors import RemoteProtocolError
+from .headers import TOKEN
 
-MOST_LINE = 256  # bytes of one size line: nobody needs longer extensions, and none is read
-MOST_FRAMING = 64 * 1024  # bytes of size lines, and FRAMING_EACH more for each byte of body: chunks of one
-FRAMING_EACH = 8  # byte each are allowed, empty work is not
-MOST_TRAILERS = 8 * 1024
-SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\x00\r\n]*)?")
-TRAILER = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[^\x00\r\n]*")
+MAX_SIZE_LINE_BYTES = 256  #: of a size line with its extensions, which are not read (RFC 9112, section 7.1.1)
+#: Bytes of size lines in a body, and for each byte of body as many again as stand below: chunks of one byte
+#: each are allowed, work without any body is not.
+MAX_FRAMING_BYTES = 64 * 1024
+FRAMING_BYTES_PER_BODY_BYTE = 8
+MAX_TRAILER_BYTES = 8 * 1024  #: of the trailer section (RFC 9112, section 7.1.2)
+
+SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\x00\r\n]*)?")
+TRAILER_LINE = re.compile(rb"(" + TOKEN + rb"):[^\x00\r\n]*")
 #: Fields that frame, route, or say who asks: behind a body they could only contradict the head
 #: (RFC 9110, section 6.5.1).
-NEVER_TRAILERS = frozenset(
+FORBIDDEN_TRAILERS = frozenset(
     {
         b"content-length",
         b"transfer-encoding",
@@ -39,113 +45,121 @@
 )
 
 
-class BadChunk(Exception):
-    """Framing that is turned down; `status` says why (400, 413 or 431)."""
-
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status, self.why = status, why
+class ChunkedBody(BufferedBody):
+    """Decodes the bytes behind a head; each is looked at once, however they are split.
 
+    What has been decoded is bounded by `max_bytes`; framing and trailers by the constants above.  Trailers are
+    checked and dropped.
 
-class ChunkedBody:
-    """Takes the bytes behind a head; each is looked at once, however they are split.
+    The decoder is in one of five states, each a method that reads on from there:
 
-    What has been decoded waits in pooled buffers and is bounded by `most`; framing and trailers are bounded
-    by the constants above.  Trailers are checked and dropped; `strict` refuses those that belong into a head.
+    | state            | reads                              | then                                            |
+    | ---------------- | ---------------------------------- | ----------------------------------------------- |
+    | `_read_size`     | the line with the size of a chunk  | `_read_data`, or `_read_trailer` after a size 0 |
+    | `_read_data`     | the bytes of a chunk               | `_read_data_end` after the last                 |
+    | `_read_data_end` | the empty line behind them         | `_read_size`                                    |
+    | `_read_trailer`  | a line of the trailer section      | complete after an empty one                     |
+    | complete         | nothing: what follows is not ours  |                                                 |
     """
 
+    __slots__ = (
+        "_chunk_left_bytes",
+        "_framing_bytes",
+        "_is_strict",
+        "_max_bytes",
+        "_partial_line",
+        "_read",
+        "_trailer_bytes",
+        "is_complete",
+    )
     length = None  #: not known beforehand
 
-    __slots__ = ("_framing", "_inbox", "_left", "_line", "_most", "_step", "_strict", "_taken", "_trailers", "whole")
-
-    def __init__(self, pool: BufferPool, most: int, strict: bool) -> None:
-        self._inbox = Inbox(pool)
-        self._most = most  # bytes of body
-        self._strict = strict
-        self._line = b""  # the part of a line that has come
-        self._left = 0  # bytes of the chunk in hand that have not come
-        self._framing = self._trailers = 0
-        self._taken = 0  # bytes of body given out
-        self._step = self._size
-        self.whole = False
-
-    @property
-    def held(self) -> int:
-        """Bytes that wait here, in buffers and in a line that is not whole."""
-        return self._inbox.size + len(self._line)
+    def __init__(self, pool: BufferPool, max_bytes: int, is_strict: bool) -> None:
+        """Start before the first size line; with `is_strict`, `FORBIDDEN_TRAILERS` are rejected."""
+        super().__init__(pool)
+        self._max_bytes = max_bytes
+        self._is_strict = is_strict
+        self._partial_line = b""  # of a line whose end has not arrived
+        self._chunk_left_bytes = 0  # of the current chunk, not arrived yet
+        self._framing_bytes = 0
+        self._trailer_bytes = 0
+        self._read = self._read_size
+        self.is_complete = False
 
     @property
-    def size(self) -> int:
-        """Bytes of body so far."""
-        return self._taken + self._inbox.size
-
-    def feed(self, data: bytes, at: int = 0) -> int:
-        """Take in `data` from `at`; returns where the body ends in it, or its length.  Raises BadChunk."""
-        while at < len(data) and not self.whole:
-            at = self._step(data, at)
-        return at
-
-    def take(self) -> bytes:
-        """The body, or what there is of it; the buffers go back."""
-        self._taken += self._inbox.size
-        return self._inbox.take()
-
-    def _line_of(self, data: bytes, at: int, most: int) -> tuple[bytes | None, int]:
-        """The line that ends in `data`, without its end, and where the next one begins."""
-        end = data.find(b"\n", at, at + most + 2)
+    def buffered_bytes(self) -> int:
+        """Bytes that wait here, in buffers and in a line that is not complete."""
+        return self._queue.size + len(self._partial_line)
+
+    def feed(self, data: bytes) -> int:
+        """Take in `data`; return where the body ends in it, or its length.
+
+        Raises:
+            RemoteProtocolError: 400 for malformed framing, 413 for too much of it or of body, 431 for too many
+                trailers.
+        """
+        offset = 0
+        while offset < len(data) and not self.is_complete:
+            offset = self._read(data, offset)
+        return offset
+
+    def _next_line(self, data: bytes, offset: int, max_bytes: int) -> tuple[bytes | None, int]:
+        """Return the line that ends in `data`, without its CRLF, and where the next one begins."""
+        end = data.find(b"\n", offset, offset + max_bytes + 2)
         if end < 0:
-            self._line += data[at : at + most + 2]
-            if len(self._line) > most + 1:
-                raise BadChunk(431 if most == MOST_TRAILERS else 400, "chunk line too long")
+            self._partial_line += data[offset : offset + max_bytes + 2]
+            if len(self._partial_line) > max_bytes + 1:
+                raise RemoteProtocolError(431 if max_bytes == MAX_TRAILER_BYTES else 400, "chunk line too long")
             return None, len(data)
-        line, self._line = self._line + data[at:end], b""
-        if len(line) > most + 1 or not line.endswith(b"\r"):
-            raise BadChunk(400, "malformed chunk")
+        line = self._partial_line + data[offset:end]
+        self._partial_line = b""
+        if len(line) > max_bytes + 1 or not line.endswith(b"\r"):
+            raise RemoteProtocolError(400, "malformed chunk")
         return line[:-1], end + 1
 
-    def _size(self, data: bytes, at: int) -> int:
-        line, end = self._line_of(data, at, MOST_LINE)
-        self._framing += end - at
-        if self._framing > MOST_FRAMING + FRAMING_EACH * self.size:
-            raise BadChunk(413, "too many chunks")
+    def _read_size(self, data: bytes, offset: int) -> int:
+        line, end = self._next_line(data, offset, MAX_SIZE_LINE_BYTES)
+        self._framing_bytes += end - offset
+        if self._framing_bytes > MAX_FRAMING_BYTES + FRAMING_BYTES_PER_BODY_BYTE * self.received_bytes:
+            raise RemoteProtocolError(413, "too many chunks")
         if line is None:
             return end
-        match = SIZE.fullmatch(line)
+        match = SIZE_LINE.fullmatch(line)
         if not match:
-            raise BadChunk(400, "malformed chunk")
-        self._left = int(match[1], 16)
-        if self.size + self._left > self._most:
-            raise BadChunk(413, "body too large")
-        self._step = self._data if self._left else self._trailer
+            raise RemoteProtocolError(400, "malformed chunk")
+        self._chunk_left_bytes = int(match[1], 16)
+        if self.received_bytes + self._chunk_left_bytes > self._max_bytes:
+            raise RemoteProtocolError(413, "body too large")
+        self._read = self._read_data if self._chunk_left_bytes else self._read_trailer
         return end
 
-    def _data(self, data: bytes, at: int) -> int:
-        part = data[at : at + self._left]
-        self._inbox.put(part)
-        self._left -= len(part)
-        if not self._left:
-            self._step = self._end_of_data
-        return at + len(part)
+    def _read_data(self, data: bytes, offset: int) -> int:
+        part = data[offset : offset + self._chunk_left_bytes]
+        self._queue.put(part)
+        self._chunk_left_bytes -= len(part)
+        if not self._chunk_left_bytes:
+            self._read = self._read_data_end
+        return offset + len(part)
 
-    def _end_of_data(self, data: bytes, at: int) -> int:
-        line, end = self._line_of(data, at, 0)
+    def _read_data_end(self, data: bytes, offset: int) -> int:
+        line, end = self._next_line(data, offset, 0)
         if line is not None:
-            self._step = self._size
+            self._read = self._read_size
         return end
 
-    def _trailer(self, data: bytes, at: int) -> int:
-        line, end = self._line_of(data, at, MOST_TRAILERS)
-        self._trailers += end - at
-        if self._trailers > MOST_TRAILERS:
-            raise BadChunk(431, "trailers too large")
+    def _read_trailer(self, data: bytes, offset: int) -> int:
+        line, end = self._next_line(data, offset, MAX_TRAILER_BYTES)
+        self._trailer_bytes += end - offset
+        if self._trailer_bytes > MAX_TRAILER_BYTES:
+            raise RemoteProtocolError(431, "trailers too large")
         if line is None:
             return end
         if not line:
-            self.whole = True
+            self.is_complete = True
             return end
-        match = TRAILER.fullmatch(line)
+        match = TRAILER_LINE.fullmatch(line)
         if not match:
-            raise BadChunk(400, "malformed trailer")
-        if self._strict and match[1].lower() in NEVER_TRAILERS:
-            raise BadChunk(400, "a trailer that belongs into the head")
+            raise RemoteProtocolError(400, "malformed trailer")
+        if self._is_strict and match[1].lower() in FORBIDDEN_TRAILERS:
+            raise RemoteProtocolError(400, "a trailer that belongs into the head")
         return end
--- a/mapleline/http1/client.py
+++ b/mapleline/http1/client.py
@@ -1,111 +1,145 @@
-"""A connection to an agenda server, the counter or discovery, as a state machine."""
+"""The client's side of a connection as a state machine: requests go out, responses come in, in their order.
+
+| `reusable` | `passing` | state                                                                                |
+| ---------- | --------- | ------------------------------------------------------------------------------------ |
+| True       | False     | requests may be sent; `receive` gives responses                                      |
+| True       | True      | a response is streamed: `pass_on` gives its parts                                    |
+| False      | True      | the same, and the connection ends with it: the server closes, or sent a stray        |
+| False      | False     | done: what arrives belongs to no request and is not read; the owner closes           |
+"""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from typing import Generic, TypeVar
 
 from ..telemetry import invariant
 from .buffers import BufferPool
-from .messages import Malformed, MessageReader, Response
+from .errors import RemoteProtocolError
+from .messages import Response
+from .response_reader import ResponseReader
+
+Tag = TypeVar("Tag")
 
 
-class ClientConnection:
-    """Calls in the order they were written, each with the tag that its caller gave it.
+class ClientConnection(Generic[Tag]):
+    """Requests in the order they were sent, each with the tag that its caller gave it.
 
-    What cannot be read, or belongs to no call, ends the use of the connection and nothing else: the answers
+    What cannot be read, or belongs to no request, ends the use of the connection and nothing else: the responses
     before it are good and are given, what is behind it is never read.
     """
 
-    __slots__ = ("_belongs", "_keep", "_reader", "calls", "cut", "reusable", "spoilt", "strays")
+    __slots__ = ("_belongs", "_keep_alive", "_reader", "calls", "cut", "reusable", "spoilt", "strays")
 
     def __init__(
-        self, pool: BufferPool, gather: int = 0, belongs: Callable[[Any, Response], bool] | None = None
+        self,
+        pool: BufferPool,
+        stream_threshold_bytes: int = 0,
+        belongs: Callable[[Tag, Response], bool] | None = None,
     ) -> None:
-        """With `gather`, larger bodies are passed on as they come: see `MessageReader`.  An answer that by
-        `belongs` is not that of the oldest call is passed over; the connection then ends with the call's own.
+        """Start with a connection that is open and unused.
+
+        Args:
+            pool: buffers for what has to wait.
+            stream_threshold_bytes: larger bodies are streamed: see `MessageReader`.
+            belongs: whether a response is that of the oldest request; one that is not is skipped once, and the
+                connection then ends with the request's own.
         """
         self._belongs = belongs
-        self.strays = 0  #: answers passed over
-        self._reader = MessageReader(pool, gather, eager=True)
-        self.cut = False  #: the answer that was being passed on cannot be read to its end
-        self._keep = True  # the connection outlives the answer that is being passed on
-        self.calls: deque[Any] = deque()  #: tags of the calls unanswered
-        self.reusable = True
-        self.spoilt = ""  #: why, once something has come that no call's answer can begin with
-
-    def called(self, tag: Any) -> None:
+        self._reader = ResponseReader(pool, stream_threshold_bytes, is_eager=True)
+        self._keep_alive = True  # the connection outlives the response that is streamed
+        self.calls: deque[Tag] = deque()  #: tags of the requests without a response
+        self.reusable = True  #: further requests may be sent
+        self.strays = 0  #: responses to other requests that were skipped
+        self.spoilt = ""  #: why, once something has arrived that no response can begin with
+        self.cut = False  #: the response that was streamed cannot be read to its end
+
+    def called(self, tag: Tag) -> None:
+        """A request is sent."""
         invariant(self.reusable, "call.on_a_used_up_connection")
         self.calls.append(tag)
 
-    def receive(self, data: bytes) -> list[tuple[Any, Response]]:
-        """The answers that are whole now, with their tags."""
+    def receive(self, data: bytes) -> list[tuple[Tag, Response]]:
+        """Return the responses that `data` completes, with their tags."""
         if not self.reusable:
-            return []  # behind the last answer, or what was spoilt: it belongs to nobody
+            return []  # behind the last response, or what was spoilt: it belongs to nobody
         self._reader.feed(data)
-        return self._answers(False)
+        return self._next_responses(is_closed=False)
 
     @property
     def passing(self) -> bool:
-        """The last answer given has more to come."""
+        """The last response given has more to come."""
         return self._reader.passing
 
     def pass_on(self, data: bytes) -> bytes:
-        """More of the answer that is being passed on; `passing` is False once that was the last of it."""
+        """Return more of the response that is streamed; `passing` is False once that was the last of it."""
         self._reader.feed(data)
         try:
             part = self._reader.next_part()
-        except Malformed as err:
-            self.spoilt, self.cut = err.why, True
-            self._give_up()
+        except RemoteProtocolError as error:
+            self.cut = True
+            self._reject(error.reason)
             return b""
         if not self._reader.passing:
             if self._reader.waiting:
                 self.spoilt = "more than was asked for"
-            if self.spoilt or not self._keep:
+            if self.spoilt or not self._keep_alive:
                 self._give_up()
         return part
 
     def ended_passing(self, clean: bool) -> bool:
-        """The connection is gone: whether the answer that is being passed on is whole by that."""
-        whole = clean and self._reader.end()
+        """The connection has ended: return whether the response that is streamed is complete by that."""
+        is_complete = clean and self._reader.end()
         self._give_up()
-        return whole
+        return is_complete
 
-    def ended(self, clean: bool) -> list[tuple[Any, Response]]:
-        """The connection is gone: an answer that only its clean end could end, if there is one.
+    def ended(self, clean: bool) -> list[tuple[Tag, Response]]:
+        """The connection has ended: return a response that only its orderly end could end, if there is one.
 
-        After a reset, or an end of our own making, what lies here is a part of an answer and never one.
+        After a reset, or an end of this side's making, what waits is a part of a response (RFC 9112, section 8).
         """
-        found = self._answers(True) if clean and self.reusable else []
+        responses = self._next_responses(is_closed=True) if clean and self.reusable else []
         self._give_up()
-        return found
+        return responses
 
-    def _answers(self, ended: bool) -> list[tuple[Any, Response]]:
-        found = []
+    def _next_responses(self, is_closed: bool) -> list[tuple[Tag, Response]]:
+        responses: list[tuple[Tag, Response]] = []
         try:
             while self.reusable and self._reader.waiting:
                 if not self.calls:
-                    raise Malformed(400, "more than was asked for")
-                response = self._reader.next_response(ended)
+                    raise RemoteProtocolError(400, "more than was asked for")
+                response = self._reader.next_response(is_closed)
                 if response is None:
                     break
-                if self._belongs is not None and not self._belongs(self.calls[0], response):
-                    self.strays += 1
-                    if response.more or not response.keep_alive or self.strays > 1:
-                        raise Malformed(400, "another call's answer")
+                if self._is_stray(response):
                     continue
-                found.append((self.calls.popleft(), response))
+                responses.append((self.calls.popleft(), response))
                 if response.more:
-                    self._keep = response.keep_alive
+                    self._keep_alive = response.keep_alive
                     break
                 if not response.keep_alive or self.strays:
                     self._give_up()
-        except Malformed as err:
-            self.spoilt = err.why
-            self._give_up()
-        return found
+        except RemoteProtocolError as error:
+            self._reject(error.reason)
+        return responses
+
+    def _is_stray(self, response: Response) -> bool:
+        """Whether the response is another request's, which is skipped.
+
+        Raises:
+            RemoteProtocolError: where it cannot be skipped, or is the second.
+        """
+        if self._belongs is None or self._belongs(self.calls[0], response):
+            return False
+        self.strays += 1
+        if response.more or not response.keep_alive or self.strays > 1:
+            raise RemoteProtocolError(400, "another call's answer")
+        return True
+
+    def _reject(self, reason: str) -> None:
+        self.spoilt = reason
+        self._give_up()
 
     def _give_up(self) -> None:
         self.reusable = False
--- /dev/null
+++ b/mapleline/http1/request_reader.py
@@ -0,0 +1,118 @@
+"""Requests (RFC 9112, section 3), read from the bytes of a client."""
+
+from __future__ import annotations
+
+import re
+
+from .bodies import ContentLengthBody
+from .buffers import BufferPool
+from .chunked import ChunkedBody
+from .errors import RemoteProtocolError
+from .head_reader import MAX_HEAD_BYTES
+from .headers import TOKEN, Headers, content_length, is_persistent, parse_headers
+from .message_reader import MAX_BODY_BYTES, MessageReader
+from .messages import Request
+
+#: The target in origin form, or in absolute form (RFC 9112, section 3.2.2), whose authority Host repeats.
+REQUEST_LINE = re.compile(
+    rb"(" + TOKEN + rb") (?:[Hh][Tt][Tt][Pp]://[^\x00-\x20/?#@\x7f]+)?((?:/[\x21-\x7e]*)?) HTTP/1\.([01])"
+)
+#: uri-host [":" port] (RFC 9110, section 7.2).  Two Host lines joined have a space, which none may have.
+HOST = re.compile(rb"(?:\[[0-9A-Fa-f:.]+\]|[!$&'()*+,;=\-._~%0-9A-Za-z]*)(?::[0-9]{0,5})?")
+
+
+def parse_request_head(line: bytes, section: bytes, max_body_bytes: int) -> Request:
+    """Return the request, still without its body; its `length` is None with the chunked coding.
+
+    Raises:
+        RemoteProtocolError: 400 for malformed or contradictory lines, 413 for too long a body, 501 for an
+            unknown transfer coding.
+    """
+    match = REQUEST_LINE.fullmatch(line)
+    if not match:
+        raise RemoteProtocolError(400, "malformed request line")
+    method, target, minor_version = match.groups()
+    headers = parse_headers(section)
+    length = _body_length(minor_version, headers, max_body_bytes)
+    host = headers.get(b"host")
+    if not HOST.fullmatch(host) if host is not None else minor_version == b"1":
+        raise RemoteProtocolError(400, "no Host, two, or one that is none")  # RFC 9112, section 3.2
+    keep_alive = is_persistent(minor_version, headers)
+    return Request(method, target or b"/", headers, b"", keep_alive, False, minor_version, length)
+
+
+def _body_length(minor_version: bytes, headers: Headers, max_body_bytes: int) -> int | None:
+    """Return the length of the body, 0 without one, or None with the chunked coding (RFC 9112, section 6.3)."""
+    coding = headers.get(b"transfer-encoding")
+    if coding is None:
+        return content_length(headers, max_body_bytes) or 0
+    if b"content-length" in headers or minor_version == b"0":
+        # Two readers of it may not agree where it ends (RFC 9112, section 6.1).
+        raise RemoteProtocolError(400, "Transfer-Encoding with Content-Length, or in HTTP/1.0")
+    if coding.lower() != b"chunked":
+        raise RemoteProtocolError(501, "unknown transfer coding")
+    return None
+
+
+class RequestReader(MessageReader):
+    """Takes bytes as they arrive and gives requests."""
+
+    __slots__ = ("_request", "expects")
+
+    def __init__(
+        self,
+        pool: BufferPool,
+        stream_threshold_bytes: int = 0,
+        max_head_bytes: int = MAX_HEAD_BYTES,
+        max_body_bytes: int = MAX_BODY_BYTES,
+    ) -> None:
+        """See `MessageReader` for what is streamed."""
+        super().__init__(pool, stream_threshold_bytes, False, max_head_bytes, max_body_bytes)
+        self._request: Request | None = None  # whose body is arriving
+        self.expects = False  #: the client waits for a 100 before it sends the body (RFC 9110, section 10.1.1)
+
+    def clear(self) -> None:
+        """Drop what waits, none of which will be read; its buffers go back now."""
+        super().clear()
+        self.expects = False
+
+    def next_request(self) -> Request | None:
+        """Return the next request once it is complete or is to be streamed.
+
+        Raises:
+            RemoteProtocolError: for a request that is rejected; nothing behind it can be read.
+        """
+        if self._body is None:
+            head = self._next_head()
+            if head is None:
+                return None
+            line, section, body_start = head
+            request = parse_request_head(line, section, self._max_body_bytes)
+            if request.length is not None:
+                end = body_start + request.length
+                if len(self._data) >= end:
+                    request.body = self._data[body_start:end]
+                    self._consume(end)
+                    return request
+            self._begin_body(request, body_start)
+        pending = self._request
+        assert pending is not None  # `_begin_body` has set it
+        if not self._collect_body(pending):
+            return None
+        self.expects = False
+        self._request = None
+        return pending
+
+    def _begin_body(self, request: Request, body_start: int) -> None:
+        """Read on in the body, which has not arrived whole with its head."""
+        if request.length is None:
+            self._body = ChunkedBody(self._pool, self._max_body_bytes, is_strict=True)
+        else:
+            self._body = ContentLengthBody(self._pool, request.length)
+        self._request = request
+        self._consume(body_start)
+        expectation = request.headers.get(b"expect")
+        if expectation is not None and request.minor == b"1":  # RFC 9110, section 10.1.1
+            if expectation.lower() != b"100-continue":
+                raise RemoteProtocolError(417, "unknown expectation")
+            self.expects = not self._data
--- a/mapleline/http1/upload.py
+++ b/mapleline/http1/upload.py
@@ -1,69 +1,91 @@
-"""The rest of a request's body on its way from the client's connection to an attempt's; knows neither."""
+"""The rest of a request's body on its way from a client's connection to an attempt's; knows neither."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-from .messages import LAST_CHUNK, write_chunk
+from .writer import LAST_CHUNK, write_chunk
 
 
 class Sink(Protocol):
     """Takes a body to a server."""
 
     @property
-    def flushed(self) -> bool: ...
+    def flushed(self) -> bool:
+        """Everything given to it has been sent."""
 
-    def send(self, data: bytes) -> None: ...
+    def send(self, data: bytes) -> None:
+        """Send `data` behind what was given before."""
+
+
+def _ignore_end() -> None:
+    """Stand in for the callback of an attempt while there is none."""
 
 
 class Upload:
-    """What comes before there is an attempt is held; what comes later goes out and is held no more.
+    """Keeps what arrives before there is an attempt; what arrives later is sent on and not kept.
 
-    `wanted` is called when more may be read, `spent` once something is gone that another attempt would need,
-    `whole` when the last byte has gone out.
+    Attributes:
+        length: of the whole body, in bytes; without one it is sent in chunks.
+        complete: the client has sent all of it.
     """
 
-    def __init__(self, length: int | None, wanted: Callable[[], None], spent: Callable[[], None]) -> None:
-        self.length = length  #: of the whole body; without one it goes on in chunks
-        self._wanted, self._spent = wanted, spent
-        self._held: list[bytes] = []
+    def __init__(self, length: int | None, on_wanted: Callable[[], None], on_spent: Callable[[], None]) -> None:
+        """Start without any byte.
+
+        Args:
+            length: of the whole body, in bytes, or None.
+            on_wanted: more may be read from the client.
+            on_spent: something is gone that another attempt would need.
+        """
+        self.length = length
+        self._on_wanted = on_wanted
+        self._on_spent = on_spent
+        self._kept: list[bytes] = []
         self._sink: Sink | None = None
-        self._out: Callable[[], None] = lambda: None
-        self.complete = False  #: the client has sent all of it
+        self._on_sent: Callable[[], None] = _ignore_end
+        self.complete = False
 
     @property
     def room(self) -> bool:
-        """More may be read: one part is held at most."""
-        return self._sink.flushed if self._sink is not None else not self._held
+        """More may be read from the client: one part is kept at most."""
+        return self._sink.flushed if self._sink is not None else not self._kept
 
     def put(self, part: bytes, last: bool) -> None:
-        """What the client sent."""
+        """Take in what the client sent; `last` says that nothing follows."""
         data = self._framed(part)
         if last:
             self.complete = True
             if self.length is None:
                 data += LAST_CHUNK
         if self._sink is None:
-            self._held.append(data)
+            self._kept.append(data)
             return
-        self._pass(data)
+        self._send(self._sink, data)
 
     def _framed(self, part: bytes) -> bytes:
         return write_chunk(part) if self.length is None and part else part
 
-    def _pass(self, data: bytes) -> None:
-        self._spent()
+    def _send(self, sink: Sink, data: bytes) -> None:
+        self._on_spent()
         if data:
-            self._sink.send(data)
+            sink.send(data)
         self.flushed()
 
-    def attach(self, sink: Sink, out: Callable[[], None]) -> None:
-        """An attempt whose head and first part are sent takes what follows; `out` tells it of the end."""
-        self._sink, self._out = sink, out
-        if self._held or self.complete:
-            held, self._held = b"".join(self._held), []
-            self._pass(held)
+    def attach(self, sink: Sink, on_sent: Callable[[], None]) -> None:
+        """Send what follows to an attempt whose head and first part are sent.
+
+        Args:
+            sink: the attempt's connection.
+            on_sent: the last byte of the body has been sent.
+        """
+        self._sink = sink
+        self._on_sent = on_sent
+        if self._kept or self.complete:
+            kept = b"".join(self._kept)
+            self._kept = []
+            self._send(sink, kept)
         else:
             self.flushed()
 
@@ -73,11 +95,12 @@
             self._sink = None
 
     def flushed(self) -> None:
-        """The sink has taken all it was given (called as well when it may not have)."""
+        """The sink has sent all it was given (called as well when it may not have)."""
         if self._sink is None or not self._sink.flushed:
             return
         if self.complete:
-            out, self._out = self._out, lambda: None
-            out()
+            on_sent = self._on_sent
+            self._on_sent = _ignore_end
+            on_sent()
         else:
-            self._wanted()
+            self._on_wanted()
--- a/mapleline/ingress.py
+++ b/mapleline/ingress.py
@@ -13,9 +13,8 @@
 from twisted.logger import globalLogPublisher
 
 from .engine import Engine
-from .http1.buffers import BufferPool
-from .http1.messages import MOST_WHOLE
-from .http1.server import Translator
+from .http1 import MAX_BUFFERED_BODY_BYTES, BufferPool
+from .http1.translator import Translator
 from .lifecycle import Lifecycle, Phase
 from .net.alarm import ReactorAlarm, unix_clock
 from .net.clients import Front, FrontPort, inherited_port
@@ -83,7 +82,7 @@
             lanes //= 2  # the other process has as many
         memory = config.memory // (2 if self.life.is_socket_shared else 1)  # the other process needs as much
         for_bodies = int(max(BODIES_LEAST, (memory - OWN_MEMORY) * BODIES_SHARE))
-        buffers = self.buffers = BufferPool(most=for_bodies)
+        buffers = self.buffers = BufferPool(limit_bytes=for_bodies)
         self.engine = Engine(brain or Brain(start), clock)
         self.engine.alarm = ReactorAlarm(reactor, clock, self.engine.wake)
         for_door = DOOR_DESCRIPTORS if config.management else 0
@@ -112,7 +111,7 @@
             config.open_cap,
             start.max_retry_after_ns,
             self.life,
-            max(MOST_WHOLE, int(for_bodies * BODY_SHARE)),
+            max(MAX_BUFFERED_BODY_BYTES, int(for_bodies * BODY_SHARE)),
         )
         self.fault: ConfigError | None = None  #: why it could not start
         self.door = Door(reactor, self.life, buffers, self._held)
--- a/mapleline/net/clients.py
+++ b/mapleline/net/clients.py
@@ -15,10 +15,20 @@
 from twisted.python.failure import Failure
 
 from ..engine import Engine, Open
-from ..http1.buffers import BufferPool
-from ..http1.messages import MOST_BODY, MOST_WHOLE, Malformed, Request, Response, write_response
-from ..http1.server import READY_PATH, ServerConnection, Translator
-from ..http1.upload import Upload
+from ..http1 import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    BufferPool,
+    ProtocolError,
+    RejectedRequestError,
+    RemoteProtocolError,
+    Request,
+    Response,
+    ServerConnection,
+    Upload,
+    write_response,
+)
+from ..http1.translator import READY_PATH, Translator
 from ..lifecycle import Lifecycle
 from ..telemetry import COUNTS, log
 from .streams import Stream
@@ -95,9 +105,9 @@
         machine.receive(data)
         try:
             part = machine.next_part()
-        except Malformed as err:
+        except RemoteProtocolError as err:
             COUNTS["client.bad_request"] += 1
-            return self._give_up(err.status, err.why)
+            return self._give_up(err.status, err.reason)
         if machine.passing:
             upload.put(part, False)
             if not upload.room:
@@ -132,10 +142,10 @@
                     break
                 self.asked = True
                 self._take(request)
-            except Malformed as err:
+            except ProtocolError as err:
                 COUNTS["client.bad_request"] += 1
                 COUNTS[f"client.bad_request.{err.status}"] += 1
-                self.answer(err.status, err.why.encode() + b"\n", last=self.machine.closing)
+                self.answer(err.status, err.reason.encode() + b"\n", last=self.machine.closing)
         machine = self.machine
         if not self.reading and not (machine.full or machine.closing or machine.passing) and self.flushed:
             self._read_on()
@@ -151,15 +161,15 @@
             if self.front.outcome is not None and (known := self.front.outcome(wish.id)) is not None:
                 return self.answer(known[0], known[1], known[2])
             # Sent on, it would be a second copy of that request to whoever looks at ids.
-            raise Malformed(409, "the id of an open request")
+            raise RejectedRequestError(409, "the id of an open request")
         self.id = wish.id
         self.recent += 1
         if request.more:
             self.upload = wish.upload = Upload(request.length, self._read_on, self._spent)
             self.hold()  # until an attempt takes what there is
-        if len(request.body) > MOST_WHOLE:
+        if len(request.body) > MAX_BUFFERED_BODY_BYTES:
             self.reserved = 2 * len(request.body)  # held to be sent again, and once more on its way out
-            self.front.pool.held += self.reserved
+            self.front.pool.reserved_bytes += self.reserved
         opened = self.front.engine.arrive(wish.arrival, wish, self)
         if not opened.answered:
             self.open = opened
@@ -174,7 +184,7 @@
         if self.machine.passing:
             # What is still to come is no request; a client may read its answer only once it has sent that.
             self.machine.closing = last = True
-            self.discards = MOST_BODY
+            self.discards = MAX_BODY_BYTES
         self.send(self.machine.answer(status, body, lines))
         self._rest(last)
 
@@ -202,7 +212,7 @@
         self._release()
 
     def _release(self) -> None:
-        self.front.pool.held -= self.reserved
+        self.front.pool.reserved_bytes -= self.reserved
         self.reserved = 0
 
     def _next_if_connected(self) -> None:
--- a/mapleline/net/counter.py
+++ b/mapleline/net/counter.py
@@ -10,9 +10,7 @@
 from twisted.python.failure import Failure
 
 from ..engine import Call, Engine
-from ..http1.buffers import BufferPool
-from ..http1.client import ClientConnection
-from ..http1.messages import Response, write_request
+from ..http1 import BufferPool, ClientConnection, Response, write_request
 from ..policy.interface import Result
 from ..settings.platform import Address
 from ..telemetry import COUNTS
--- a/mapleline/net/discovery.py
+++ b/mapleline/net/discovery.py
@@ -13,9 +13,7 @@
 from twisted.internet.task import deferLater
 from twisted.python.failure import Failure
 
-from ..http1.buffers import BufferPool
-from ..http1.client import ClientConnection
-from ..http1.messages import Response, write_request
+from ..http1 import BufferPool, ClientConnection, Response, write_request
 from ..policy import interface as i
 from ..settings.platform import Address, read_address
 from ..telemetry import COUNTS, log
--- a/mapleline/net/handoff.py
+++ b/mapleline/net/handoff.py
@@ -14,8 +14,8 @@
 from ..handoff.in_flight import InFlightRequest, InFlightTable, Op, TakeoverAction
 from ..handoff.store import Store
 from ..handoff.write_ahead_log import WriteAheadLog, log_name
-from ..http1.messages import MOST_WHOLE, Request, Response
-from ..http1.server import Wish
+from ..http1 import MAX_BUFFERED_BODY_BYTES, Request, Response
+from ..http1.translator import TranslatedRequest
 from ..membership import Lease, LeaseTable
 from ..policy.interface import Arrival, Effect
 from ..settings.own import Handoff as Told
@@ -178,7 +178,7 @@
         if rid in self.in_flight.requests or not self.good():
             return
         request = wish.request
-        whole = not request.more and len(request.body) <= MOST_WHOLE
+        whole = not request.more and len(request.body) <= MAX_BUFFERED_BODY_BYTES
         self._note(
             {
                 "op": Op.ACCEPTED.value,
@@ -369,5 +369,5 @@
         request = Request(
             record["method"].encode(), record["target"].encode("latin-1"), {}, record["body"].encode("latin-1"), True
         )
-        wish = Wish(rid, arrival, request, record["lines"].encode("latin-1"))
+        wish = TranslatedRequest(rid, arrival, request, record["lines"].encode("latin-1"))
         self.engine.arrive(arrival, wish, Heir(self, rid))
--- a/mapleline/net/management.py
+++ b/mapleline/net/management.py
@@ -10,9 +10,7 @@
 from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
 
-from ..http1.buffers import BufferPool
-from ..http1.messages import Malformed, Request
-from ..http1.server import ServerConnection
+from ..http1 import BufferPool, RemoteProtocolError, Request, ServerConnection
 from ..lifecycle import Lifecycle
 from ..telemetry import COUNTS, log
 from .streams import Stream
@@ -48,7 +46,7 @@
         return Caller(self)
 
     def answer(self, request: Request) -> tuple[Answer, bytes]:
-        """What a call is answered, and header lines that go with it.  Raises Malformed."""
+        """What a call is answered, and header lines that go with it.  Raises RemoteProtocolError."""
         method, call = self._calls.get(request.target.partition(b"?")[0], (b"", None))
         if call is None:
             return (404, {"error": "no such call", "calls": self._listed()}), b""
@@ -102,8 +100,8 @@
             if request is None:
                 return
             (status, body), lines = self.door.answer(request)
-        except Malformed as err:
-            status, body = err.status, {"error": err.why}
+        except RemoteProtocolError as err:
+            status, body = err.status, {"error": err.reason}
         self.answered = True
         COUNTS[f"door.answered.{status}"] += 1
         self.machine.clear()
--- a/mapleline/net/peers.py
+++ b/mapleline/net/peers.py
@@ -15,8 +15,7 @@
 from twisted.internet import defer
 
 from ..budgets import BudgetShares
-from ..http1.buffers import BufferPool
-from ..http1.messages import Response
+from ..http1 import BufferPool, Response
 from ..membership import MembershipView, period_of
 from ..settings.own import Budgets
 from ..telemetry import COUNTS, log
--- a/mapleline/net/streams.py
+++ b/mapleline/net/streams.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from ..http1.buffers import BUFFER_SIZE
+from ..http1 import BUFFER_SIZE
 
 
 @implementer(IPullProducer)
--- a/mapleline/net/upstream.py
+++ b/mapleline/net/upstream.py
@@ -10,10 +10,16 @@
 from twisted.python.failure import Failure
 
 from ..engine import Attempt, Engine
-from ..http1.buffers import BUFFER_SIZE, BufferPool
-from ..http1.client import ClientConnection
-from ..http1.messages import MOST_WHOLE, Response, write_chunk, write_request
-from ..http1.upload import Upload
+from ..http1 import (
+    BUFFER_SIZE,
+    MAX_BUFFERED_BODY_BYTES,
+    BufferPool,
+    ClientConnection,
+    Response,
+    Upload,
+    write_chunk,
+    write_request,
+)
 from ..policy.interface import Result
 from ..settings.platform import Address
 from ..telemetry import COUNTS
@@ -40,7 +46,7 @@
 
     def __init__(self, server: UpstreamServer) -> None:
         self.server = server
-        self.machine = ClientConnection(server.pool.buffers, MOST_WHOLE)
+        self.machine = ClientConnection(server.pool.buffers, MAX_BUFFERED_BODY_BYTES)
         self.attempt: Attempt | None = None
         self.idle_since = 0.0
         self.upload: Upload | None = None  #: the rest of the request
--- a/mapleline/simulation/machine.py
+++ b/mapleline/simulation/machine.py
@@ -30,7 +30,7 @@
     from ..balancer.transport import messages
     from ..balancer.transport.connections import CallHandler, DatagramHandler
     from ..balancer.transport.fencing import Fence
-    from ..http1.buffers import BufferPool
+    from ..http1 import BufferPool
     from .world import World
 
 PROCESS_START_S = 0.6  #: from the start of a process to its first timer, 10 % more or less
--- a/mapleline/simulation/servers.py
+++ b/mapleline/simulation/servers.py
@@ -9,11 +9,11 @@
 from ..balancer.proxy.outcome import EndReason
 from ..balancer.proxy.upstream_attempt import Attempt
 from ..balancer.proxy.upstream_pool import CONNECT_TIMEOUT_S, UpstreamPool
-from ..http1.messages import Response
+from ..http1 import Response
 from .records import ServerEvent
 
 if TYPE_CHECKING:
-    from ..http1.buffers import BufferPool
+    from ..http1 import BufferPool
     from .event_loop import ProcessReactor
     from .machine import Machine
     from .world import World
--- a/mapleline/simulation/world.py
+++ b/mapleline/simulation/world.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from ..http1.messages import Request
+from ..http1 import Request
 from .client_connection import (
     NO_RESPONSE,
     PORTS,
--- a/tests/balancer/proxy/proxy_harness.py
+++ b/tests/balancer/proxy/proxy_harness.py
@@ -14,8 +14,7 @@
 from mapleline.balancer.proxy.proxy import Proxy
 from mapleline.balancer.proxy.slow_start_leases import SlowStartLeases
 from mapleline.balancer.proxy.upstream_pool import UpstreamPool
-from mapleline.http1.messages import Request, Response
-from mapleline.http1.upload import Upload
+from mapleline.http1 import Request, Response, Upload
 
 APPROVED = Path(__file__).parent / "approved"
 START_S = 100.0  # on the virtual clock; transcripts count from it
--- a/tests/balancer/proxy/test_client_connection.py
+++ b/tests/balancer/proxy/test_client_connection.py
@@ -5,7 +5,7 @@
 from twisted.internet.task import Clock
 
 from mapleline.balancer.proxy.listener import Listener
-from mapleline.http1.buffers import BUFFER_SIZE, BufferPool
+from mapleline.http1 import BUFFER_SIZE, BufferPool
 
 
 class StubTransport:
@@ -97,7 +97,7 @@
         client_conn.dataReceived(bytes(10000))
         self.assertEqual((len(server.sent), self.handled[1:]), (30000, ["out"]))
         client_conn.reply(200, b"kept")
-        self.assertEqual((client_conn.transport.ended, self.listener.buffer_pool.held), ("", 0))
+        self.assertEqual((client_conn.transport.ended, self.listener.buffer_pool.reserved_bytes), ("", 0))
 
     def test_a_client_rejected_amid_its_body_can_read_the_response_before_the_close(self):
         self.listener.stream_threshold_bytes = 4 * BUFFER_SIZE
@@ -123,12 +123,12 @@
             self.assertEqual(client_conn.transport.ended, "" if whole else "closed")
 
     def test_bodies_beyond_their_share_of_memory_are_streamed_at_once(self):
-        self.listener.buffer_pool.most, self.listener.stream_threshold_bytes = 20 * BUFFER_SIZE, 1 << 20
+        self.listener.buffer_pool.limit_bytes, self.listener.stream_threshold_bytes = 20 * BUFFER_SIZE, 1 << 20
         for _ in range(5):
             head = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000\r\n\r\n"
             self.client_conn().dataReceived(head + bytes(8 * BUFFER_SIZE))
         self.assertEqual([r.more for _, r in self.handled], [True] * 3)  # the first two have what room there was
-        self.assertLessEqual(self.listener.buffer_pool.out, 20)
+        self.assertLessEqual(self.listener.buffer_pool.buffers_in_use, 20)
 
     def test_a_head_or_body_beyond_the_limits_is_rejected(self):
         self.listener.max_header_bytes, self.listener.max_body_bytes = 200, 10
--- a/tests/balancer/proxy/test_outcome.py
+++ b/tests/balancer/proxy/test_outcome.py
@@ -4,7 +4,7 @@
 
 from mapleline.balancer.proxy import outcome
 from mapleline.balancer.proxy.outcome import Outcome
-from mapleline.http1.messages import Response
+from mapleline.http1 import Response
 
 
 class TestOutcome(unittest.TestCase):
--- a/tests/balancer/proxy/test_upstream_connection.py
+++ b/tests/balancer/proxy/test_upstream_connection.py
@@ -13,8 +13,7 @@
 from mapleline.balancer.proxy.upstream_attempt import Attempt
 from mapleline.balancer.proxy.upstream_connection import UpstreamConnection
 from mapleline.balancer.proxy.upstream_pool import UpstreamPool
-from mapleline.http1.buffers import BufferPool
-from mapleline.http1.upload import Upload
+from mapleline.http1 import BufferPool, Upload
 from mapleline.policy.placing import Target
 
 REQUEST = b"POST /book/7 HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nscan"
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -10,12 +10,18 @@
 from hypothesis import strategies as st
 from ingress import WAIT_S, Peer, message, read_message, running
 
-from mapleline.http1 import messages
-from mapleline.http1.buffers import BUFFER_SIZE, BufferPool, Inbox
-from mapleline.http1.client import ClientConnection
-from mapleline.http1.messages import Malformed, MessageReader, write_chunk
-from mapleline.http1.server import ServerConnection
-from mapleline.http1.upload import Upload
+from mapleline.http1 import (
+    BUFFER_SIZE,
+    BufferPool,
+    ByteQueue,
+    ClientConnection,
+    RemoteProtocolError,
+    RequestReader,
+    ResponseReader,
+    ServerConnection,
+    Upload,
+    write_chunk,
+)
 from mapleline.policy import interface as i
 
 HEAD = b"POST /book/1 HTTP/1.1\r\nHost: a\r\n"
@@ -60,7 +66,7 @@
             found.append(request.body)
             if not request.more:
                 machine.answer(200)
-    assert found == [body for body, _ in sent] and pool.out == 0 and not machine.partial
+    assert found == [body for body, _ in sent] and pool.buffers_in_use == 0 and not machine.partial
 
 
 @settings(max_examples=150, derandomize=True, deadline=None)
@@ -89,14 +95,14 @@
         else:
             assert whole == (data is stream) and (got == body if whole else body.startswith(got))
         machine.ended(False)
-        assert pool.out == 0
+        assert pool.buffers_in_use == 0
 
 
 @pytest.mark.parametrize("form", ["length", "chunks", "head"])
 def test_a_byte_at_a_time_costs_linear_work(monkeypatch, form):
     """Counts the bytes that are joined or copied: some for each that came in, however many there are."""
     moved = [0]
-    put, take = Inbox.put, Inbox.take
+    put, take = ByteQueue.put, ByteQueue.take
 
     def counted(call, size):
         def moving(self, *data):
@@ -105,10 +111,10 @@
 
         return moving
 
-    monkeypatch.setattr(Inbox, "put", counted(put, lambda self, data: len(data)))
-    monkeypatch.setattr(Inbox, "take", counted(take, lambda self: self.size))
+    monkeypatch.setattr(ByteQueue, "put", counted(put, lambda self, data: len(data)))
+    monkeypatch.setattr(ByteQueue, "take", counted(take, lambda self: self.size))
     data = HEAD + (b"X: " + b"x" * 7000 + b"\r\n\r\n" if form == "head" else framed(b"y" * 5000, form))
-    reader, found = MessageReader(BufferPool(), 1 << 20), None
+    reader, found = RequestReader(BufferPool(), 1 << 20), None
     for at in range(len(data)):
         reader.feed(data[at : at + 1])
         found = found or reader.next_request()
@@ -116,7 +122,7 @@
 
 
 def read(data, gather=1 << 20):
-    reader = MessageReader(BufferPool(), gather)
+    reader = RequestReader(BufferPool(), gather)
     reader.feed(data)
     return reader, reader.next_request()
 
@@ -147,7 +153,7 @@
     ],
 )
 def test_forms_that_are_refused(data, status):
-    with pytest.raises(Malformed) as raised:
+    with pytest.raises(RemoteProtocolError) as raised:
         read(data)
     assert raised.value.status == status
 
@@ -160,13 +166,13 @@
 
 
 def test_bodies_go_on_early_while_buffers_are_short():
-    pool = BufferPool(most=20 * BUFFER_SIZE)
-    reader = MessageReader(pool, 1 << 20)
+    pool = BufferPool(limit_bytes=20 * BUFFER_SIZE)
+    reader = RequestReader(pool, 1 << 20)
     reader.feed(HEAD + framed(b"x" * 200_000, "length")[:150_000])
     assert reader.next_request() is None  # nobody is short of buffers
     for _ in range(20 - 150_000 // BUFFER_SIZE):
-        pool.take()
-    assert pool.tight and reader.next_request().more
+        pool.acquire()
+    assert pool.is_short and reader.next_request().more
 
 
 # --- the way of a request's body
@@ -252,7 +258,7 @@
     head, _, rest = data.partition(b"\r\n\r\n")
     line, *lines = head.decode().split("\r\n")
     headers = {k.lower(): v.strip() for k, v in (one.split(":", 1) for one in lines)}
-    reader = messages.MessageReader(BufferPool(), 1 << 26)
+    reader = ResponseReader(BufferPool(), 1 << 26)
     reader.feed(head + b"\r\n\r\n" + rest)
     while (found := reader.next_response()) is None:
         more = client.sock.recv(1 << 18)
@@ -332,7 +338,7 @@
 
     class Reading(Peer):
         def _serve(self, sock):
-            reader = MessageReader(BufferPool(), 1 << 26)
+            reader = RequestReader(BufferPool(), 1 << 26)
             while more := sock.recv(1 << 16):
                 reader.feed(more)
                 if found := reader.next_request():
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,8 +7,7 @@
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
 
-from mapleline.http1.buffers import BufferPool
-from mapleline.http1.messages import Response
+from mapleline.http1 import BufferPool, Response
 from mapleline.net.backoff import LEAST_S, Backoff
 from mapleline.net.discovery import Directory, Watcher, backoff
 from mapleline.policy import interface as i
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -4,14 +4,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mapleline.http1.buffers import BUFFER_SIZE, BufferPool, Inbox
-from mapleline.http1.client import ClientConnection
-from mapleline.http1.messages import MOST_WHOLE, Malformed, MessageReader, write_request, write_response
-from mapleline.http1.server import ServerConnection
+from mapleline.http1 import (
+    BUFFER_SIZE,
+    MAX_BUFFERED_BODY_BYTES,
+    BufferPool,
+    ByteQueue,
+    ClientConnection,
+    RemoteProtocolError,
+    RequestReader,
+    ServerConnection,
+    write_request,
+    write_response,
+)
 
 HOSTED = b"Host: a\r\n"
 cuts = st.lists(st.integers(1, 40_000), max_size=30)
-bodies = st.lists(st.binary(max_size=200) | st.sampled_from([b"", b"y" * MOST_WHOLE]), min_size=1, max_size=4)
+bodies = st.lists(
+    st.binary(max_size=200) | st.sampled_from([b"", b"y" * MAX_BUFFERED_BODY_BYTES]), min_size=1, max_size=4
+)
 
 
 def pieces(data, sizes):
@@ -33,7 +43,7 @@
             found.append((request.target, request.body))
             connection.answer(200)
     assert found == [(b"/a/%d" % n, body) for n, body in enumerate(sent)]
-    assert pool.out == 0 and not connection.partial
+    assert pool.buffers_in_use == 0 and not connection.partial
 
 
 def chunked(body):
@@ -53,7 +63,7 @@
     for piece in pieces(stream, sizes):
         found += [(tag, response.body) for tag, response in connection.receive(piece)]
     assert found == [(tag, body) for tag, (body, _) in enumerate(sent)]
-    assert connection.reusable and pool.out == 0
+    assert connection.reusable and pool.buffers_in_use == 0
 
 
 def test_a_body_without_a_length_ends_with_the_connection():
@@ -69,7 +79,7 @@
     connection = ClientConnection(pool)
     connection.called("tag")
     assert connection.receive(b"HTTP/1.1 200 OK\r\n\r\nhalf") == [] == connection.ended(clean=False)
-    assert pool.out == 0
+    assert pool.buffers_in_use == 0
 
 
 @pytest.mark.parametrize(
@@ -107,7 +117,7 @@
     connection.called("tag")
     found = [answer for at in range(0, len(data), 700) for answer in connection.receive(data[at : at + 700])]
     assert found == [] and connection.spoilt and not connection.reusable and list(connection.calls) == ["tag"]
-    assert connection.receive(write_response(200)) == [] == connection.ended(clean=True) and pool.out == 0
+    assert connection.receive(write_response(200)) == [] == connection.ended(clean=True) and pool.buffers_in_use == 0
 
 
 @pytest.mark.parametrize("asked", [0, 1, 2])
@@ -120,7 +130,7 @@
         connection.called(tag)
     found = connection.receive(b"".join(write_response(200, b"%d" % n) for n in range(asked)) + surplus)
     assert [(tag, response.body) for tag, response in found] == [(n, b"%d" % n) for n in range(asked)]
-    assert connection.spoilt and not connection.reusable and pool.out == 0
+    assert connection.spoilt and not connection.reusable and pool.buffers_in_use == 0
 
 
 def test_nothing_is_read_behind_an_answer_that_closes():
@@ -132,7 +142,7 @@
 
 
 def test_the_reader_drops_nothing_of_a_head_that_comes_byte_by_byte():
-    reader, data = MessageReader(BufferPool()), write_request(b"GET", b"/x", b"Host: a\r\n")
+    reader, data = RequestReader(BufferPool()), write_request(b"GET", b"/x", b"Host: a\r\n")
     for at in range(len(data)):
         assert reader.next_request() is None
         reader.feed(data[at : at + 1])
@@ -141,12 +151,12 @@
 
 def test_buffers_are_used_again():
     pool = BufferPool()
-    inbox, data = Inbox(pool), bytes(range(256)) * (BUFFER_SIZE // 100)
+    inbox, data = ByteQueue(pool), bytes(range(256)) * (BUFFER_SIZE // 100)
     for part in (data[:1], data[1:]):
         inbox.put(part)
-    assert pool.out == len(data) // BUFFER_SIZE + 1 and inbox.take() == data
-    again = pool.take()
-    assert pool.out == 1 and len(again) == BUFFER_SIZE
+    assert pool.buffers_in_use == len(data) // BUFFER_SIZE + 1 and inbox.take() == data
+    again = pool.acquire()
+    assert pool.buffers_in_use == 1 and len(again) == BUFFER_SIZE
 
 
 chunk_lists = st.lists(st.binary(min_size=1, max_size=300), max_size=20)
@@ -159,26 +169,26 @@
     raw += b"".join(b"%X;n=v\r\n%b\r\n" % (len(part), part) for part in parts)
     raw += b"0\r\n" + (b"A: b\r\n" if trailer else b"") + b"\r\n" + b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
     pool, found, at = BufferPool(), [], 0
-    reader = MessageReader(pool)
+    reader = RequestReader(pool)
     for step in [*steps, len(raw)]:
         reader.feed(raw[at : at + step])
         at += step
         while reader.waiting and (request := reader.next_request()) is not None:
             found.append((request.method, request.body))
     assert found == [(b"POST", b"".join(parts)), (b"GET", b"")]
-    assert pool.out == 0 and reader.waiting == 0
+    assert pool.buffers_in_use == 0 and reader.waiting == 0
 
 
 @pytest.mark.parametrize("tail", [b"1\r\nx\r\n" * 70_000, b"ffff\r\n" + b"x" * 0xFFFF + b"\r\n2\r\nxx\r\n"])
 def test_what_a_chunked_body_may_hold_is_bounded(tail):
     pool = BufferPool()
-    reader = MessageReader(pool)
+    reader = RequestReader(pool)
     reader.feed(b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n")
-    with pytest.raises(Malformed) as raised:
+    with pytest.raises(RemoteProtocolError) as raised:
         for at in range(0, len(tail), 8192):
             reader.feed(tail[at : at + 8192])
             assert reader.next_request() is None
             assert reader.waiting < 65536 + 8192 + 300
     assert raised.value.status == 413
     reader.clear()
-    assert pool.out == 0
+    assert pool.buffers_in_use == 0
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -13,9 +13,8 @@
 from twisted.python.failure import Failure
 
 from mapleline import engine as e
-from mapleline.http1.buffers import BufferPool
-from mapleline.http1.messages import MessageReader
-from mapleline.http1.server import Translator
+from mapleline.http1 import BufferPool, RequestReader, ResponseReader
+from mapleline.http1.translator import Translator
 from mapleline.ingress import Ingress
 from mapleline.lifecycle import Lifecycle
 from mapleline.net.clients import Front
@@ -139,7 +138,7 @@
 
 def read_whole(data, answer=False):
     """The one message in `data`, or None where it is not whole."""
-    reader = MessageReader(BufferPool(), 1 << 26)
+    reader = (ResponseReader if answer else RequestReader)(BufferPool(), 1 << 26)
     reader.feed(data)
     return reader.next_response() if answer else reader.next_request()
 
@@ -194,7 +193,7 @@
             client.grant(rng.randrange(1, pace[0]))
         elif server and answering and read_whole(server.taken) is not None:
             answering = server.give(answering)
-        assert relay.pool.out * 16384 < GATHER + 80_000  # back-pressure: neither side is read ahead
+        assert relay.pool.buffers_in_use * 16384 < GATHER + 80_000  # back-pressure: neither side is read ahead
         assert len(client.waiting) < 100_000 and (not server or len(server.waiting) < GATHER + 40_000)
     else:
         raise AssertionError("stands still")
@@ -211,7 +210,7 @@
     assert len(relay.servers) <= 1  # the module of this test asks for no second attempt
     for wire in [client, *relay.servers]:
         wire.end(BROKEN)
-    assert relay.pool.out == 0 and relay.pool.held == 0 and not relay.engine.requests
+    assert relay.pool.buffers_in_use == 0 and relay.pool.reserved_bytes == 0 and not relay.engine.requests
 
 
 def test_a_body_that_is_held_counts_until_it_is_of_no_more_use():
@@ -219,12 +218,12 @@
     _, coming = request(400_000, "length")
     while not relay.servers:
         coming = relay.client.give(coming)
-    held = relay.pool.held
+    held = relay.pool.reserved_bytes
     assert 2 * GATHER < held < 3 * GATHER and not relay.client.reading
     relay.servers[0].grant(10**6)
-    assert relay.client.reading and relay.pool.held == held  # it could still go to another server
+    assert relay.client.reading and relay.pool.reserved_bytes == held  # it could still go to another server
     relay.client.give(coming)
-    assert relay.pool.held == 0  # more has gone out than is held
+    assert relay.pool.reserved_bytes == 0  # more has gone out than is held
 
 
 @pytest.mark.parametrize("form", ["length", "chunks"])
@@ -300,7 +299,7 @@
     relay.client.give(coming)
     assert not relay.sweep(3.2) and relay.sweep(3.6)
     assert relay.client.taken.startswith(b"HTTP/1.1 408") and not relay.engine.requests
-    assert relay.servers[0].closed and relay.pool.held == 0
+    assert relay.servers[0].closed and relay.pool.reserved_bytes == 0
 
 
 def test_in_a_crowd_who_goes_on_writing_stays_and_who_stopped_gives_way():
