--- a/mapleline/cores/worker.py
+++ b/mapleline/cores/worker.py
@@ -100,7 +100,7 @@
         connections = worker_counter_connections(start.workers)
         super().__init__(reactor, config, brain, start.clock_start_ns, connections)
         ids = OpenRequestIds(memory, start.workers, start.number)
-        self.front.ids = ids  # type: ignore[assignment]  # the front names the class of a single process
+        self.front.ids = ids
         self.upstreams.vetoed = DrainFlags(memory).is_draining
         self._channel = channel
         self._offered: dict[int, OfferedConnection] = {}
--- a/mapleline/ingress.py
+++ b/mapleline/ingress.py
@@ -32,6 +32,7 @@
 from .telemetry import COUNTS, log, log_counters
 
 if TYPE_CHECKING:
+    from .net.fleet_member import FleetMember
     from .settings.own import Own
 
 STAY_S = 0.75  # after SIGTERM clients still come for a while, and what comes is served
@@ -74,7 +75,8 @@
     ) -> None:
         self.reactor, self.config = reactor, config
         self.own_settings = own
-        self.settings_file, self.peers = settings_file, None
+        self.settings_file = settings_file
+        self.fleet_member: FleetMember | None = None
         start = config.start
         clock = unix_clock(clock_start)
         self.life = Lifecycle(is_socket_shared=config.accept_fd is not None)
@@ -152,9 +154,9 @@
         self.watcher.start()
         own = self.own_settings
         if own is not None and (own.budgets.enabled or own.handoff.enabled):  # off on the platform
-            from .net.fleet import join
+            from .net.fleet import join_fleet
 
-            self.peers = join(self, own)
+            self.fleet_member = join_fleet(self, own)
         self.reactor.callWhenRunning(self._heed_signals)
         calm_gc()
         # Whoever connects is kept waiting by all that a start has still to do, and its request's time has
@@ -269,8 +271,8 @@
         A file that the program would not start with changes nothing.  With budgets on, our own HCL is read
         again for the clock's offset.
         """
-        if self.peers is not None and self.settings_file is not None:
-            self.peers.reread(self.settings_file)
+        if self.fleet_member is not None and self.settings_file is not None:
+            self.fleet_member.reload_settings(self.settings_file)
         try:
             new = configuration.load()
             self._read_known(Directory(new.zone_names, new.kind_names), new)
@@ -282,8 +284,8 @@
         self.config = replace(old, counter=new.counter, discovery=new.discovery)
         if new.counter != old.counter:
             self.counter.move(new.counter)
-            if self.peers is not None:
-                self.peers.counter = new.counter
+            if self.fleet_member is not None:
+                self.fleet_member.counter.address = new.counter
         if new.discovery != old.discovery and self.watcher.running:
             self.watcher.stop()
             self.watcher = self._watcher(new.discovery, whole=True)
--- a/mapleline/net/claims.py
+++ b/mapleline/net/claims.py
@@ -1,110 +1,172 @@
-"""Claims of one of the fleet's budgets on the counter, epoch by epoch (a thin driver round `budgets/`).
+"""Claims one of the fleet's budgets on the counter, epoch by epoch (a driver of `mapleline.budgets`).
 
-Lines: `budget claimed`, `budget claim failed`, `budget held` (a part comes into use, with `until`, when its
-lease ends on the log's clock).  A claim without an answer grants nothing.  See docs/design/fleet.md.
+A member adds its demand of the epoch that has ended to the fleet's demand for the next, reads that sum back, and claims
+its share of the budget.  A claim without an answer grants nothing.  Rules and bounds: docs/design/fleet.md.
+
+Log events: `budget claimed`, `budget claim failed`, and `budget held` when a grant comes into use; its `until` is the
+end of the lease on the log's clock, and the fault rig's checker sums these.
 """
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from ..budgets import Budget, epoch_of
 from ..telemetry import COUNTS, log
+from .fleet_counter import count_lost_call
 
 if TYPE_CHECKING:
-    from .peers import Peers
-
-
-class Claims:
-    """One member's claims of `name`, in proportion to what `asked()` grew by in the last epoch."""
-
-    def __init__(self, peers: Peers, name: str, asked: Callable[[], float]) -> None:
-        told = peers.told
-        self.peers, self.asked = peers, asked
-        self.budget = Budget(name, told.whole, told.lease_s, told.clock_margin_s)
-        self.claimed: set[int] = set()
-        self.shown: set[int] = set()
-        self.spans: dict[int, tuple[float, float]] = {}  # epoch -> where its part begins, and its share
-        self.counted = (0, asked())  # epoch, and `asked` at its start
-        self.demand = 0.0
-
-    def tick(self, now: float) -> None:
-        """`now` on the member's own clock, several times an epoch."""
-        lease_s = self.budget.lease_s
-        epoch = epoch_of(now, lease_s)
-        if epoch != self.counted[0]:
-            asked = self.asked()
-            self.demand, self.counted = asked - self.counted[1] + 1.0, (epoch, asked)
-            self.peers.call(self._demands(epoch + 1), round(self.demand, 3)).addErrback(lost)
-        if epoch not in self.claimed:  # a start, or a claim ahead that was never made
+    from twisted.python.failure import Failure
+
+    from .fleet_member import FleetMember
+
+EPOCHS_KEPT = 4  #: claims of epochs this far back are forgotten
+AMOUNT_DIGITS = 3  #: decimals of an amount on the counter
+CLAIM_AHEAD_SHARE = 0.5  #: of an epoch after which the next one is claimed
+LEAST_DEMAND = 1.0  #: added to each demand, so that an idle member claims something
+NANOSECONDS = 1e9
+
+
+@dataclass(frozen=True, slots=True)
+class Claim:
+    """A claim under way.
+
+    Attributes:
+        epoch: the epoch that it is for.
+        want: units claimed.
+        fleet_demand: the sum of the members' demands; None where it could not be read.
+    """
+
+    epoch: int
+    want: float
+    fleet_demand: float | None
+
+
+@dataclass(frozen=True, slots=True)
+class GrantedInterval:
+    """What a claim was granted of [0, 1), the whole budget: from `low`, `share` wide."""
+
+    low: float
+    share: float
+
+
+class BudgetClaims:
+    """One member's claims of one budget, in proportion to its demand."""
+
+    def __init__(self, member: FleetMember, budget_name: str, requested: Callable[[], float]) -> None:
+        """Start with no claim.
+
+        Args:
+            member: this member, whose counter the claims are made on.
+            budget_name: the budget's name in the counter's keys and in the log.
+            requested: returns a running total; the demand of an epoch is what it grew by.
+        """
+        settings = member.settings
+        self._member = member
+        self._requested = requested
+        self._budget = Budget(budget_name, settings.whole, settings.lease_s, settings.clock_margin_s)
+        self._claimed_epochs: set[int] = set()
+        self._reported_epochs: set[int] = set()
+        self._granted: dict[int, GrantedInterval] = {}
+        self._demand = 0.0
+        self._demand_epoch = 0
+        self._requested_at_epoch_start = requested()
+
+    def update(self, now_s: float) -> None:
+        """Make the claims that are due; called several times an epoch, with the member's own clock."""
+        lease_s = self._budget.lease_s
+        epoch = epoch_of(now_s, lease_s)
+        if epoch != self._demand_epoch:
+            self._send_demand(epoch)
+        if epoch not in self._claimed_epochs:  # at the start, or where the claim ahead was never made
             self._claim(epoch)
-        if now - epoch * lease_s >= lease_s / 2 and epoch + 1 not in self.claimed:
+        is_time_for_next = now_s - epoch * lease_s >= lease_s * CLAIM_AHEAD_SHARE
+        if is_time_for_next and epoch + 1 not in self._claimed_epochs:
             self._claim(epoch + 1)
-        self._show(now)
+        self._use_grant(now_s)
+
+    def _send_demand(self, epoch: int) -> None:
+        """Take the demand of the epoch that has ended, and add it to the fleet's demand for the next."""
+        requested = self._requested()
+        self._demand = requested - self._requested_at_epoch_start + LEAST_DEMAND
+        self._demand_epoch = epoch
+        self._requested_at_epoch_start = requested
+        amount = round(self._demand, AMOUNT_DIGITS)
+        self._member.counter.add(self._demand_key(epoch + 1), amount).addErrback(count_lost_call)
 
-    def _demands(self, epoch: int) -> str:
-        return f"dem.{self.peers.told.fleet}.{self.budget.name}.{epoch}"
+    def _demand_key(self, epoch: int) -> str:
+        return f"dem.{self._member.settings.fleet}.{self._budget.name}.{epoch}"
+
+    def _claim_key(self, epoch: int) -> str:
+        return f"bud.{self._member.settings.fleet}.{self._budget.name}.{epoch}"
 
     def _claim(self, epoch: int) -> None:
-        """Read the fleet's demands for `epoch`, then claim this member's share of the whole."""
-        self.claimed.add(epoch)
-        self.claimed.discard(epoch - 4)
-        self.shown.discard(epoch - 4)
-        self.peers.call(self._demands(epoch), 0).addCallbacks(
-            lambda demands: self._claim_share(epoch, demands), lambda why: self._claim_share(epoch, None)
+        """Read the fleet's demand for an epoch, then claim this member's share of the budget."""
+        self._claimed_epochs.add(epoch)
+        self._claimed_epochs.discard(epoch - EPOCHS_KEPT)
+        self._reported_epochs.discard(epoch - EPOCHS_KEPT)
+        self._member.counter.add(self._demand_key(epoch), 0).addCallbacks(
+            lambda fleet_demand: self._claim_share(epoch, fleet_demand),
+            lambda failure: self._claim_share(epoch, None),
+        )
+
+    def _claim_share(self, epoch: int, fleet_demand: float | None) -> None:
+        size = self._budget.claim_size(self._demand, fleet_demand, self._member.view.members)
+        claim = Claim(epoch, round(size, AMOUNT_DIGITS), fleet_demand)
+        self._member.counter.add(self._claim_key(epoch), claim.want).addCallbacks(
+            lambda total: self._on_claimed(claim, total),
+            lambda failure: self._on_claim_failed(claim, failure),
+        )
+
+    def _on_claimed(self, claim: Claim, total: float) -> None:
+        budget = self._budget
+        grant = budget.record_claim(claim.epoch, claim.want, total)
+        self._granted[claim.epoch] = GrantedInterval((total - claim.want) / budget.whole, grant / budget.whole)
+        COUNTS["budget.claimed"] += 1
+        log(
+            "budget claimed",
+            budget=budget.name,
+            epoch=claim.epoch,
+            want=claim.want,
+            part=grant,
+            total=total,
+            demand=self._demand,
+            demands=claim.fleet_demand,
+        )
+        self._use_grant(self._member.now())
+
+    def _on_claim_failed(self, claim: Claim, failure: Failure) -> None:
+        COUNTS["budget.claim_failed"] += 1
+        log("budget claim failed", budget=self._budget.name, epoch=claim.epoch, why=failure.getErrorMessage())
+
+    def _use_grant(self, now_s: float) -> None:
+        """Bring the current epoch's grant into use once its lease has begun, and log it."""
+        budget = self._budget
+        epoch = epoch_of(now_s, budget.lease_s)
+        grant = budget.usable(now_s)
+        if grant <= 0 or epoch in self._reported_epochs:
+            return
+        self._reported_epochs.add(epoch)
+        lease_end_s = self._hold_interval(epoch, now_s)
+        log(
+            "budget held",
+            budget=budget.name,
+            whole=budget.whole,
+            part=grant,
+            epoch=epoch,
+            until=time.time() + (lease_end_s - now_s),
         )
 
-    def _claim_share(self, epoch: int, demands: float | None) -> None:
-        budget = self.budget
-        want = round(budget.claim_size(self.demand, demands, self.peers.view.members), 3)
-
-        def answered(total: float) -> None:
-            part = budget.record_claim(epoch, want, total)
-            self.spans[epoch] = ((total - want) / budget.whole, part / budget.whole)
-            COUNTS["budget.claimed"] += 1
-            log(
-                "budget claimed",
-                budget=budget.name,
-                epoch=epoch,
-                want=want,
-                part=part,
-                total=total,
-                demand=self.demand,
-                demands=demands,
-            )
-            self._show(self.peers.now())
-
-        def failed(why: Any) -> None:
-            COUNTS["budget.claim_failed"] += 1
-            log("budget claim failed", budget=budget.name, epoch=epoch, why=why.getErrorMessage())
-
-        name = f"bud.{self.peers.told.fleet}.{budget.name}.{epoch}"
-        self.peers.call(name, want).addCallbacks(answered, failed)
-
-    def _show(self, now: float) -> None:
-        """Say when a part comes into use, and until when on the log's clock: what the checker sums."""
-        epoch, budget = epoch_of(now, self.budget.lease_s), self.budget
-        part = budget.usable(now)
-        if part > 0 and epoch not in self.shown:
-            self.shown.add(epoch)
-            start, end = budget.lease_window(epoch)
-            at, share = self.spans.pop(epoch)
-            self.spans = {e: span for e, span in self.spans.items() if e > epoch}
-            behind = time.time() - now  # of the module's clock, which no setting moves
-            since, until = int((start + behind) * 1e9), int((end + behind) * 1e9)
-            self.peers.shares.hold(at, at + share, since, until, budget.name)
-            log(
-                "budget held",
-                budget=budget.name,
-                whole=budget.whole,
-                part=part,
-                epoch=epoch,
-                until=time.time() + (end - now),
-            )
-
-
-def lost(why: Any) -> None:
-    """A call that was not heard: the next one of its kind counts again."""
-    COUNTS["budget.beat_lost"] += 1
+    def _hold_interval(self, epoch: int, now_s: float) -> float:
+        """Give the shares the epoch's interval; return the lease's end in seconds of the member's own clock."""
+        start_s, end_s = self._budget.lease_window(epoch)
+        interval = self._granted.pop(epoch)
+        self._granted = {known: granted for known, granted in self._granted.items() if known > epoch}
+        offset_s = time.time() - now_s  # to the decision module's clock, which no setting moves
+        since_ns = int((start_s + offset_s) * NANOSECONDS)
+        until_ns = int((end_s + offset_s) * NANOSECONDS)
+        self._member.shares.hold(interval.low, interval.low + interval.share, since_ns, until_ns, self._budget.name)
+        return end_s
--- a/mapleline/net/clients.py
+++ b/mapleline/net/clients.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from itertools import takewhile
 from socket import AF_INET, socket, socketpair
-from typing import Any
+from typing import Any, Protocol
 
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import Factory
@@ -303,6 +303,16 @@
         self.transport.loseConnection()
 
 
+class RequestIds(Protocol):
+    """The ids of requests in flight (`OpenIds`, or `fleet_ids.FleetIds`)."""
+
+    def claim(self, request_id: bytes) -> bool:
+        """Claim an id; False while a request with it is in flight."""
+
+    def release(self, request_id: bytes) -> None:
+        """Release an id whose request was answered."""
+
+
 class OpenIds:
     """The ids of requests in hand; with several workers see `cores.open_request_ids`."""
 
@@ -359,7 +369,7 @@
         self.life, self.gather = life, gather
         self.most, self.open_cap, self.retry_ns = most, open_cap, retry_ns
         self.streams: OrderedDict[ClientStream, None] = OrderedDict()  # in the order of `since`
-        self.ids = OpenIds()  #: of the requests in hand
+        self.ids: RequestIds = OpenIds()  #: of the requests in hand
         self.outcome: Callable[[bytes], tuple[int, bytes, bytes] | None] | None = None  #: of one taken over
         self.port: Any = None
         self._adopting_asked = False
--- a/mapleline/net/fleet.py
+++ b/mapleline/net/fleet.py
@@ -1,70 +1,89 @@
-"""Puts the fleet's parts together for one ingress, as our own settings ask (a driver)."""
+"""Starts the parts of the fleet that our own settings enable, for one ingress (a driver)."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
-from ..settings.own import Own
 from ..settings.platform import ConfigError
-from .peers import Peers
+from .fleet_member import FleetMember, RosterPosition
 
 if TYPE_CHECKING:
     from ..ingress import Ingress
+    from ..settings.own import Own
+    from ..zones import ZoneEjection
 
 
-def join(ingress: Ingress, own: Own) -> Peers | None:
-    """Start what is enabled; raises ConfigError for what only the platform's settings can tell is wrong."""
+def join_fleet(ingress: Ingress, own: Own) -> FleetMember | None:
+    """Start what is enabled.
+
+    Returns:
+        This ingress as a member that sends heartbeats; None without budgets.
+
+    Raises:
+        ConfigError: our own settings do not fit the platform's.
+    """
     if own.handoff.enabled:
-        _keep(ingress, own)
-    return _share(ingress, own) if own.budgets.enabled else None
+        _start_handoff(ingress, own)
+    return _start_member(ingress, own) if own.budgets.enabled else None
 
 
-def _keep(ingress: Ingress, own: Own) -> None:
+def _start_handoff(ingress: Ingress, own: Own) -> None:
+    """Have the engine log its requests, and take over those of lost ingresses."""
     from ..handoff.store import MEMBER_NAME
     from .handoff import Handoff
+    from .log_adoption import RequestNames
 
     config = ingress.config
     if not MEMBER_NAME.fullmatch(config.name):
         raise ConfigError("name: handoff needs 1 to 64 letters, digits, '-' or '_'")
+    names = RequestNames(config.class_names, config.plan_names)
     try:
-        handoff = Handoff(
-            ingress.reactor, own.handoff, ingress.engine, config.name, config.class_names, config.plan_names
-        )
-    except OSError as err:
-        raise ConfigError(f"handoff.dir: {err.strerror or err}: {own.handoff.dir}") from None
+        handoff = Handoff(ingress.reactor, own.handoff, ingress.engine, config.name, names)
+    except OSError as error:
+        raise ConfigError(f"handoff.dir: {error.strerror or error}: {own.handoff.dir}") from None
     ingress.engine.record = handoff
-    ingress.front.ids, ingress.front.outcome = handoff.ids, handoff.outcome
+    ingress.front.ids = handoff.ids
+    ingress.front.outcome = handoff.known_outcome
     ingress.reactor.callWhenRunning(handoff.start)
 
 
-def _share(ingress: Ingress, own: Own) -> Peers:
-    start, reactor, engine = ingress.config.start, ingress.reactor, ingress.engine
-    spill = own.zones.spill_share if own.zones.enabled else 0.0
-    peers = Peers(reactor, own.budgets, ingress.buffers, ingress.config.counter, start.gateway, start.gateways, spill)
-    peers.shares.server_ids = ingress.directory.ids
-    zones: Any = None
+def _start_member(ingress: Ingress, own: Own) -> FleetMember:
+    """Send heartbeats, claim budgets, and eject zones with the fleet where that is enabled."""
+    start = ingress.config.start
+    spill_share = own.zones.spill_share if own.zones.enabled else 0.0
+    position = RosterPosition(start.gateway, start.gateways)
+    member = FleetMember(ingress.reactor, own.budgets, ingress.buffers, ingress.config.counter, position, spill_share)
+    member.shares.server_ids = ingress.directory.ids
+    ejection: ZoneEjection | None = None
     tiers: list[frozenset[int]] = []
     if own.zones.enabled and start.zones > 1:
-        from ..zones import TierError, ZoneEjection, read_tiers
-        from .zones import ZoneWatch
-
-        names, directory = ingress.config.zone_names, ingress.directory
-        try:
-            tiers = read_tiers(own.zones.tiers, names, start.zone)
-        except TierError as err:
-            raise ConfigError(f"zones.tiers: {err}") from None
-        zones = ZoneEjection(start.zones, own.zones, peers.told.beat_s)
-        peers.watchers.append(
-            ZoneWatch(
-                reactor,
-                peers,
-                zones,
-                engine,
-                names,
-                lambda: {n: (directory.zones.get(n, 0), place) for n, place in directory.places.items()},
-                engine.now,
-            )
-        )
-    engine.share(peers.shares, zones, tiers)
-    reactor.callWhenRunning(peers.start)
-    return peers
+        tiers = _read_tiers(ingress, own)
+        ejection = _start_zone_monitor(ingress, own, member)
+    ingress.engine.share(member.shares, ejection, tiers)
+    ingress.reactor.callWhenRunning(member.start)
+    return member
+
+
+def _read_tiers(ingress: Ingress, own: Own) -> list[frozenset[int]]:
+    from ..zones import TierError, read_tiers
+
+    try:
+        return read_tiers(own.zones.tiers, ingress.config.zone_names, ingress.config.start.zone)
+    except TierError as error:
+        raise ConfigError(f"zones.tiers: {error}") from None
+
+
+def _start_zone_monitor(ingress: Ingress, own: Own, member: FleetMember) -> ZoneEjection:
+    from ..zones import ZoneEjection
+    from .zones import ZoneMonitor, ZoneServer
+
+    directory = ingress.directory
+
+    def servers() -> list[ZoneServer]:
+        zones = directory.zones
+        return [ZoneServer(number, zones.get(number, 0), place.address) for number, place in directory.places.items()]
+
+    ejection = ZoneEjection(ingress.config.start.zones, own.zones, member.settings.beat_s)
+    names = ingress.config.zone_names
+    member.watchers.append(ZoneMonitor(ingress.reactor, member, ejection, ingress.engine, names, servers))
+    return ejection
--- a/mapleline/net/handoff.py
+++ b/mapleline/net/handoff.py
@@ -1,373 +1,301 @@
-"""The driver of `handoff/`: keeps the record, the lease and the ids, and takes over from the dead (thin).
+"""Logs one ingress's requests in flight and holds its lease, so that another can take them over (a driver).
 
-The engine asks it before it sends or answers; the front before it takes a request in.  Lines: `handoff begun`
-(an epoch of this process), `fenced`, `taking over`, `taken over`, `foreign log`.  See docs/handoff.md.
+The engine asks `Handoff` before it sends or answers, and the HTTP front asks `FleetIds` before it takes a request.
+`LogAdopter` takes over the logs of members whose lease has expired.  Rules: docs/design/handoff.md; for operators:
+docs/handoff.md.
+
+Log events: `handoff begun` (an epoch of this process), `lease lost`; `log_adoption` has the others.
 """
 
 from __future__ import annotations
 
 import time
-from collections import deque
-from typing import Any
+from typing import TYPE_CHECKING
 
-from ..engine import Attempt, Engine, Open
-from ..handoff.in_flight import InFlightRequest, InFlightTable, Op, TakeoverAction
+from ..handoff.in_flight import InFlightTable
 from ..handoff.store import Store
 from ..handoff.write_ahead_log import WriteAheadLog, log_name
-from ..http1 import MAX_BUFFERED_BODY_BYTES, Request, Response
-from ..http1.translator import TranslatedRequest
 from ..membership import Lease, LeaseTable
-from ..policy.interface import Arrival, Effect
-from ..settings.own import Handoff as Told
+from ..policy.interface import Effect
 from ..telemetry import COUNTS, log
+from .fleet_ids import FleetIds
+from .handoff_records import (
+    UNKNOWN_OUTCOME,
+    accepted_record,
+    bytes_of,
+    done_record,
+    forgotten_record,
+    not_executed_record,
+    sent_record,
+    text_of,
+)
+from .log_adoption import LogAdopter, RequestNames
+
+if TYPE_CHECKING:
+    from twisted.internet.task import LoopingCall
+
+    from ..engine import Attempt, Engine, Open
+    from ..handoff.log_format import Record
+    from ..handoff.store import Outcome
+    from ..http1 import Response
+    from ..policy.interface import Arrival
+    from ..settings.own import Handoff as HandoffSettings
+    from .event_loop import EventLoop
+
+UPDATE_S = 0.1  #: seconds between two looks at the lease and at what is due
+RENEWALS_PER_LEASE = 3  #: two renewals may be late before the lease is lost
+BYTES_PER_KB = 1024
+MILLISECONDS = 1000
 
-TICK_S = 0.1
-UNKNOWN = {"status": 502, "lines": "X-Outcome: unknown\r\n", "body": ""}
-
-
-class FleetIds:
-    """Ids in hand over the fleet, in place of the front's own."""
-
-    def __init__(self, handoff: Handoff) -> None:
-        self.handoff, self.held = handoff, set()
-
-    def claim(self, request_id: bytes) -> bool:
-        handoff = self.handoff
-        if request_id in self.held:
-            return False
-        if not handoff.store.claim_id(request_id, handoff.log_name):
-            known = handoff.store.outcome(request_id)
-            if not known or not known.get("paid") or not handoff.store.take_outcome(request_id):
-                return False
-            handoff.store.move_id(request_id, handoff.log_name)
-            handoff.paid.add(request_id)
-        self.held.add(request_id)
-        return True
-
-    def release(self, request_id: bytes) -> None:
-        """Its answer is on its way: the id is free a moment later."""
-        self.held.discard(request_id)
-        self.handoff.freed.append((time.time(), request_id))
-
-
-class Heir:
-    """The Answerer of a request that was taken over: its outcome waits for whoever asks."""
-
-    def __init__(self, handoff: Handoff, request_id: bytes) -> None:
-        self.handoff, self.id = handoff, request_id
-
-    def served(self, answer: Response) -> None:
-        kind = answer.headers.get(b"content-type", b"")
-        lines = f"Content-Type: {kind.decode('latin-1')}\r\n" if kind else ""
-        self.handoff.publish(self.id, {"status": 200, "lines": lines, "body": answer.body.decode("latin-1")})
 
-    def begun(self, answer: Any, source: Any) -> None:
-        self.handoff.publish(self.id, UNKNOWN)  # it ran, and its answer is too long to keep
-
-    def part(self, data: bytes) -> None:
-        pass
+class Handoff:
+    """One ingress's log, lease and outcomes.
 
-    def ended(self, whole: bool) -> None:
-        pass
+    Attributes:
+        store: the fleet's store.
+        name: this member's name.
+        epoch: the incarnation that its log and its lease belong to.
+        ids: the ids that it owns.
+        in_flight: what its log says.
+        adopter: what it takes over.
+    """
 
-    def refused(self, retry_in_ns: int, over_quota: bool) -> None:
-        """Turned down here: whoever comes again with the id is a new try, whose units are on the count."""
-        COUNTS["handoff.refused"] += 1
-        self.handoff.publish(self.id, {"paid": True})
+    def __init__(
+        self, reactor: EventLoop, settings: HandoffSettings, engine: Engine, name: str, names: RequestNames
+    ) -> None:
+        """Begin a new epoch, and take over the logs of this member's earlier ones.
+
+        Args:
+            reactor: the event loop.
+            settings: of the handoff.
+            engine: whose requests are logged.
+            name: this member's name.
+            names: of the request classes and plans.
+
+        Raises:
+            OSError: the store cannot be used.
+        """
+        self.store = Store(settings.dir)
+        self.name = name
+        self.engine = engine
+        self.ids = FleetIds(self.store, lambda: self.log_name)
+        self.adopter = LogAdopter(self, engine, names)
+        self._reactor = reactor
+        self._settings = settings
+        self._names = names
+        self._leases = LeaseTable(settings.margin_s)
+        self._synced_at = 0.0
+        self._loop: LoopingCall | None = None
+        self.epoch = max(self.store.log_epochs(name), default=0)
+        self._begin_epoch(InFlightTable())
+        self._take_over_earlier_epochs()
 
-    def failed(self, overdue: bool) -> None:
-        self.handoff.publish(self.id, UNKNOWN)
+    def _take_over_earlier_epochs(self) -> None:
+        """Take over what this member's processes before a restart left behind."""
+        for epoch, is_taken in sorted(self.store.log_epochs(self.name).items()):
+            if epoch < self.epoch and not is_taken:
+                self.adopter.take_over(log_name(self.name, epoch))
 
-    def dropped(self) -> None:
-        pass
+    def start(self) -> None:
+        """Begin to renew the lease, and watch for members that lose theirs."""
+        from twisted.internet import task
 
+        self._loop = task.LoopingCall(self.update)
+        self._loop.start(UPDATE_S, now=True)
+        self._reactor.addSystemEventTrigger("after", "shutdown", self.close)
 
-class Handoff:
-    """One ingress's part: `engine.record`, and the source of the front's ids and outcomes."""
-
-    def __init__(
-        self, reactor: Any, told: Told, engine: Engine, name: str, classes: list[str], plans: list[str]
-    ) -> None:
-        self.reactor, self.told, self.engine, self.name = reactor, told, engine, name
-        self.classes, self.plans = classes, plans
-        self.store = Store(told.dir)
-        self.leases = LeaseTable(told.margin_s)
-        self.freed: deque[tuple[float, bytes]] = deque()
-        self.ids = FleetIds(self)
-        self.kept: set[bytes] = set()  #: ids that stay held when the client's connection lets them go
-        self.paid: set[bytes] = set()  #: claimed ids whose units an earlier try has put on the count
-        self.work: deque[tuple[str, InFlightRequest | None]] = deque()  #: to be adopted, by log; None: the log's end
-        self.renewed = self.synced = 0.0
-        self.epoch = max(self.store.log_epochs(name), default=0)
-        self._begin(InFlightTable())
-        for epoch, taken in sorted(self.store.log_epochs(name).items()):
-            if epoch < self.epoch and not taken:  # of this name before its restart
-                self._take(log_name(name, epoch))
+    # -- log and lease -----------------------------------------------------------------------------------------
 
     @property
     def log_name(self) -> str:
+        """The name of this epoch's log, which is the owner of its ids in the store."""
         return log_name(self.name, self.epoch)
 
-    def _begin(self, table: InFlightTable) -> None:
-        """A new epoch, with what is carried over."""
+    def append_record(self, record: Record, is_deferred: bool = False) -> None:
+        """Apply a record and log it.
+
+        Args:
+            record: the record.
+            is_deferred: whether it may wait for the next one, or the next update; a request whose deferred record is
+                lost may be executed again.
+        """
+        self.in_flight.apply(record)
+        self._log.write(record, is_deferred)
+
+    def _begin_epoch(self, table: InFlightTable) -> None:
+        """Open the log of a new epoch, beginning with what is carried over, and write its lease."""
+        self._log = self._create_log(table)
+        self.in_flight = table
+        self.renew_lease(time.time())
+        log("handoff begun", name=self.name, epoch=self.epoch, open=len(table.requests))
+
+    def _create_log(self, table: InFlightTable) -> WriteAheadLog:
         while True:
             self.epoch += 1
             try:
-                self.log = WriteAheadLog(self.store.folder, self.name, self.epoch, table.snapshot())
-                break
+                return WriteAheadLog(self.store.folder, self.name, self.epoch, table.snapshot())
             except FileExistsError:
-                continue  # another process of this name
-        self.in_flight = table
-        self._renew(time.time())
-        log("handoff begun", name=self.name, epoch=self.epoch, open=len(table.requests))
+                continue  # another process of this name has that epoch
 
-    def _carry(self) -> None:
-        """Go on in a new epoch: the ids of what is open, and what is being taken over, become its log's."""
+    def _carry_over(self) -> None:
+        """Go on in a new epoch, whose log becomes the owner of the ids in flight and of the takeovers."""
         for request in self.in_flight.requests.values():
-            request.accepted["from"] = self.log_name  # until its id is moved, a taker finds it by this
-        self._begin(self.in_flight)
-        for rid in self.in_flight.requests:
-            self.store.move_id(rid.encode("latin-1"), self.log_name)
-        for older in self.in_flight.takeovers:
-            self.store.inherit_claim(older, self.log_name)
-
-    def _renew(self, now: float) -> None:
-        self.renewed, self.until = now, now + self.told.lease_s
-        self.store.write_lease(Lease(self.name, self.epoch, self.until))
-
-    def start(self) -> None:
-        from twisted.internet import task
-
-        self.loop = task.LoopingCall(self.tick)
-        self.loop.start(TICK_S, now=True)
-        self.reactor.addSystemEventTrigger("after", "shutdown", self.leave)
-
-    def good(self) -> bool:
-        """Whether this process still owns what it has open; looked at before each send and answer."""
-        if time.time() < self.until:
+            request.accepted["from"] = self.log_name  # until its id is moved, a successor finds the owner by this
+        self._begin_epoch(self.in_flight)
+        for record_id in self.in_flight.requests:
+            self.store.move_id(bytes_of(record_id), self.log_name)
+        for taken_log in self.in_flight.takeovers:
+            self.store.inherit_claim(taken_log, self.log_name)
+
+    def renew_lease(self, now: float) -> None:
+        """Renew the lease from now on (Unix seconds)."""
+        self._renewed_at = now
+        self._lease_until = now + self._settings.lease_s
+        self.store.write_lease(self._lease())
+
+    def _lease(self) -> Lease:
+        return Lease(self.name, self.epoch, self._lease_until)
+
+    def holds_lease(self) -> bool:
+        """Return whether this process still owns what it has in flight; asked before each send and answer.
+
+        After a stall longer than the lease it goes on in a new epoch: with all it has in flight, unless another
+        member has claimed that (the claim is the fence); then with nothing, and False is returned.
+        """
+        if time.time() < self._lease_until:
             return True
-        # A stall: unless somebody has its work already, it goes on in a new epoch.
-        old, mine = self.log, self.store.claim_log(self.log_name, f"{self.name} itself")
-        log("lease lost", epoch=self.epoch, taken=not mine, open=len(self.in_flight.requests))
-        if mine:
-            self._carry()
+        stalled_log = self._log
+        is_owner = self.store.claim_log(self.log_name, f"{self.name} itself")
+        log("lease lost", epoch=self.epoch, taken=not is_owner, open=len(self.in_flight.requests))
+        if is_owner:
+            self._carry_over()
         else:
-            self._begin(InFlightTable())
-        old.close()
-        if not mine:
-            COUNTS["handoff.fenced"] += 1
-            self.work.clear()
-            self.ids.held.clear()
-            self.paid.clear()
-            self.freed.clear()
-            self.engine.abandon()
-        return mine
-
-    def _note(self, record: dict[str, Any], is_deferred: bool = False) -> None:
-        """`is_deferred`: with the next record, or the next tick; what is lost with it may be done again."""
-        self.in_flight.apply(record)
-        self.log.write(record, is_deferred)
+            self._begin_epoch(InFlightTable())
+        stalled_log.close()
+        if not is_owner:
+            self._abandon_requests()
+        return is_owner
+
+    def _abandon_requests(self) -> None:
+        COUNTS["handoff.fenced"] += 1
+        self.adopter.clear()
+        self.ids.clear()
+        self.engine.abandon()
 
-    # what the engine says
+    # -- events of the engine (`Engine.record`) ----------------------------------------------------------------
 
     def accepted(self, opened: Open, arrival: Arrival) -> None:
-        wish, rid = opened.wish, opened.wish.id.decode("latin-1")
-        if wish.id in self.paid:
-            self.paid.discard(wish.id)
+        """Log a request that the engine takes in; one that is logged was taken over."""
+        wish = opened.wish
+        if self.ids.take_charged(wish.id):
             arrival.paid = True
-        if rid in self.in_flight.requests or not self.good():
+        if text_of(wish.id) in self.in_flight.requests or not self.holds_lease():
             return
-        request = wish.request
-        whole = not request.more and len(request.body) <= MAX_BUFFERED_BODY_BYTES
-        self._note(
-            {
-                "op": Op.ACCEPTED.value,
-                "id": rid,
-                "at": time.time(),
-                "cls": self.classes[arrival.cls],
-                "plan": self.plans[arrival.plan],
-                "customer": arrival.customer,
-                "units": arrival.units,
-                "spread": arrival.spread,
-                "first": 0.0,
-                "start": arrival.first,
-                "whole": whole,
-                "method": request.method.decode(),
-                "target": request.target.decode("latin-1"),
-                "lines": wish.lines.decode("latin-1"),
-                "body": request.body.decode("latin-1") if whole else "",
-            }
-        )
+        class_name = self._names.classes[arrival.cls]
+        plan_name = self._names.plans[arrival.plan]
+        self.append_record(accepted_record(wish, arrival, class_name, plan_name, time.time()))
 
     def sending(self, attempt: Attempt) -> bool:
-        if not self.good():
+        """Log an attempt before it goes out; return whether it may."""
+        if not self.holds_lease():
             return False
-        rid = attempt.wish.id.decode("latin-1")
-        self._note({"op": Op.SENT.value, "id": rid, "n": attempt.number, "at": time.time()})
+        self.append_record(sent_record(attempt.wish.id, attempt.number, time.time()))
         return True
 
     def never_ran(self, attempt: Attempt) -> None:
+        """Log that an attempt was not executed."""
         if not attempt.open.answered:
-            self._note({"op": Op.NOT_EXECUTED.value, "id": attempt.wish.id.decode("latin-1"), "n": attempt.number})
+            self.append_record(not_executed_record(attempt.wish.id, attempt.number))
 
-    def answering(self, opened: Open, how: str, what: tuple[Any, ...]) -> bool:
-        if not self.good():
+    def answering(self, opened: Open, how: str, what: tuple[Response, ...]) -> bool:
+        """Log the final answer before the client gets it; return whether it may.
+
+        Args:
+            opened: the request.
+            how: the answerer's method that is called.
+            what: the arguments of that method; the answer itself where `how` is "served".
+        """
+        if not self.holds_lease():
             return False
-        record: dict[str, Any] = {"op": Op.DONE.value, "id": opened.wish.id.decode("latin-1"), "how": how}
-        if how == "served" and opened.cls.effect != Effect.SAFE:
-            record |= {"body": what[0].body.decode("latin-1")}
-        self._note(record, is_deferred=opened.cls.effect == Effect.SAFE)
+        is_safe = opened.cls.effect == Effect.SAFE
+        record = done_record(opened.wish.id, how)
+        if how == "served" and not is_safe:
+            record["body"] = text_of(what[0].body)
+        self.append_record(record, is_deferred=is_safe)
         return True
 
     def left(self, opened: Open) -> None:
-        """Its client is gone; what may have run must not run again for whoever comes with its id."""
-        rid = opened.wish.id
-        if opened.cls.effect != Effect.SAFE and opened.sent and self.good():
-            self.kept.add(rid)
-            self.publish(rid, UNKNOWN)
+        """Keep that the outcome is unknown where the client has gone and the request must not be executed twice."""
+        request_id = opened.wish.id
+        if opened.cls.effect != Effect.SAFE and opened.sent and self.holds_lease():
+            self.ids.retain(request_id)
+            self.publish(request_id, UNKNOWN_OUTCOME)
 
-    # outcomes
+    # -- outcomes ----------------------------------------------------------------------------------------------
 
-    def publish(self, request_id: bytes, outcome: dict[str, Any]) -> None:
+    def publish(self, request_id: bytes, outcome: Outcome) -> None:
+        """Keep an outcome for the client that comes with that id."""
         COUNTS["handoff.published"] += 1
         self.store.publish(request_id, outcome)
-        self._finish(request_id)
+        self._log_forgotten(request_id)
 
-    def over(self, request_id: bytes) -> None:
-        """Nothing is to be kept of it."""
-        self._finish(request_id)
+    def forget(self, request_id: bytes) -> None:
+        """Release the id of a request of which nothing is to be kept."""
+        self._log_forgotten(request_id)
         self.store.release_id(request_id)
 
-    def _finish(self, request_id: bytes) -> None:
-        rid = request_id.decode("latin-1")
-        if rid in self.in_flight.requests:
-            self._note({"op": Op.FORGOTTEN.value, "id": rid}, is_deferred=True)
+    def _log_forgotten(self, request_id: bytes) -> None:
+        if text_of(request_id) in self.in_flight.requests:
+            self.append_record(forgotten_record(request_id), is_deferred=True)
 
-    def outcome(self, request_id: bytes) -> tuple[int, bytes, bytes] | None:
-        """Status, body and header lines for whoever comes with an id whose outcome is known."""
-        known = self.store.outcome(request_id)
-        if known is None or known.get("paid"):
+    def known_outcome(self, request_id: bytes) -> tuple[int, bytes, bytes] | None:
+        """Return status, body and header lines for a client that comes with an id whose outcome is known."""
+        outcome = self.store.outcome(request_id)
+        if outcome is None or outcome.get("paid"):
             return None
         COUNTS["handoff.outcome_told"] += 1
-        return known["status"], known["body"].encode("latin-1"), known["lines"].encode("latin-1")
+        return outcome["status"], bytes_of(outcome["body"]), bytes_of(outcome["lines"])
 
-    # several times a second
+    # -- several times a second --------------------------------------------------------------------------------
 
-    def tick(self) -> None:
+    def update(self) -> None:
+        """Do what is due; nothing in a turn in which the lease was lost to another member."""
         now = time.time()
-        if not self.good():
+        if not self.holds_lease():
             return
-        while self.freed and self.freed[0][0] < now - TICK_S:
-            request_id = self.freed.popleft()[1]
-            if request_id not in self.kept:
-                self.over(request_id)
-            self.kept.discard(request_id)
-        self.log.flush()
-        for _ in range(max(1, int(self.told.pace_per_s * TICK_S))):
-            if not self.work:
-                break
-            self._adopt(*self.work.popleft())
-        if self.told.sync_ms and now - self.synced >= self.told.sync_ms / 1000:
-            self.synced = now
-            self.reactor.callInThread(self.log.sync)
-        if self.log.grown_bytes > self.told.snapshot_kb * 1024:
-            self.log.replace_with_snapshot(self.in_flight.snapshot())
-        if now - self.renewed >= self.told.lease_s / 3:
-            self._renew(now)
-            self._look(now)
-            self.store.forget_outcomes(now - self.told.keep_s)
-
-    def _look(self, now: float) -> None:
-        self.leases.replace_all(self.store.leases())
-        for lease in self.leases.expired(now):
-            if lease.name != self.name and self.leases.successor_of(lease.name, now) == self.name:
-                self._take(log_name(lease.name, lease.epoch))
+        for request_id in self.ids.take_released(now - UPDATE_S):
+            self.forget(request_id)
+        self._log.flush()
+        self.adopter.adopt_next(max(1, int(self._settings.pace_per_s * UPDATE_S)))
+        self._sync_log(now)
+        if self._log.grown_bytes > self._settings.snapshot_kb * BYTES_PER_KB:
+            self._log.replace_with_snapshot(self.in_flight.snapshot())
+        if now - self._renewed_at >= self._settings.lease_s / RENEWALS_PER_LEASE:
+            self.renew_lease(now)
+            self.take_over_expired(now)
+            self.store.forget_outcomes(now - self._settings.keep_s)
+
+    def _sync_log(self, now: float) -> None:
+        """Have a thread sync the log with the disk, where the settings ask for it and it is time."""
+        sync_ms = self._settings.sync_ms
+        if sync_ms and now - self._synced_at >= sync_ms / MILLISECONDS:
+            self._synced_at = now
+            self._reactor.callInThread(self._log.sync)
+
+    def take_over_expired(self, now: float) -> None:
+        """Take over from the members whose lease has expired and whose successor this one is."""
+        self._leases.replace_all(self.store.leases())
+        for lease in self._leases.expired(now):
+            if lease.name != self.name and self._leases.successor_of(lease.name, now) == self.name:
+                self.adopter.take_over(log_name(lease.name, lease.epoch))
                 self.store.drop_lease(lease)
 
-    def leave(self) -> None:
-        """The process ends in order: with nothing open there is nothing to take over."""
-        while self.freed:
-            self.over(self.freed.popleft()[1])
-        self.log.flush()
-        if not self.in_flight.requests and not self.work and self.store.claim_log(self.log_name, "left"):
+    def close(self) -> None:
+        """End the epoch with the process: with nothing in flight there is nothing to take over."""
+        for request_id in self.ids.take_all_released():
+            self.forget(request_id)
+        self._log.flush()
+        is_idle = not self.in_flight.requests and self.adopter.is_idle
+        if is_idle and self.store.claim_log(self.log_name, "left"):
             self.store.drop_log(self.log_name)
-            self.store.drop_lease(Lease(self.name, self.epoch, self.until))
-
-    # taking over
-
-    def _take(self, name: str) -> None:
-        self._note(
-            {"op": Op.TAKEOVER_BEGUN.value, "log": name}
-        )  # first, so that whoever reads this log can finish the claim
-        if self.store.claim_log(name, self.log_name):
-            self._read(name)
-        else:
-            self._note({"op": Op.TAKEOVER_ENDED.value, "log": name})
-
-    def _read(self, name: str) -> None:
-        """Queue what a log holds: first what its owner had adopted itself, then what that had not come to."""
-        try:
-            table = InFlightTable().replay(self.store.read_log(name))
-        except ValueError as fault:  # also for a name without an epoch
-            # Which of its requests ran nobody can tell: none may run again.
-            doubted = self.store.publish_for_all_ids(name, UNKNOWN)
-            COUNTS["handoff.unknown"] += doubted
-            log("foreign log", log=name, fault=str(fault), unknown=doubted)
-            return self._note({"op": Op.TAKEOVER_ENDED.value, "log": name})
-        log("taking over", log=name, by=self.log_name, open=len(table.requests), ids=sorted(table.requests))
-        COUNTS["handoff.taken_logs"] += 1
-        self.work += [(name, request) for request in table.requests.values()]
-        self.work.append((name, None))
-        for older in table.takeovers:
-            if self.store.claimed_by(older) == name:  # begun by the one whose log this is
-                self._note({"op": Op.TAKEOVER_BEGUN.value, "log": older})
-                self.store.inherit_claim(older, self.log_name)
-                self._read(older)
-            else:
-                self._take(older)  # meant to, at most
-
-    def _adopt(self, name: str, request: InFlightRequest | None) -> None:
-        if request is None:
-            freed = self.store.release_unrecorded_ids(name)
-            self.store.drop_log(name)
-            self._note({"op": Op.TAKEOVER_ENDED.value, "log": name})
-            return log("taken over", log=name, by=self.log_name, orphans=freed)
-        record = request.accepted
-        rid = record["id"].encode("latin-1")
-        if self.store.owner_of_id(rid) not in (name, record.get("from", name)):
-            return None  # over, or another's
-        self._note({**record, "out": sorted(request.unresolved), "first": request.first_sent, "from": name})
-        self.store.move_id(rid, self.log_name)
-        known = record["cls"] in self.classes and record["plan"] in self.plans
-        cls = self.engine.classes[self.classes.index(record["cls"])] if known else None
-        action = request.takeover_action(cls, time.time()) if cls is not None else TakeoverAction.UNKNOWN
-        COUNTS[f"handoff.{action.value}"] += 1
-        if action is TakeoverAction.DROP:
-            self.over(rid)
-        elif action is TakeoverAction.UNKNOWN:
-            self.publish(rid, UNKNOWN)
-        elif action is TakeoverAction.PUBLISH:
-            served = request.done.get("how") == "served"
-            outcome = {"status": 200, "lines": "", "body": request.done.get("body", "")}
-            self.publish(rid, outcome if served else UNKNOWN) if served or request.unresolved else self.over(rid)
-        else:
-            self._send(rid, record, cls)
-        return None
-
-    def _send(self, rid: bytes, record: dict[str, Any], cls: Any) -> None:
-        arrival = Arrival(
-            0,
-            self.classes.index(record["cls"]),
-            self.plans.index(record["plan"]),
-            record["customer"],
-            cls.deadline_ns,
-            record["units"],
-            record["spread"],
-            record["start"],
-            paid=True,
-        )
-        request = Request(
-            record["method"].encode(), record["target"].encode("latin-1"), {}, record["body"].encode("latin-1"), True
-        )
-        wish = TranslatedRequest(rid, arrival, request, record["lines"].encode("latin-1"))
-        self.engine.arrive(arrival, wish, Heir(self, rid))
+            self.store.drop_lease(self._lease())
--- a/mapleline/net/zones.py
+++ b/mapleline/net/zones.py
@@ -1,103 +1,175 @@
-"""The driver of `zones/`: verdicts told and read on the counter each period, and probes (thin, Twisted).
+"""Reports on zones and their count over the fleet, each period, and probes (a Twisted driver of `mapleline.zones`).
 
-Lines: `zone left`, `zone back` (each with the count and the members alive it was judged by), once a turn.
+Log events: `zone left`, `zone back`, each with the count of reports and of the members alive that decided it.  Rules:
+docs/design/zones.md.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
 
-from twisted.internet import protocol
+from twisted.internet.protocol import ClientFactory, Protocol
 
-from ..engine import Engine
 from ..policy.interface import Result
 from ..telemetry import COUNTS, log
-from ..zones import ZoneEjection
-from .claims import lost
-from .peers import Peers
+from .fleet_counter import count_lost_call
 
-PROBE = b"GET /health/live HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n"
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IAddress
 
+    from ..engine import Engine
+    from ..settings.platform import Address
+    from ..zones import ZoneEjection
+    from .event_loop import EventLoop
+    from .fleet_member import FleetMember
 
-class Probe(protocol.Protocol):
-    """One question; any answer will do."""
+PROBE_REQUEST = b"GET /health/live HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n"
+PROBE_PERIODS = 2  #: heartbeat periods after which a probe is given up; connecting may take one of them
 
-    answered = False
+
+@dataclass(frozen=True, slots=True, order=True)
+class ZoneServer:
+    """A server on the endpoint list: its number, its zone's number and where it listens."""
+
+    number: int
+    zone: int
+    address: Address
+
+
+@dataclass(frozen=True, slots=True)
+class SentReport:
+    """This member's report that a zone failed in a period."""
+
+    zone: int
+    period: int
+
+
+class HealthProbe(Protocol):
+    """One health check; any answer shows that the zone can be reached."""
+
+    transport: Any  # Twisted's TCP transport, beyond what ITransport has
+
+    def __init__(self, on_answer: Callable[[], None]) -> None:
+        """Call `on_answer` with the first bytes that come."""
+        self._on_answer = on_answer
+        self._is_answered = False
 
     def connectionMade(self) -> None:
-        self.transport.write(PROBE)
+        """Send the request."""
+        self.transport.write(PROBE_REQUEST)
 
     def dataReceived(self, data: bytes) -> None:
-        if not self.answered:
-            self.answered = True
-            self.factory.heard()
+        """Take any bytes for an answer."""
+        if not self._is_answered:
+            self._is_answered = True
+            self._on_answer()
         self.transport.loseConnection()
 
 
-class ZoneWatch:
-    """Tells and hears once a period; `places` gives the zone of each server and where it listens."""
+class HealthProbeFactory(ClientFactory):
+    """Makes the protocol of one probe."""
+
+    noisy = False
+
+    def __init__(self, on_answer: Callable[[], None]) -> None:
+        """Call `on_answer` if the probe is answered."""
+        self._on_answer = on_answer
+
+    def buildProtocol(self, addr: IAddress | None) -> HealthProbe:
+        """Return the protocol of the connection."""
+        return HealthProbe(self._on_answer)
+
+
+class ZoneMonitor:
+    """Reports failed zones to the fleet, and has the engine follow the fleet's decisions."""
 
     def __init__(
         self,
-        reactor: Any,
-        peers: Peers,
-        zones: ZoneEjection,
+        reactor: EventLoop,
+        member: FleetMember,
+        ejection: ZoneEjection,
         engine: Engine,
-        names: list[str],
-        places: Callable[[], dict[int, tuple[int, Any]]],
-        clock: Callable[[], int],
+        zone_names: list[str],
+        servers: Callable[[], list[ZoneServer]],
     ) -> None:
-        self.reactor, self.peers, self.zones, self.engine = reactor, peers, zones, engine
-        self.names, self.places, self.clock = names, places, clock
-        self.told: set[tuple[int, int]] = set()  # zone and period
-        self.read = 0  # the newest period whose predecessor was asked for
-        self.turn = peers.view.own_index  # members start their rounds of the servers at different ones
-
-    def _name(self, zone: int, period: int) -> str:
-        return f"zn.{self.peers.told.fleet}.{zone}.{period}"
-
-    def tick(self, period: int) -> None:
-        now = self.clock()
-        for zone in self.zones.failing(now):
-            if (zone, period) not in self.told:
-                self.told.add((zone, period))
-                COUNTS["zones.told_failed"] += 1
-                self.peers.call(self._name(zone, period), 1).addErrback(lost)
-        for zone in self.zones.probes(now):
+        """Start with no report.
+
+        Args:
+            reactor: the event loop.
+            member: this member, whose counter the reports are made on.
+            ejection: the health of the zones.
+            engine: learns of each zone that is ejected or readmitted; its clock is used.
+            zone_names: the zones' names, by number.
+            servers: returns the endpoint list.
+        """
+        self._reactor = reactor
+        self._member = member
+        self._ejection = ejection
+        self._engine = engine
+        self._zone_names = zone_names
+        self._servers = servers
+        self._sent_reports: set[SentReport] = set()
+        self._newest_period = 0  # the period whose predecessor was read last
+        self._probe_turn = member.view.own_index  # members begin their rounds of the servers at different ones
+
+    def update(self, period: int) -> None:
+        """Report, probe, and once a period read the reports of the period before."""
+        now_ns = self._engine.now()
+        self._report_failed_zones(period, now_ns)
+        for zone in self._ejection.probes(now_ns):
             self._probe(zone)
-        if period == self.read:
+        if period != self._newest_period:
+            self._newest_period = period
+            self._sent_reports = {report for report in self._sent_reports if report.period >= period - 1}
+            self._read_reports(period - 1)
+
+    def _report_failed_zones(self, period: int, now_ns: int) -> None:
+        for zone in self._ejection.failing(now_ns):
+            report = SentReport(zone, period)
+            if report not in self._sent_reports:
+                self._sent_reports.add(report)
+                COUNTS["zones.told_failed"] += 1
+                self._member.counter.add(self._key(zone, period), 1).addErrback(count_lost_call)
+
+    def _read_reports(self, period: int) -> None:
+        for zone in range(len(self._zone_names)):
+            self._read_zone_reports(zone, period)
+
+    def _read_zone_reports(self, zone: int, period: int) -> None:
+        self._member.counter.add(self._key(zone, period), 0).addCallbacks(
+            lambda total: self._on_reports(zone, int(total)), count_lost_call
+        )
+
+    def _key(self, zone: int, period: int) -> str:
+        return f"zn.{self._member.settings.fleet}.{zone}.{period}"
+
+    def _on_reports(self, zone: int, reports: int) -> None:
+        alive = self._member.view.alive_count(self._member.now())
+        is_ejected = self._ejection.count_reports(zone, reports, alive, self._engine.now())
+        if is_ejected is None:
             return
-        self.read = period
-        self.told = {entry for entry in self.told if entry[1] >= period - 1}
-        for zone in range(len(self.names)):
-            self.peers.call(self._name(zone, period - 1), 0).addCallbacks(self._heard, lost, (zone,))
-
-    def _heard(self, count: float, zone: int) -> None:
-        alive = self.peers.view.alive_count(self.peers.now())
-        left = self.zones.count_reports(zone, int(count), alive, self.clock())
-        if left is not None:
-            COUNTS["zones.left" if left else "zones.back"] += 1
-            log(
-                "zone left" if left else "zone back",
-                zone=self.names[zone],
-                count=int(count),
-                alive=alive,
-                hold_s=self.zones.hold_s(self.zones.zones[zone]),
-            )
-            self.engine.zone_turned(zone, left)
+        COUNTS["zones.left" if is_ejected else "zones.back"] += 1
+        log(
+            "zone left" if is_ejected else "zone back",
+            zone=self._zone_names[zone],
+            count=reports,
+            alive=alive,
+            hold_s=self._ejection.hold_s(self._ejection.zones[zone]),
+        )
+        self._engine.zone_turned(zone, is_ejected)
 
     def _probe(self, zone: int) -> None:
-        there = sorted((n, place.address) for n, (z, place) in self.places().items() if z == zone)
-        if not there:
+        """Probe the next server of a zone; nothing where it has none."""
+        servers = sorted(server for server in self._servers() if server.zone == zone)
+        if not servers:
             return
-        self.turn += 1
-        host, port = there[self.turn % len(there)][1]
-        factory = protocol.ClientFactory()
-        factory.protocol, factory.noisy = Probe, False
-        factory.heard = lambda: self.zones.ended(zone, Result.OK, self.clock())
+        self._probe_turn += 1
+        host, port = servers[self._probe_turn % len(servers)].address
+        factory = HealthProbeFactory(lambda: self._ejection.ended(zone, Result.OK, self._engine.now()))
         COUNTS["zones.probes"] += 1
-        self.zones.sent(zone, self.clock())
-        wait_s = self.peers.told.beat_s
-        connector = self.reactor.connectTCP(host, port, factory, timeout=wait_s)
-        self.reactor.callLater(2 * wait_s, connector.disconnect)
+        self._ejection.sent(zone, self._engine.now())
+        period_s = self._member.settings.beat_s
+        connector = self._reactor.connectTCP(host, port, factory, timeout=period_s)
+        self._reactor.callLater(PROBE_PERIODS * period_s, connector.disconnect)
--- a/mapleline/zones/ejection.py
+++ b/mapleline/zones/ejection.py
@@ -23,11 +23,25 @@
 class ZoneEjectionSettings(Protocol):
     """The settings of ejection (`settings.own.Zones`); durations in seconds."""
 
-    evidence_s: float  #: without an answer, until a zone is failed to a member
-    least_tries: int  #: attempts and probes without an answer that it takes
-    hold_s: float  #: for which a zone has to be up before it is readmitted
-    hold_most_s: float  #: to which the hold doubles with each flap
-    flap_s: float  #: a spell without a flap
+    @property
+    def evidence_s(self) -> float:
+        """Without an answer, until a zone is failed to a member."""
+
+    @property
+    def least_tries(self) -> int:
+        """Attempts and probes without an answer that it takes."""
+
+    @property
+    def hold_s(self) -> float:
+        """For which a zone has to be up before it is readmitted."""
+
+    @property
+    def hold_most_s(self) -> float:
+        """To which the hold doubles with each flap."""
+
+    @property
+    def flap_s(self) -> float:
+        """A spell without a flap."""
 
 
 @dataclass(slots=True)
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -15,6 +15,7 @@
 from mapleline.handoff.store import Store
 from mapleline.handoff.write_ahead_log import WriteAheadLog
 from mapleline.net import handoff as driver
+from mapleline.net.log_adoption import RequestNames
 from mapleline.policy import interface as i
 from mapleline.settings import own
 
@@ -187,11 +188,12 @@
     now = [1000.0]
     monkeypatch.setattr(driver.time, "time", lambda: now[0])
     told = own.Handoff(enabled=True, dir=str(tmp_path), lease_s=3, margin_s=0.5)
-    a, b = (driver.Handoff(None, told, Silent(), name, ["look", "book"], ["wide"]) for name in "ab")
+    names = RequestNames(["look", "book"], ["wide"])
+    a, b = (driver.Handoff(None, told, Silent(), name, names) for name in "ab")
     a.store.claim_log("c.1", a.log_name)  # it was taking over c's work as well
-    a._note({"op": "t", "log": "c.1"})
+    a.append_record({"op": "t", "log": "c.1"})
     assert a.store.claim_id(b"x", a.log_name)
-    a._note(
+    a.append_record(
         {
             "op": "a",
             "id": "x",
@@ -208,13 +210,13 @@
         }
     )
     now[0] += 3.2
-    assert a.good() and a.epoch == 2 and a.store.owner_of_id(b"x") == "a.2"
+    assert a.holds_lease() and a.epoch == 2 and a.store.owner_of_id(b"x") == "a.2"
     assert a.store.claimed_by("c.1") == "a.2"
-    b._renew(now[0])
+    b.renew_lease(now[0])
     now[0] += 3.6
-    b._renew(now[0])  # a is dead now
-    b._look(now[0])
-    b.tick()
+    b.renew_lease(now[0])  # a is dead now
+    b.take_over_expired(now[0])
+    b.update()
     assert b.engine.came == [(b"x", True)] and b.store.owner_of_id(b"x") == "b.1"
     assert "c.1" not in b.in_flight.takeovers and b.store.claimed_by("c.1") == "b.1"  # nothing was left of c's
 
