--- a/mapleline/balancer/discovery/platform_client.py
+++ b/mapleline/balancer/discovery/platform_client.py
@@ -64,7 +64,7 @@
 
     def request(self, data: bytes) -> None:
         """Send an encoded GET request."""
-        self._http.called(None)
+        self._http.add_request(None)
         self.send(data)
 
     def dataReceived(self, data: bytes) -> None:
--- a/mapleline/balancer/proxy/client_connection.py
+++ b/mapleline/balancer/proxy/client_connection.py
@@ -109,10 +109,10 @@
             if request_in_flight is not None:
                 request_in_flight.on_client_disconnected()
             return
-        if not self._http1.passing:
+        if not self._http1.is_streaming:
             self.upload = None
         upload.put(part, self.upload is None)
-        if self.upload is not None and not upload.room:
+        if self.upload is not None and not upload.has_room:
             self.hold()
 
     def _handle_next_requests(self) -> None:
@@ -124,13 +124,13 @@
                 self.reply(error.status, error.reason.encode())
                 return
             if request is None:
-                if self._http1.expects:
+                if self._http1.take_expectation():
                     self.send(CONTINUE)
                 return
             self._handle_request(request)
 
     def _handle_request(self, request: Request) -> None:
-        if request.more:
+        if request.is_streamed:
             self.upload = Upload(request.length, self.go_on, partial(self._on_body_discarded, request))
             self.hold()  # until a server takes what there is
         self._reserve_memory(BODY_COPIES * len(request.body))
@@ -154,7 +154,7 @@
         """Send the one response to the request in flight."""
         if not self.connected or not self._http1.busy:
             return
-        has_unwanted_bytes = self._http1.passing
+        has_unwanted_bytes = self._http1.is_streaming
         if has_unwanted_bytes:
             self._http1.closing = True
         header_lines += self._connection_header_lines()
@@ -171,7 +171,7 @@
             source: paused while the client takes no more.
         """
         self._source = source
-        self._has_unwanted_bytes = self._http1.passing
+        self._has_unwanted_bytes = self._http1.is_streaming
         if self.connected:
             header_lines += self._connection_header_lines()
             self.send(self._http1.begin(status, header_lines, length))
--- a/mapleline/balancer/proxy/upstream_connection.py
+++ b/mapleline/balancer/proxy/upstream_connection.py
@@ -90,7 +90,7 @@
         self.recent_ids = [*self.recent_ids[-1:], attempt.request_id]
         attempt.is_written = True  # before the first byte: the kernel may take a part and fail
         attempt.sent_at = self._clock.seconds()
-        self._http1.called(attempt)
+        self._http1.add_request(attempt)
         self.send(attempt.data)
         if attempt.upload is not None:
             attempt.upload.attach(self, partial(self._on_uploaded, attempt))
@@ -115,7 +115,7 @@
         attempt = self.attempt
         if responses and attempt is not None:
             response = responses[0][1]
-            if not (response.more and self._start_streaming(attempt, response)):
+            if not (response.is_streamed and self._start_streaming(attempt, response)):
                 self._finish(attempt, response, EndReason.RESPONSE)
         elif not self._http1.reusable:
             self._end_after_protocol_error()
@@ -138,9 +138,9 @@
 
     def _can_be_kept(self, attempt: Attempt) -> bool:
         """Return whether request and response have ended and nothing lies behind them."""
-        if not self._http1.reusable or self._http1.passing or not self.flushed:
+        if not self._http1.reusable or self._http1.is_streaming or not self.flushed:
             return False
-        return attempt.upload is None or attempt.upload.complete
+        return attempt.upload is None or attempt.upload.is_complete
 
     def _keep(self, response: Response) -> None:
         """Keep the connection for as long as the server's `Keep-Alive` says, `MAX_IDLE_S` at most."""
@@ -166,12 +166,12 @@
         return True
 
     def _stream_part(self, sink: ResponseSink, data: bytes) -> None:
-        part = self._http1.pass_on(data)
+        part = self._http1.receive_part(data)
         if part:
             sink.send_part(part)
-        if self._http1.passing or self._sink is None:
+        if self._http1.is_streaming or self._sink is None:
             return  # more is to come, or the client has gone meanwhile
-        self._finish_streaming(EndReason.PROTOCOL_ERROR if self._http1.cut else EndReason.RESPONSE)
+        self._finish_streaming(EndReason.PROTOCOL_ERROR if self._http1.is_truncated else EndReason.RESPONSE)
 
     def _finish_streaming(self, reason: EndReason) -> None:
         self._sink = None
@@ -195,7 +195,7 @@
         self._leave_idle_connections()
         is_closed_in_order = isinstance(reason.value, ConnectionDone)
         if self._sink is not None:
-            is_complete = self._http1.ended_passing(is_closed_in_order)
+            is_complete = self._http1.on_closed_while_streaming(is_closed_in_order)
             self._finish_streaming(EndReason.RESPONSE if is_complete else EndReason.CONNECTION_LOST)
             return
         attempt = self.attempt
--- a/mapleline/http1/message_reader.py
+++ b/mapleline/http1/message_reader.py
@@ -17,8 +17,8 @@
 
     Without `stream_threshold_bytes` each body is given complete and has `MAX_BUFFERED_BODY_BYTES` at most.
     With it a body may have `max_body_bytes`; one that is not complete with the threshold, or with
-    `MAX_BUFFERED_BODY_BYTES` while buffers are short, is streamed: the message is given with `more` set, and
-    the rest by `next_part` until `passing` is False.
+    `MAX_BUFFERED_BODY_BYTES` while buffers are short, is streamed: the message is given with `is_streamed` set, and
+    the rest by `next_part` until `is_streaming` is False.
     """
 
     __slots__ = (
@@ -27,7 +27,7 @@
         "_max_body_bytes",
         "_pool",
         "_stream_threshold_bytes",
-        "passing",
+        "is_streaming",
     )
 
     def __init__(
@@ -45,16 +45,16 @@
         self._is_eager = is_eager
         self._max_body_bytes = max_body_bytes if stream_threshold_bytes else MAX_BUFFERED_BODY_BYTES
         self._body: ContentLengthBody | UntilCloseBody | ChunkedBody | None = None  # its head has been parsed
-        self.passing = False  #: a message has been given whose body goes on
+        self.is_streaming = False  #: a message has been given whose body goes on
 
     @property
-    def waiting(self) -> int:
+    def waiting_bytes(self) -> int:
         """Bytes taken in that belong to no message given out; a body that has begun counts one more."""
         body_bytes = 0 if self._body is None else self._body.buffered_bytes + 1
         return self._queue.size + len(self._data) + body_bytes
 
     @property
-    def body_size(self) -> int:
+    def received_body_bytes(self) -> int:
         """Bytes so far of the body that is arriving."""
         return 0 if self._body is None else self._body.received_bytes
 
@@ -62,29 +62,29 @@
         """Drop what waits, none of which will be read; its buffers go back now."""
         self._queue.take()
         self._data = b""
-        self.passing = False
+        self.is_streaming = False
         if self._body is not None:
             self._body.take()
             self._body = None
 
     def next_part(self) -> bytes:
-        """Return what has arrived of the body that is streamed; `passing` is False once that was the last.
+        """Return what has arrived of the body that is streamed; `is_streaming` is False once that was the last.
 
         Raises:
             RemoteProtocolError: where the body cannot be read to its end.
         """
         body = self._body
-        assert body is not None  # the caller has seen `passing`
+        assert body is not None  # the caller has seen `is_streaming`
         self._consume(body.feed(self._join_data()))
         part = body.take()
         if body.is_complete:
             self._body = None
-            self.passing = False
+            self.is_streaming = False
         return part
 
-    def end(self) -> bool:
+    def ends_at_close(self) -> bool:
         """The connection has ended: return whether that ends the body that is streamed."""
-        return self.passing and type(self._body) is UntilCloseBody
+        return self.is_streaming and type(self._body) is UntilCloseBody
 
     def _collect_body(self, message: Request | Response) -> bool:
         """Give `message` its body; return False while it has to wait for more of it."""
@@ -97,9 +97,9 @@
             return True
         if not self._stream_threshold_bytes or not self._is_to_be_streamed(body):
             return False
-        self.passing = True
+        self.is_streaming = True
         message.body = body.take()
-        message.more = True
+        message.is_streamed = True
         return True
 
     def _is_to_be_streamed(self, body: ContentLengthBody | UntilCloseBody | ChunkedBody) -> bool:
--- a/mapleline/http1/messages.py
+++ b/mapleline/http1/messages.py
@@ -16,9 +16,9 @@
     headers: Headers  #: names in lower case
     body: bytes
     keep_alive: bool  #: the client keeps the connection for further requests
-    more: bool = False  #: `body` is what has arrived, the rest follows as it arrives
-    minor: bytes = b"1"  #: of the version, HTTP/1.x
-    length: int | None = 0  #: of the whole body where `more` is set, in bytes; None with the chunked coding
+    is_streamed: bool = False  #: `body` is what has arrived, the rest follows as it arrives
+    minor_version: bytes = b"1"  #: of the version, HTTP/1.x
+    length: int | None = 0  #: of the whole body where `is_streamed` is set, in bytes; None with the chunked coding
 
 
 @dataclass(slots=True)
@@ -29,5 +29,5 @@
     headers: Headers  #: names in lower case
     body: bytes
     keep_alive: bool  #: the server keeps the connection for further requests
-    more: bool = False  #: `body` is what has arrived, the rest follows as it arrives
+    is_streamed: bool = False  #: `body` is what has arrived, the rest follows as it arrives
     length: int | None = None  #: of the whole body, in bytes, where it is known beforehand
--- a/mapleline/http1/request_reader.py
+++ b/mapleline/http1/request_reader.py
@@ -33,7 +33,11 @@
         raise RemoteProtocolError(400, "malformed request line")
     method, target, minor_version = match.groups()
     headers = parse_headers(section)
-    length = _body_length(minor_version, headers, max_body_bytes)
+    if b"transfer-encoding" in headers:
+        _check_chunked(minor_version, headers)
+        length = None
+    else:
+        length = content_length(headers, max_body_bytes) or 0
     host = headers.get(b"host")
     if not HOST.fullmatch(host) if host is not None else minor_version == b"1":
         raise RemoteProtocolError(400, "no Host, two, or one that is none")  # RFC 9112, section 3.2
@@ -41,23 +45,19 @@
     return Request(method, target or b"/", headers, b"", keep_alive, False, minor_version, length)
 
 
-def _body_length(minor_version: bytes, headers: Headers, max_body_bytes: int) -> int | None:
-    """Return the length of the body, 0 without one, or None with the chunked coding (RFC 9112, section 6.3)."""
-    coding = headers.get(b"transfer-encoding")
-    if coding is None:
-        return content_length(headers, max_body_bytes) or 0
+def _check_chunked(minor_version: bytes, headers: Headers) -> None:
+    """Reject a Transfer-Encoding that is not the chunked coding alone, or cannot be trusted."""
     if b"content-length" in headers or minor_version == b"0":
         # Two readers of it may not agree where it ends (RFC 9112, section 6.1).
         raise RemoteProtocolError(400, "Transfer-Encoding with Content-Length, or in HTTP/1.0")
-    if coding.lower() != b"chunked":
+    if headers[b"transfer-encoding"].lower() != b"chunked":
         raise RemoteProtocolError(501, "unknown transfer coding")
-    return None
 
 
 class RequestReader(MessageReader):
     """Takes bytes as they arrive and gives requests."""
 
-    __slots__ = ("_request", "expects")
+    __slots__ = ("_request", "expects_continue")
 
     def __init__(
         self,
@@ -69,12 +69,12 @@
         """See `MessageReader` for what is streamed."""
         super().__init__(pool, stream_threshold_bytes, False, max_head_bytes, max_body_bytes)
         self._request: Request | None = None  # whose body is arriving
-        self.expects = False  #: the client waits for a 100 before it sends the body (RFC 9110, section 10.1.1)
+        self.expects_continue = False  #: the client waits for a 100 before it sends the body (RFC 9110, section 10.1.1)
 
     def clear(self) -> None:
         """Drop what waits, none of which will be read; its buffers go back now."""
         super().clear()
-        self.expects = False
+        self.expects_continue = False
 
     def next_request(self) -> Request | None:
         """Return the next request once it is complete or is to be streamed.
@@ -99,7 +99,7 @@
         assert pending is not None  # `_begin_body` has set it
         if not self._collect_body(pending):
             return None
-        self.expects = False
+        self.expects_continue = False
         self._request = None
         return pending
 
@@ -112,7 +112,7 @@
         self._request = request
         self._consume(body_start)
         expectation = request.headers.get(b"expect")
-        if expectation is not None and request.minor == b"1":  # RFC 9110, section 10.1.1
+        if expectation is not None and request.minor_version == b"1":  # RFC 9110, section 10.1.1
             if expectation.lower() != b"100-continue":
                 raise RemoteProtocolError(417, "unknown expectation")
-            self.expects = not self._data
+            self.expects_continue = not self._data
--- a/mapleline/http1/server.py
+++ b/mapleline/http1/server.py
@@ -57,7 +57,7 @@
 
     def receive(self, data: bytes) -> None:
         """Take in what has arrived."""
-        if not self.closing or self._reader.passing:
+        if not self.closing or self._reader.is_streaming:
             self._reader.feed(data)
 
     def clear(self) -> None:
@@ -68,29 +68,28 @@
     @property
     def partial(self) -> bool:
         """A request has begun to arrive and is not complete."""
-        return not self.busy and self._reader.waiting > 0
+        return not self.busy and self._reader.waiting_bytes > 0
 
     @property
-    def passing(self) -> bool:
+    def is_streaming(self) -> bool:
         """The body of the current request is still arriving."""
-        return self._reader.passing
+        return self._reader.is_streaming
 
     @property
     def body_size(self) -> int:
         """Bytes so far of a body that is arriving."""
-        return self._reader.body_size
+        return self._reader.received_body_bytes
 
-    @property
-    def expects(self) -> bool:
-        """The client waits for a 100 (RFC 9110, section 10.1.1); True once for each request."""
-        is_expected = self._reader.expects
-        self._reader.expects = False
+    def take_expectation(self) -> bool:
+        """Return whether the client waits for a 100 (RFC 9110, section 10.1.1): True once for each request."""
+        is_expected = self._reader.expects_continue
+        self._reader.expects_continue = False
         return is_expected
 
     @property
     def full(self) -> bool:
         """What waits will not fit into one message: reading pauses until there is a response."""
-        return self._reader.waiting > MAX_WAITING_BYTES
+        return self._reader.waiting_bytes > MAX_WAITING_BYTES
 
     def next_request(self) -> Request | None:
         """Return the next request once it has arrived and the one before it is answered.
@@ -109,14 +108,14 @@
             raise
         if request is not None:
             self.busy = True
-            self._is_http10 = request.minor == b"0"
+            self._is_http10 = request.minor_version == b"0"
             if not request.keep_alive:
                 self._end_after(request)
         return request
 
     def _end_after(self, request: Request) -> None:
         """Read nothing behind the last request (RFC 9112, section 9.6)."""
-        if request.more:
+        if request.is_streamed:
             self.closing = True
         else:
             self.clear()
@@ -137,7 +136,8 @@
         """Return the bytes of a complete response to the current request."""
         invariant(self.busy, "answer.without_request")
         self.busy = False
-        self._drop_unread_body()
+        if self._reader.is_streaming:
+            self.clear()  # nobody wants the rest of the body, and the next request could only follow it
         if self._is_http10 and not self.closing:
             lines += b"Connection: keep-alive\r\n"
         return write_response(status, body, lines, self.closing)
@@ -145,7 +145,8 @@
     def begin(self, status: int, lines: bytes, length: int | None) -> bytes:
         """Return the head of a response whose body is streamed; without a `length` it goes in chunks."""
         invariant(self.busy, "answer.without_request")
-        self._drop_unread_body()
+        if self._reader.is_streaming:
+            self.clear()
         self._framing = self._framing_for(length)
         if self._framing is ResponseFraming.UNTIL_CLOSE:
             self.closing = True
@@ -153,11 +154,6 @@
             lines += b"Connection: keep-alive\r\n"
         return write_head(status, lines, length, self._framing is ResponseFraming.CHUNKED, self.closing)
 
-    def _drop_unread_body(self) -> None:
-        """Nobody wants the rest of a request's body, and the next request could only follow it."""
-        if self._reader.passing:
-            self.clear()
-
     def _framing_for(self, length: int | None) -> ResponseFraming:
         if length is not None:
             return ResponseFraming.LENGTH
--- a/mapleline/http1/translator.py
+++ b/mapleline/http1/translator.py
@@ -81,7 +81,7 @@
             weight.spread,
             weight.first,
             headers.get(b"x-retried") == b"1",
-            request.more,
+            request.is_streamed,
         )
         lines = b"X-Request-ID: %b\r\n" % request_id
         if idempotency_key:
--- a/mapleline/http1/upload.py
+++ b/mapleline/http1/upload.py
@@ -28,7 +28,7 @@
 
     Attributes:
         length: of the whole body, in bytes; without one it is sent in chunks.
-        complete: the client has sent all of it.
+        is_complete: the client has sent all of it.
     """
 
     def __init__(self, length: int | None, on_wanted: Callable[[], None], on_spent: Callable[[], None]) -> None:
@@ -45,18 +45,18 @@
         self._kept: list[bytes] = []
         self._sink: Sink | None = None
         self._on_sent: Callable[[], None] = _ignore_end
-        self.complete = False
+        self.is_complete = False
 
     @property
-    def room(self) -> bool:
+    def has_room(self) -> bool:
         """More may be read from the client: one part is kept at most."""
         return self._sink.flushed if self._sink is not None else not self._kept
 
-    def put(self, part: bytes, last: bool) -> None:
-        """Take in what the client sent; `last` says that nothing follows."""
+    def put(self, part: bytes, is_last: bool) -> None:
+        """Take in what the client sent; `is_last` says that nothing follows."""
         data = self._framed(part)
-        if last:
-            self.complete = True
+        if is_last:
+            self.is_complete = True
             if self.length is None:
                 data += LAST_CHUNK
         if self._sink is None:
@@ -82,7 +82,7 @@
         """
         self._sink = sink
         self._on_sent = on_sent
-        if self._kept or self.complete:
+        if self._kept or self.is_complete:
             kept = b"".join(self._kept)
             self._kept = []
             self._send(sink, kept)
@@ -98,7 +98,7 @@
         """The sink has sent all it was given (called as well when it may not have)."""
         if self._sink is None or not self._sink.flushed:
             return
-        if self.complete:
+        if self.is_complete:
             on_sent = self._on_sent
             self._on_sent = _ignore_end
             on_sent()
--- a/mapleline/net/clients.py
+++ b/mapleline/net/clients.py
@@ -108,9 +108,9 @@
         except RemoteProtocolError as err:
             COUNTS["client.bad_request"] += 1
             return self._give_up(err.status, err.reason)
-        if machine.passing:
+        if machine.is_streaming:
             upload.put(part, False)
-            if not upload.room:
+            if not upload.has_room:
                 self.hold()
             return
         self.upload = None
@@ -137,7 +137,7 @@
             try:
                 request = self.machine.next_request()
                 if request is None:
-                    if self.machine.expects:
+                    if self.machine.take_expectation():
                         self.send(CONTINUE)
                     break
                 self.asked = True
@@ -147,7 +147,7 @@
                 COUNTS[f"client.bad_request.{err.status}"] += 1
                 self.answer(err.status, err.reason.encode() + b"\n", last=self.machine.closing)
         machine = self.machine
-        if not self.reading and not (machine.full or machine.closing or machine.passing) and self.flushed:
+        if not self.reading and not (machine.full or machine.closing or machine.is_streaming) and self.flushed:
             self._read_on()
 
     def _take(self, request: Request) -> None:
@@ -164,7 +164,7 @@
             raise RejectedRequestError(409, "the id of an open request")
         self.id = wish.id
         self.recent += 1
-        if request.more:
+        if request.is_streamed:
             self.upload = wish.upload = Upload(request.length, self._read_on, self._spent)
             self.hold()  # until an attempt takes what there is
         if len(request.body) > MAX_BUFFERED_BODY_BYTES:
@@ -181,7 +181,7 @@
             return
         if self.front.life.closes_after_answer:
             self.machine.closing = True
-        if self.machine.passing:
+        if self.machine.is_streaming:
             # What is still to come is no request; a client may read its answer only once it has sent that.
             self.machine.closing = last = True
             self.discards = MAX_BODY_BYTES
--- a/mapleline/net/counter.py
+++ b/mapleline/net/counter.py
@@ -45,14 +45,14 @@
         amount = format(call.amount, ".7g").encode()
         target = b"/v2/numbers/%016x?delta=%b&life_ms=%d" % (call.name, amount, life_ms)
         call.written = True
-        self.machine.called(call)
+        self.machine.add_request(call)
         self.send(write_request(b"POST", target, self.lane.driver.host_line))
 
     def dataReceived(self, data: bytes) -> None:
         readable = True
         for call, response in self.machine.receive(data):
             readable = self.lane.driver.answered(call, response) and readable
-        if self.machine.spoilt:
+        if self.machine.protocol_error:
             COUNTS["counter.malformed"] += 1
         if not self.machine.reusable or not readable:
             # Calls behind the answer may have been added, and no answer of theirs can be trusted.
@@ -63,20 +63,20 @@
 
     def close_when_done(self) -> None:
         """At once where nothing is out, and after a while all the same: the old counter may never answer."""
-        if not self.machine.calls:
+        if not self.machine.pending:
             self.transport.loseConnection()
         elif self.closing is None:
             self.closing = self.lane.driver.reactor.callLater(DEAD_S, self.transport.abortConnection)
 
     def connectionLost(self, reason: Failure) -> None:
         super().connectionLost(reason)
-        self.machine.ended(False)
+        self.machine.on_closed(False)
         self.lane.part(self)
         if self.closing is not None and self.closing.active():
             self.closing.cancel()
         # Each of them may have been added, but for the last one if the kernel never took all of it.
         unsent = 0 if self.flushed else 1
-        calls = list(self.machine.calls)
+        calls = list(self.machine.pending)
         for n, call in enumerate(calls):
             sure = n >= len(calls) - unsent
             self.lane.driver.engine.counted(call, Result.NO_CONNECTION if sure else Result.TIMEOUT)
@@ -188,7 +188,7 @@
         """Its time has run out: if its connection has long been silent, the next calls take a new one."""
         lane = self.lanes[call.name % self.connections]
         stream = lane.stream
-        calls = stream.machine.calls if stream is not None else ()
+        calls = stream.machine.pending if stream is not None else ()
         if calls and self.clock() - calls[0].made_ns > DEAD_S * 1e9:
             COUNTS["counter.given_up"] += 1
             lane.part(stream)
--- a/mapleline/net/discovery.py
+++ b/mapleline/net/discovery.py
@@ -95,22 +95,22 @@
 
     def call(self, target: bytes, host_line: bytes, method: bytes = b"GET") -> Deferred[Response]:
         done: Deferred[Response] = Deferred()
-        self.machine.called(done)
+        self.machine.add_request(done)
         self.send(write_request(method, target, host_line))
         return done
 
     def dataReceived(self, data: bytes) -> None:
         for done, response in self.machine.receive(data):
             done.callback(response)
-        if self.machine.spoilt:
+        if self.machine.protocol_error:
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure) -> None:
         super().connectionLost(reason)
-        for done, response in self.machine.ended(reason.check(ConnectionDone) is not None):
+        for done, response in self.machine.on_closed(reason.check(ConnectionDone) is not None):
             done.callback(response)
-        while self.machine.calls:
-            self.machine.calls.popleft().errback(reason)
+        while self.machine.pending:
+            self.machine.pending.popleft().errback(reason)
 
 
 def backoff(start: i.Start) -> Backoff:
--- a/mapleline/net/handoff_records.py
+++ b/mapleline/net/handoff_records.py
@@ -49,7 +49,7 @@
         at: when it was accepted, in Unix seconds.
     """
     request = translated.request
-    has_body = not request.more and len(request.body) <= MAX_BUFFERED_BODY_BYTES
+    has_body = not request.is_streamed and len(request.body) <= MAX_BUFFERED_BODY_BYTES
     return {
         "op": Op.ACCEPTED.value,
         "id": text_of(translated.id),
--- a/mapleline/net/upstream.py
+++ b/mapleline/net/upstream.py
@@ -56,7 +56,7 @@
     def start(self, attempt: Attempt, data: bytes) -> None:
         self.attempt = attempt
         attempt.carrier = self
-        self.machine.called(attempt)
+        self.machine.add_request(attempt)
         self.upload = attempt.wish.upload
         self.send(data)
         if self.upload is not None:
@@ -103,13 +103,13 @@
     def _pass_on(self, data: bytes) -> None:
         pool, sink = self.server.pool, self.sink
         self.heard = pool.reactor.seconds()
-        part = self.machine.pass_on(data)
+        part = self.machine.receive_part(data)
         if part:
             sink.part(part)
-        if self.machine.passing or self.sink is None:
+        if self.machine.is_streaming or self.sink is None:
             return  # more is to come, or nobody takes it any more
-        cut = self.machine.cut
-        if self.machine.spoilt:
+        cut = self.machine.is_truncated
+        if self.machine.protocol_error:
             COUNTS["upstream.malformed" if cut else "upstream.surplus"] += 1
         self._passed(not cut, Result.ERROR)
 
@@ -141,11 +141,11 @@
         if self.sink is not None:
             return self._pass_on(data)
         answers = self.machine.receive(data)
-        if self.machine.spoilt:
+        if self.machine.protocol_error:
             COUNTS["upstream.surplus" if answers or self.attempt is None else "upstream.malformed"] += 1
         if answers:
             response = answers[0][1]
-            return self._begin(response) if response.more else self._answered(response)
+            return self._begin(response) if response.is_streamed else self._answered(response)
         if not self.machine.reusable:
             # The attempt may have run, and nothing more will come of it: it ends now.
             attempt = self._end_attempt()
@@ -188,8 +188,8 @@
         super().connectionLost(reason)
         self.server.lost(self)
         if self.sink is not None:
-            return self._passed(self.machine.ended_passing(_clean(reason)), Result.RESET)
-        for _, response in self.machine.ended(_clean(reason)):
+            return self._passed(self.machine.on_closed_while_streaming(_clean(reason)), Result.RESET)
+        for _, response in self.machine.on_closed(_clean(reason)):
             return self._answered(response)
         written, attempt = self.written, self._end_attempt()
         if attempt is not None:
@@ -253,10 +253,10 @@
             return self._veto(attempt)
         wish, request = attempt.wish, attempt.wish.request
         left = attempt.open.deadline_ns - self.pool.clock()
-        if request.more:
+        if request.is_streamed:
             left = wish.arrival.ttl_ns
         lines = b"%b%bX-Timeout-Ms: %d\r\n" % (self.host_line, wish.lines, max(1, left // 1_000_000))
-        if not request.more:
+        if not request.is_streamed:
             data = write_request(request.method, request.target, lines, request.body)
         elif wish.upload.length is not None:
             lines += b"Content-Length: %d\r\n" % wish.upload.length
--- a/tests/balancer/proxy/test_client_connection.py
+++ b/tests/balancer/proxy/test_client_connection.py
@@ -127,7 +127,7 @@
         for _ in range(5):
             head = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000\r\n\r\n"
             self.client_conn().dataReceived(head + bytes(8 * BUFFER_SIZE))
-        self.assertEqual([r.more for _, r in self.handled], [True] * 3)  # the first two have what room there was
+        self.assertEqual([r.is_streamed for _, r in self.handled], [True] * 3)  # the first two have what room there was
         self.assertLessEqual(self.listener.buffer_pool.buffers_in_use, 20)
 
     def test_a_head_or_body_beyond_the_limits_is_rejected(self):
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -55,16 +55,16 @@
     for piece in pieces(b"".join(HEAD + framed(*one) for one in sent), sizes):
         machine.receive(piece)
         while True:
-            if machine.passing:
+            if machine.is_streaming:
                 found[-1] += machine.next_part()
-                if machine.passing:
+                if machine.is_streaming:
                     break
                 machine.answer(200)
             request = machine.next_request()
             if request is None:
                 break
             found.append(request.body)
-            if not request.more:
+            if not request.is_streamed:
                 machine.answer(200)
     assert found == [body for body, _ in sent] and pool.buffers_in_use == 0 and not machine.partial
 
@@ -77,24 +77,24 @@
     for data in (stream, stream[: min(broken_at, len(stream) - 1)]):
         pool, got, whole = BufferPool(), None, False
         machine = ClientConnection(pool, FEW)
-        machine.called("tag")
+        machine.add_request("tag")
         for piece in pieces(data, sizes):
-            if got is not None and machine.passing:
-                got += machine.pass_on(piece)
-                whole = not machine.passing and not machine.cut
+            if got is not None and machine.is_streaming:
+                got += machine.receive_part(piece)
+                whole = not machine.is_streaming and not machine.is_truncated
                 continue
             for _, response in machine.receive(piece):
-                got, whole = response.body, not response.more
-        if got is not None and machine.passing:
-            whole = machine.ended_passing(clean=form == "close")
+                got, whole = response.body, not response.is_streamed
+        if got is not None and machine.is_streaming:
+            whole = machine.on_closed_while_streaming(is_orderly=form == "close")
         elif got is None:
-            got, whole = (machine.ended(True) or [(0, None)])[0][1], form == "close"
+            got, whole = (machine.on_closed(True) or [(0, None)])[0][1], form == "close"
             got = got.body if got else b""
         if form == "close" and data is not stream:
             assert body.startswith(got)  # an orderly end is all there is to say that it is whole
         else:
             assert whole == (data is stream) and (got == body if whole else body.startswith(got))
-        machine.ended(False)
+        machine.on_closed(False)
         assert pool.buffers_in_use == 0
 
 
@@ -160,9 +160,9 @@
 
 def test_a_client_that_expects_a_100_is_told_once_and_only_if_it_waits():
     reader, found = read(HEAD + b"Content-Length: 2\r\nExpect: 100-Continue\r\n\r\n")
-    assert found is None and reader.expects
-    assert not read(HEAD + b"Content-Length: 2\r\nExpect: 100-continue\r\n\r\nx")[0].expects
-    assert not read(b"POST / HTTP/1.0\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n")[0].expects
+    assert found is None and reader.expects_continue
+    assert not read(HEAD + b"Content-Length: 2\r\nExpect: 100-continue\r\n\r\nx")[0].expects_continue
+    assert not read(b"POST / HTTP/1.0\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n")[0].expects_continue
 
 
 def test_bodies_go_on_early_while_buffers_are_short():
@@ -172,7 +172,7 @@
     assert reader.next_request() is None  # nobody is short of buffers
     for _ in range(20 - 150_000 // BUFFER_SIZE):
         pool.acquire()
-    assert pool.is_short and reader.next_request().more
+    assert pool.is_short and reader.next_request().is_streamed
 
 
 # --- the way of a request's body
@@ -191,14 +191,14 @@
     told = []
     upload = Upload(length, lambda: told.append("wanted"), lambda: told.append("spent"))
     upload.put(b"ab", False)
-    assert not upload.room and told == []  # nobody to take it: one part is held, and may still go anywhere
+    assert not upload.has_room and told == []  # nobody to take it: one part is held, and may still go anywhere
     first, second = Sink(), Sink()
     first.flushed = False
     upload.attach(first, lambda: told.append("out"))
-    assert told == ["spent"] and not upload.room
+    assert told == ["spent"] and not upload.has_room
     first.flushed = True
     upload.flushed()
-    assert told == ["spent", "wanted"] and upload.room
+    assert told == ["spent", "wanted"] and upload.has_room
     upload.detach(second)  # another's end changes nothing
     upload.put(b"cdef", True)
     assert told[-1] == "out" and told.count("out") == 1
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -58,7 +58,7 @@
     pool, found = BufferPool(), []
     connection = ClientConnection(pool)
     for tag in range(len(sent)):
-        connection.called(tag)
+        connection.add_request(tag)
     stream = b"".join(chunked(body) if chunks else write_response(200, body) for body, chunks in sent)
     for piece in pieces(stream, sizes):
         found += [(tag, response.body) for tag, response in connection.receive(piece)]
@@ -68,17 +68,17 @@
 
 def test_a_body_without_a_length_ends_with_the_connection():
     connection = ClientConnection(BufferPool())
-    connection.called("tag")
+    connection.add_request("tag")
     assert connection.receive(b"HTTP/1.1 200 OK\r\n\r\nha") == [] == connection.receive(b"lf")
-    ((tag, response),) = connection.ended(clean=True)
+    ((tag, response),) = connection.on_closed(is_orderly=True)
     assert (tag, response.body, connection.reusable) == ("tag", b"half", False)
 
 
 def test_what_a_reset_or_an_abort_of_ours_leaves_behind_is_no_answer():
     pool = BufferPool()
     connection = ClientConnection(pool)
-    connection.called("tag")
-    assert connection.receive(b"HTTP/1.1 200 OK\r\n\r\nhalf") == [] == connection.ended(clean=False)
+    connection.add_request("tag")
+    assert connection.receive(b"HTTP/1.1 200 OK\r\n\r\nhalf") == [] == connection.on_closed(is_orderly=False)
     assert pool.buffers_in_use == 0
 
 
@@ -89,8 +89,8 @@
 )
 def test_half_an_answer_is_none(data):
     connection = ClientConnection(BufferPool())
-    connection.called("tag")
-    assert connection.receive(data) == [] == connection.ended(clean=True)
+    connection.add_request("tag")
+    assert connection.receive(data) == [] == connection.on_closed(is_orderly=True)
 
 
 @pytest.mark.parametrize(
@@ -114,10 +114,13 @@
 def test_malformed_answers_end_the_use_of_the_connection_and_hold_no_buffer(data):
     pool = BufferPool()
     connection = ClientConnection(pool)
-    connection.called("tag")
+    connection.add_request("tag")
     found = [answer for at in range(0, len(data), 700) for answer in connection.receive(data[at : at + 700])]
-    assert found == [] and connection.spoilt and not connection.reusable and list(connection.calls) == ["tag"]
-    assert connection.receive(write_response(200)) == [] == connection.ended(clean=True) and pool.buffers_in_use == 0
+    assert found == [] and connection.protocol_error and not connection.reusable and list(connection.pending) == ["tag"]
+    assert (
+        connection.receive(write_response(200)) == [] == connection.on_closed(is_orderly=True)
+        and pool.buffers_in_use == 0
+    )
 
 
 @pytest.mark.parametrize("asked", [0, 1, 2])
@@ -127,16 +130,16 @@
     pool = BufferPool()
     connection = ClientConnection(pool)
     for tag in range(asked):
-        connection.called(tag)
+        connection.add_request(tag)
     found = connection.receive(b"".join(write_response(200, b"%d" % n) for n in range(asked)) + surplus)
     assert [(tag, response.body) for tag, response in found] == [(n, b"%d" % n) for n in range(asked)]
-    assert connection.spoilt and not connection.reusable and pool.buffers_in_use == 0
+    assert connection.protocol_error and not connection.reusable and pool.buffers_in_use == 0
 
 
 def test_nothing_is_read_behind_an_answer_that_closes():
     connection = ClientConnection(BufferPool())
     for tag in range(2):
-        connection.called(tag)
+        connection.add_request(tag)
     found = connection.receive(write_response(200, b"last", close=True) + write_response(200, b"more"))
     assert [(tag, response.body) for tag, response in found] == [(0, b"last")] and not connection.reusable
 
@@ -173,10 +176,10 @@
     for step in [*steps, len(raw)]:
         reader.feed(raw[at : at + step])
         at += step
-        while reader.waiting and (request := reader.next_request()) is not None:
+        while reader.waiting_bytes and (request := reader.next_request()) is not None:
             found.append((request.method, request.body))
     assert found == [(b"POST", b"".join(parts)), (b"GET", b"")]
-    assert pool.buffers_in_use == 0 and reader.waiting == 0
+    assert pool.buffers_in_use == 0 and reader.waiting_bytes == 0
 
 
 @pytest.mark.parametrize("tail", [b"1\r\nx\r\n" * 70_000, b"ffff\r\n" + b"x" * 0xFFFF + b"\r\n2\r\nxx\r\n"])
@@ -188,7 +191,7 @@
         for at in range(0, len(tail), 8192):
             reader.feed(tail[at : at + 8192])
             assert reader.next_request() is None
-            assert reader.waiting < 65536 + 8192 + 300
+            assert reader.waiting_bytes < 65536 + 8192 + 300
     assert raised.value.status == 413
     reader.clear()
     assert pool.buffers_in_use == 0
