--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -153,7 +153,7 @@
 
     Each works 150 ms a request, so that a restart always finds some in hand (40 a second: all but e^-6)."""
     found = checker.judge(logs, slack_s=0.1, strict=True)
-    broken = {v.where for v in found if v.rule == "answered"}
+    broken = {v.source for v in found if v.rule == "answered"}
     assert broken == {f"ingress-{n}" for n in range(1, 13)}, [str(v) for v in found[:20]]
     assert not [v for v in found if v.rule == "crash"]
 
@@ -274,7 +274,7 @@
     """Stalls across a lease's end, lost answers, half the fleet cut off, a flapping member and a death:
     the checker sums every part in use at every instant; once the faults are over the whole is used."""
     assert [str(v) for v in checker.judge(logs)] == []
-    epochs = checker.held_by_epoch(logs)["fleet"]
+    epochs = checker.shares_by_epoch(logs)["fleet"]
     assert len(epochs) >= 6 and max(epochs.values()) <= 100 + 1e-6
     assert min(used_after(logs, "kill-one", 2.0)) >= 90, epochs
 
@@ -283,7 +283,7 @@
     """What the fleet used of each epoch that began two leases after `fault` and ended before the load did."""
     begun = when(logs, fault)
     ended = next(e["at"] for e in logs["fleet"] if e["event"] == "load ended")
-    epochs = checker.held_by_epoch(logs)["fleet"]
+    epochs = checker.shares_by_epoch(logs)["fleet"]
     used = [part for e, part in epochs.items() if e * lease_s >= begun + 2 * lease_s and (e + 1) * lease_s <= ended]
     assert used, epochs
     return used
@@ -387,7 +387,11 @@
     spent = checker.spent_by_epoch(logs)
     assert {name.partition(":")[0] for name, _ in spent} == {"calls", "retries", "cold"}
     begun = when(logs, "zone-gone") - 4
-    used = {epoch * 1.5 - begun: total / whole for (name, epoch), (total, whole, _) in spent.items() if name == "calls"}
+    used = {
+        epoch * 1.5 - begun: spending.spent / spending.total
+        for (name, epoch), spending in spent.items()
+        if name == "calls"
+    }
     settled = [share for at, share in used.items() if 3 <= at <= 8.5 or 13 <= at <= 14.5]
     # 0.94 can be, 1 - (1 - floor) * 2 * margin / lease, less fractions of a unit.
     assert len(settled) >= 4 and statistics.median(settled) >= 0.87 and min(settled) >= 0.8, used
@@ -421,11 +425,11 @@
     """Four customers ask for three times their quota, sixteen for three quarters.  The checker holds the run
     to its bounds; no fault's four seconds with the four after it pass the worst that is allowed."""
     assert [str(v) for v in checker.judge(logs)] == []
-    healthy = checker.quotas(logs, when(logs, "emptied") - 4, when(logs, "emptied"))
-    assert healthy.overrun <= 0.04 and healthy.served > 600  # 0.02 and a little
+    healthy = checker.measure_quotas(logs, when(logs, "emptied") - 4, when(logs, "emptied"))
+    assert healthy.overrun_share <= 0.04 and healthy.served > 600  # 0.02 and a little
     for name in ("emptied", "silent", "slow", "replaced"):
-        got = checker.quotas(logs, when(logs, name), when(logs, name) + 8)
-        assert got.overrun <= 0.1 and got.refused <= 0.05, (name, got)
+        got = checker.measure_quotas(logs, when(logs, name), when(logs, name) + 8)
+        assert got.overrun_share <= 0.1 and got.refused_share <= 0.05, (name, got)
     counts = [next(e["counts"] for e in logs[f"ingress-{n}"] if e["event"] == "counters") for n in range(5)]
     assert all(c.get("counter.timeout", 0) > 0 and c.get("reload.done", 0) == 1 for c in counts)
 
@@ -457,5 +461,5 @@
     """Eight at once of a store of four: one refused with room (1/8), three of seven served beyond."""
     rules = [v.rule for v in checker.judge(BROKEN) if v.rule != "once"]  # nothing here has run
     assert sorted(rules) == ["fall", "quota", "quota", "room", "spent"]
-    got = checker.quotas(BROKEN)
-    assert (got.beyond, got.served, got.refused_with_room, got.tries) == (3, 7, 1, 8)
+    got = checker.measure_quotas(BROKEN)
+    assert (got.over_quota, got.served, got.refused_with_room, got.requests) == (3, 7, 1, 8)
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -397,7 +397,7 @@
 def test_a_torn_an_empty_and_a_foreign_record_are_taken_for_what_they_are(logs):
     """Three killed at once.  The torn one is read up to its tail; of the others' requests nobody can tell
     which ran, so that each has the outcome unknown, whatever its class, and none runs again."""
-    found = [v for v in checker.judge(logs, strict=True) if "may be repeated" not in v.what]
+    found = [v for v in checker.judge(logs, strict=True) if "may be repeated" not in v.description]
     assert [str(v) for v in found] == []
     asked, ends = outcomes(logs)
     assert all(ends[rid] == 1 for rid in asked)
@@ -417,12 +417,12 @@
     fleet = [{"at": 2, "event": "fault begun", **stall}, {"at": 5, "event": "fault ended", **stall}]
     over = {"at": 3, "event": "taking over", "log": "ingress-0.1", "by": "ingress-1.1", "ids": ["a", "b"]}
     found = checker.judge({"load": load, "fleet": fleet, "ingress-1": [over]})
-    assert [(v.rule, v.what.split()[1]) for v in found] == [("fenced", "b")]
+    assert [(v.rule, v.description.split()[1]) for v in found] == [("fenced", "b")]
 
 
 def test_a_fault_that_waits_for_what_does_not_come_breaks_a_rule():
     fleet = [{"at": 9, "event": "fault never begun", "fault": "kill", "process": "ingress-0"}]
-    assert [(v.rule, v.where) for v in checker.judge({"fleet": fleet})] == [("schedule", "ingress-0")]
+    assert [(v.rule, v.source) for v in checker.judge({"fleet": fleet})] == [("schedule", "ingress-0")]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -305,7 +305,7 @@
     most a quarter of what the receiving servers bear, over the fleet; the rest is refused at once."""
     assert [str(v) for v in checker.judge(logs)] == []
     assert all(turns(logs)[f"ingress-{n}"] for n in range(5))
-    spent = {name: units for (name, _), (units, _, _) in checker.spent_by_epoch(logs).items()}
+    spent = {name: epoch.spent for (name, _), epoch in checker.spent_by_epoch(logs).items()}
     assert {name for name in spent if name.startswith("spill")}
     start, end = when(logs, "cut") + 3, when(logs, "cut", "fault ended")
     ends = {e["id"]: e["status"] for e in logs["load"] if e["event"] == "answer"}
@@ -377,7 +377,7 @@
     begun = {"at": 0, "event": "load begun", "own": {"zones": ZONES, "budgets": BUDGETS}}
     left = {"at": 2.0, "event": "zone left", "zone": "b", "hold_s": 1.0}
     logs = {"fleet": [*started, begun], "ingress-1": [left]}
-    assert [v.what for v in checker.judge(logs)] == ["left zone b, which most ingresses reached"]
+    assert [v.description for v in checker.judge(logs)] == ["left zone b, which most ingresses reached"]
     cut = {"fault": "f", "mode": "cut", "link": "*>zone-b", "process": ""}
     vain = {"at": 5, "event": "sent in vain", "link": "ingress-2>zone-b"}
     logs = {
@@ -391,4 +391,4 @@
         ],
         **{f"ingress-{n}": [left] for n in range(3)},
     }
-    assert [v.what for v in checker.judge(logs)] == ["sent into zone b after the bound"]
+    assert [v.description for v in checker.judge(logs)] == ["sent into zone b after the bound"]
