--- a/mapleline/cli/commands.py
+++ b/mapleline/cli/commands.py
@@ -238,10 +238,10 @@
 
 
 def _schedule(file: Path) -> object:
-    from ..faults import schedule
+    from ..faults import schedule_file
 
     try:
-        told, faults = schedule.load(str(file))
+        told, faults = schedule_file.load(str(file))
     except OSError as err:
         raise click.UsageError(f"{file}: {err.strerror}") from None
     for fault in faults:
@@ -266,11 +266,11 @@
     """Start the fleet, play SCHEDULE under load, stop, and judge the logs.  Status 1 if a rule broke."""
     import shutil
 
-    from ..faults.fleet import Controller
+    from ..faults.fleet import Controller, FleetOptions
 
     told = _schedule(schedule)
     shutil.rmtree(logs, ignore_errors=True)
-    Controller(told, logs, bare=bare, counter_each=counter_each).run()
+    Controller(told, logs, FleetOptions(is_bare=bare, has_counter_each=counter_each)).run()
     return _verdict(logs, strict=bare)
 
 
@@ -285,7 +285,7 @@
 
     told = _schedule(file)
     shutil.rmtree(logs, ignore_errors=True)
-    controller = Controller(told, logs, load=False)
+    controller = Controller(told, logs)
     controller.start()
     for name, port in sorted(controller.ingress_ports.items()):
         click.echo(f"{name} 127.0.0.1:{port}")
@@ -305,7 +305,7 @@
 
 def _verdict(logs: Path, strict: bool) -> int:
     from ..faults.checker import judge
-    from ..faults.fleet import read_logs
+    from ..faults.logs import read_logs
 
     found = judge(read_logs(logs), strict=strict)
     for violation in found[:50]:
--- a/mapleline/faults/discovery.py
+++ b/mapleline/faults/discovery.py
@@ -1,75 +1,138 @@
-"""The rig's discovery: one agent an ingress, which answers the whole list, and watches with news."""
+"""The rig's discovery: an agent for each ingress, which answers with the whole list and with changes to it."""
 
 from __future__ import annotations
 
-from typing import Any
+from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING, TypedDict
 
 import orjson
-from twisted.internet import protocol
+from twisted.internet.protocol import Protocol, ServerFactory
 
-WATCH_S = 10.0  # a watch without news is answered after this
+from .addresses import LOOPBACK
+from .reactor import Reactor, StreamTransport
 
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IAddress
 
-class Agent(protocol.ServerFactory):
-    """The list of one ingress; `tell` changes entries of it and answers the watches that wait."""
+    from ..balancer.clock import DelayedCall
 
-    def __init__(self, targets: list[dict[str, Any]], reactor: Any) -> None:
-        self.rev, self.reactor = 1, reactor
-        self.targets = {target["uid"]: target for target in targets}
-        self.changed = dict.fromkeys(self.targets, 1)  # uid -> revision of its last change
-        self.waiting: list[tuple[Watch, int, Any]] = []
+LONG_POLL_S = 10.0  # a request for changes is answered after this without any
+HEAD_END = b"\r\n\r\n"
+REVISION_PARAMETER = b"after="
+FIRST_REVISION = 1
 
-    def known(self) -> dict[str, Any]:
-        return {"rev": self.rev, "all": True, "targets": list(self.targets.values())}
+
+@dataclass(frozen=True, slots=True)
+class Target:
+    """One server as the list has it; the field names are the platform's."""
+
+    uid: str
+    endpoint: str
+    az: str
+    model: str
+    pod_group: int
+    state: str = "in_service"
+    capacity_hint: float = 1.0
+    boot_ms: int = 0
+
+
+class TargetList(TypedDict):
+    """An answer: the whole list, or what has changed of it."""
+
+    rev: int
+    all: bool
+    targets: list[Target]
+
+
+@dataclass(frozen=True, slots=True)
+class PendingPoll:
+    """A request for changes that waits for one."""
+
+    connection: AgentConnection
+    revision: int
+    timer: DelayedCall
+
+
+class Agent(ServerFactory):
+    """The list of one ingress and the requests for its changes."""
+
+    def __init__(self, targets: list[Target], reactor: Reactor) -> None:
+        """Begin with these targets; `listen` opens it."""
+        self._reactor = reactor
+        self._revision = FIRST_REVISION
+        self._targets = {target.uid: target for target in targets}
+        self._changed_in = dict.fromkeys(self._targets, FIRST_REVISION)  # uid -> revision of its last change
+        self._pending_polls: list[PendingPoll] = []
 
     def listen(self) -> int:
-        return self.reactor.listenTCP(0, self, interface="127.0.0.1").getHost().port
+        """Accept connections; the port is any free one, and is returned."""
+        return self._reactor.listenTCP(0, self, interface=LOOPBACK).getHost().port
+
+    def buildProtocol(self, addr: IAddress | None) -> AgentConnection:
+        """Return the protocol of a new connection."""
+        return AgentConnection(self)
 
-    def buildProtocol(self, addr: Any) -> Watch:
-        return Watch(self)
+    def whole_list(self) -> TargetList:
+        """Every target."""
+        return {"rev": self._revision, "all": True, "targets": list(self._targets.values())}
 
-    def tell(self, uids: list[str], **changes: Any) -> None:
-        self.rev += 1
+    def set_boot_time(self, uids: list[str], boot_ms: int) -> None:
+        """Give targets a new boot time, in Unix milliseconds, and answer the requests that wait."""
+        self._revision += 1
         for uid in uids:
-            self.targets[uid] = {**self.targets[uid], **changes}
-            self.changed[uid] = self.rev
-        waiting, self.waiting = self.waiting, []
-        for watch, after, timer in waiting:
-            timer.cancel()
-            watch.answer(self.since(after))
-
-    def since(self, rev: int) -> dict[str, Any]:
-        new = [self.targets[uid] for uid, at in self.changed.items() if at > rev]
-        return {"rev": self.rev, "all": False, "targets": new}
-
-    def ask(self, watch: Watch, after: int | None) -> None:
-        if after is None:
-            watch.answer(self.known())
-        elif after < self.rev:
-            watch.answer(self.since(after))
+            self._targets[uid] = replace(self._targets[uid], boot_ms=boot_ms)
+            self._changed_in[uid] = self._revision
+        pending_polls, self._pending_polls = self._pending_polls, []
+        for poll in pending_polls:
+            poll.timer.cancel()
+            poll.connection.answer(self._changes_since(poll.revision))
+
+    def handle_request(self, connection: AgentConnection, revision: int | None) -> None:
+        """Answer with the whole list, or with the changes since a revision once there are any."""
+        if revision is None:
+            connection.answer(self.whole_list())
+        elif revision < self._revision:
+            connection.answer(self._changes_since(revision))
         else:
-            timer = self.reactor.callLater(WATCH_S, self._quiet, watch)
-            self.waiting.append((watch, after, timer))
+            timer = self._reactor.callLater(LONG_POLL_S, self._answer_unchanged, connection)
+            self._pending_polls.append(PendingPoll(connection, revision, timer))
 
-    def _quiet(self, watch: Watch) -> None:
-        self.waiting = [entry for entry in self.waiting if entry[0] is not watch]
-        watch.answer(self.since(self.rev))
+    def _answer_unchanged(self, connection: AgentConnection) -> None:
+        self._pending_polls = [poll for poll in self._pending_polls if poll.connection is not connection]
+        connection.answer(self._changes_since(self._revision))
 
+    def _changes_since(self, revision: int) -> TargetList:
+        changed = [self._targets[uid] for uid, changed_in in self._changed_in.items() if changed_in > revision]
+        return {"rev": self._revision, "all": False, "targets": changed}
 
-class Watch(protocol.Protocol):
+
+class AgentConnection(Protocol):
     """One connection of an ingress to its agent."""
 
+    transport: StreamTransport | None  # type: ignore[assignment]  # Twisted's type has no usable methods
+
     def __init__(self, agent: Agent) -> None:
-        self.agent, self.data = agent, b""
+        """`agent` answers its requests."""
+        self._agent = agent
+        self._received = b""
 
     def dataReceived(self, data: bytes) -> None:
-        self.data += data
-        while b"\r\n\r\n" in self.data:
-            head, _, self.data = self.data.partition(b"\r\n\r\n")
-            _, found, after = head.partition(b"after=")
-            self.agent.ask(self, int(after.split(b"&")[0].split(b" ")[0]) if found else None)
-
-    def answer(self, what: dict[str, Any]) -> None:
-        body = orjson.dumps(what)
+        """Read requests; they have no bodies."""
+        self._received += data
+        while HEAD_END in self._received:
+            head, _, self._received = self._received.partition(HEAD_END)
+            self._agent.handle_request(self, _parse_revision(head))
+
+    def answer(self, targets: TargetList) -> None:
+        """Send an answer, unless the connection has ended."""
+        body = orjson.dumps(targets)
         if self.transport is not None and self.transport.connected:
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+
+
+def _parse_revision(head: bytes) -> int | None:
+    """The revision that a request already has; None if it wants the whole list."""
+    _, parameter, rest = head.partition(REVISION_PARAMETER)
+    if not parameter:
+        return None
+    return int(rest.split(b"&")[0].split(b" ")[0])
--- /dev/null
+++ b/mapleline/faults/proxy/link.py
@@ -0,0 +1,120 @@
+"""One link `from>to` of the fleet: listens where `from` connects, and connects to `to` for each connection.
+
+Its fault acts on both directions of every connection, open or new.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from twisted.internet.protocol import ServerFactory
+
+from ..addresses import LOOPBACK
+from ..modes import LinkMode
+from ..reactor import ListeningPort, Reactor
+from .fault import CUT_MODES, LinkFault
+from .relay import ClientSide, RelayedConnection
+
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IAddress
+
+
+class Link(ServerFactory):
+    """A listening socket, its target and the connections between them.
+
+    Attributes:
+        name: `from>to`, as schedules name it.
+        target_port: The port on loopback that it connects to; it may change while the link runs.
+        reactor: The event loop.
+        fault: What the link suffers from now, if anything.
+        connections: The open connections.
+        on_unanswered_request: Called for each request that is sent while no answer can come.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        target_port: int,
+        reactor: Reactor,
+        on_unanswered_request: Callable[[], None] | None = None,
+    ) -> None:
+        """Begin without a fault; `listen` opens it."""
+        self.name = name
+        self.target_port = target_port
+        self.reactor = reactor
+        self.on_unanswered_request = on_unanswered_request
+        self.fault: LinkFault | None = None
+        self.connections: set[RelayedConnection] = set()
+        self._random = random.Random(0)
+        self._port: ListeningPort | None = None
+
+    def listen(self) -> int:
+        """Accept connections; the port is any free one, and is returned."""
+        self._port = self.reactor.listenTCP(0, self, interface=LOOPBACK)
+        return self._port.getHost().port
+
+    def buildProtocol(self, addr: IAddress | None) -> ClientSide:
+        """Return the protocol of a new connection."""
+        return ClientSide(self)
+
+    def begin_fault(self, fault: LinkFault) -> None:
+        """Suffer from a fault from now on, in place of any other."""
+        self.fault = fault
+        self._random = random.Random(fault.seed)
+        connections = list(self.connections)
+        if fault.mode == LinkMode.RESET:
+            for connection in connections:
+                connection.abort()
+            return
+        if fault.mode == LinkMode.BLACKHOLE:
+            for connection in connections:
+                connection.drop_chunks()
+        for connection in connections:
+            connection.flush()
+
+    def end_fault(self) -> None:
+        """Relay everything again; connections that the fault has spoilt are reset."""
+        fault, self.fault = self.fault, None
+        connections = list(self.connections)
+        if fault is not None and fault.mode == LinkMode.BLACKHOLE:
+            for connection in connections:
+                connection.abort()
+            return
+        if fault is not None and fault.mode in CUT_MODES:
+            for connection in connections:
+                if not connection.is_dialled:
+                    connection.abort()  # made while the link was cut
+        for connection in connections:
+            connection.flush()
+
+    def blocks(self, is_upward: bool) -> bool:
+        """Whether bytes of that direction wait; upward is from the client to the server."""
+        return self.fault is not None and self.fault.blocks(is_upward)
+
+    def is_unreachable(self) -> bool:
+        """Whether no new connection comes up."""
+        return self.fault is not None and self.fault.is_unreachable
+
+    def due_time(self, size_bytes: int, previous_due: float) -> float:
+        """When a chunk may be sent on that arrives now, by the reactor's clock.
+
+        It is no sooner than the chunk before it, so that the bytes keep their order.
+
+        Args:
+            size_bytes: Of the chunk.
+            previous_due: When the chunk before it may be sent on.
+        """
+        now = self.reactor.seconds()
+        delay_s = self.fault.delay_s(size_bytes, self._random) if self.fault is not None else 0.0
+        if self.fault is not None and self.fault.mode == LinkMode.SLOW:
+            return max(previous_due, now) + delay_s
+        return max(previous_due, now + delay_s)
+
+    def close(self) -> None:
+        """Reset every connection and listen no more."""
+        for connection in list(self.connections):
+            connection.abort()
+        if self._port is not None:
+            self._port.stopListening()
--- a/mapleline/faults/servers.py
+++ b/mapleline/faults/servers.py
@@ -1,10 +1,8 @@
-"""A zone's agenda servers as one process: cold starts, a fall when overrun, and a record of every run.
+"""A zone's agenda servers as one process: slow start, a fall when overloaded, and a record of every run.
 
 Each line of the record (`zone-Z.jsonl`) is what a server knows: `run` (id, class, how many are in work),
-`turned away`, `fell over`, `back`.  A server bears `bears_per_s` requests once warm (0: any number); cold it
-bears `cold_from` of that, rising to all of it within `warm_s`.  More than `fall_multiple` times what it bears
-over `fall_s` and it falls: connections are reset, new ones too, for `down_s`; then it is cold again.  Up to
-`slots` requests are in work at once; beyond that it turns away.
+`repeat`, `turned away`, `fell over`, `back`.  A server that arrivals overload falls over: its connections are
+reset, new ones too, while it is down; then it starts cold.
 """
 
 from __future__ import annotations
@@ -13,99 +11,185 @@
 import sys
 import time
 from collections import deque
-from typing import Any, BinaryIO
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import BinaryIO
 
 import orjson
 
 from ..lab.standins import OK, Http
+from .addresses import LOOPBACK
+from .zone_settings import ZoneSettings
 
-AWAY = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 ALIVE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+HEALTH_CHECK = b"GET /health/live "
+REQUEST_ID_HEADER = b"x-request-id: "
+IDEMPOTENCY_KEY_HEADER = b"\r\nidempotency-key: "
+
+
+@dataclass(frozen=True, slots=True)
+class RequestHead:
+    """What a server reads of a request's head."""
+
+    request_id: str
+    request_class: str
+    is_keyed: bool
+
+    @classmethod
+    def parse(cls, head: bytes) -> RequestHead:
+        """Read the request line and the headers; the path begins with the class."""
+        request_line, _, headers = head.partition(b"\r\n")
+        lowercase = headers.lower()
+        start = lowercase.find(REQUEST_ID_HEADER) + len(REQUEST_ID_HEADER)
+        end = headers.find(b"\r\n", start)
+        request_id = headers[start:end] if end > 0 else headers[start:]
+        request_class = request_line.split(b"/")[1]
+        return cls(request_id.decode(), request_class.decode(), IDEMPOTENCY_KEY_HEADER in lowercase)
+
+
+class AgendaServer:
+    """One agenda server; its connections hand each request to `answer`."""
+
+    def __init__(self, uid: str, settings: ZoneSettings, record: BinaryIO, processed_keys: set[str]) -> None:
+        """Begin without requests.
+
+        Args:
+            uid: Its name in the endpoint list and in the record.
+            settings: The zone's.
+            record: Where its lines go.
+            processed_keys: Ids of the keyed requests that have run, which all servers of the process share.
+        """
+        self._uid = uid
+        self._settings = settings
+        self._record = record
+        self._processed_keys = processed_keys
+        self._started_at = time.time() if settings.is_cold else 0.0
+        self._down_until = 0.0
+        self._arrivals: deque[float] = deque()
+        self._connections: set[Http] = set()
+        self._in_work = 0
 
+    def answer(self, head: bytes, connection: Http) -> bytes | None:
+        """Handle a request.
 
-class Server:
-    """One agenda server; `answer` is asked by its connections."""
-
-    def __init__(self, uid: str, told: dict[str, Any], record: BinaryIO) -> None:
-        self.uid, self.told, self.record = uid, told, record
-        self.started = time.time() if told["cold"] else 0.0
-        self.arrivals: deque[float] = deque()
-        self.in_work, self.down_until = 0, 0.0
-        self.open: set[Any] = set()
-        self.known: set[str] = set()  #: ids of keyed requests; all servers of the process share it
-
-    def note(self, event: str, **fields: Any) -> None:
-        line = {"at": time.time(), "event": event, "server": self.uid, **fields}
-        self.record.write(orjson.dumps(line) + b"\n")
-
-    def bears(self, now: float) -> float:
-        warmth = min(1.0, (now - self.started) / self.told["warm_s"])
-        return self.told["bears_per_s"] * (self.told["cold_from"] + (1 - self.told["cold_from"]) * warmth)
+        Args:
+            head: The request line and headers.
+            connection: Where it came from; its answer goes there when its work is done.
 
-    def answer(self, head: bytes, connection: Http) -> bytes | None:
+        Returns:
+            The answer, if there is one at once.
+        """
         now = time.time()
-        self.open.add(connection)
-        if now < self.down_until:
+        self._connections.add(connection)
+        if now < self._down_until:
             connection.transport.abort()
             return None
-        if head.startswith(b"GET /health/live "):
+        if head.startswith(HEALTH_CHECK):
             return ALIVE
-        if self.down_until:
-            self.down_until, self.started = 0.0, now
-            self.note("back")
-        line, _, rest = head.partition(b"\r\n")
-        at = rest.lower().find(b"x-request-id: ") + 14
-        rid = rest[at : rest.find(b"\r\n", at) if rest.find(b"\r\n", at) > 0 else None].decode()
-        if b"\r\nidempotency-key: " in rest.lower():  # the servers know a key again: a repeat runs nothing
-            if rid in self.known:
-                self.note("repeat", id=rid)
-                return OK % (len(rid), rid.encode())
-            self.known.add(rid)
-        if self.told["bears_per_s"] > 0:
-            self.arrivals.append(now)
-            while self.arrivals[0] < now - self.told["fall_s"]:
-                self.arrivals.popleft()
-            most = self.told["fall_multiple"] * self.bears(now) * self.told["fall_s"]
-            if len(self.arrivals) > most:
-                self.note("fell over", arrivals=len(self.arrivals), most=most)
-                self.down_until = now + self.told["down_s"]
-                self.arrivals.clear()
-                for one in self.open:
-                    one.transport.abort()
-                self.open.clear()
-                self.in_work = 0
-                return None
-        if self.in_work >= self.told["slots"]:
-            self.note("turned away", id=rid)
-            return AWAY
-        self.in_work += 1
-        self.note("run", id=rid, cls=line.split(b"/")[1].decode(), in_work=self.in_work)
-        asyncio.get_running_loop().call_later(self.told["work_s"], self._done, connection, rid, now)
+        if self._down_until:
+            self._return(now)
+        request = RequestHead.parse(head)
+        if request.is_keyed:
+            if request.request_id in self._processed_keys:
+                self._write_record("repeat", id=request.request_id)
+                return _served(request)
+            self._processed_keys.add(request.request_id)
+        if self._is_overloaded(now):
+            self._fall_over(now)
+            return None
+        if self._in_work >= self._settings.slots:
+            self._write_record("turned away", id=request.request_id)
+            return REFUSED
+        self._run(request, connection, now)
         return None
 
-    def _done(self, connection: Http, rid: str, began: float) -> None:
-        if began < self.started or self.down_until:
-            return  # it fell meanwhile: what was in work is gone
-        self.in_work -= 1
-        body = rid.encode()
-        connection._write(OK % (len(body), body))
+    def _run(self, request: RequestHead, connection: Http, now: float) -> None:
+        """Begin to work on a request."""
+        self._in_work += 1
+        self._write_record("run", id=request.request_id, cls=request.request_class, in_work=self._in_work)
+        loop = asyncio.get_running_loop()
+        loop.call_later(self._settings.work_s, self._finish, connection, request, now)
+
+    def _finish(self, connection: Http, request: RequestHead, began_at: float) -> None:
+        """Answer a request, unless the server has fallen over meanwhile: what was in work is lost."""
+        if began_at < self._started_at or self._down_until:
+            return
+        self._in_work -= 1
+        if not connection.transport.is_closing():
+            connection.transport.write(_served(request))
+
+    def _is_overloaded(self, now: float) -> bool:
+        """Count an arrival, and whether there are too many in the window."""
+        settings = self._settings
+        if settings.capacity_per_s <= 0:
+            return False
+        self._arrivals.append(now)
+        while self._arrivals[0] < now - settings.overload_window_s:
+            self._arrivals.popleft()
+        return len(self._arrivals) > self._most_arrivals(now)
+
+    def _most_arrivals(self, now: float) -> float:
+        """Arrivals in the window that the server survives."""
+        return self._settings.overload_factor * self._capacity_per_s(now) * self._settings.overload_window_s
+
+    def _capacity_per_s(self, now: float) -> float:
+        """Requests a second that it bears, which rises while it warms up."""
+        settings = self._settings
+        warmth = min(1.0, (now - self._started_at) / settings.warm_up_s)
+        return settings.capacity_per_s * (settings.cold_share + (1 - settings.cold_share) * warmth)
+
+    def _fall_over(self, now: float) -> None:
+        """Reset every connection and lose what was in work."""
+        self._write_record("fell over", arrivals=len(self._arrivals), most=self._most_arrivals(now))
+        self._down_until = now + self._settings.down_s
+        self._arrivals.clear()
+        for connection in self._connections:
+            connection.transport.abort()
+        self._connections.clear()
+        self._in_work = 0
 
+    def _return(self, now: float) -> None:
+        """Start again, cold."""
+        self._down_until = 0.0
+        self._started_at = now
+        self._write_record("back")
 
-async def serve(told: dict[str, Any]) -> None:
-    record = open(told["record"], "ab", buffering=0)
-    servers = [Server(f"s-{told['zone']}{n}", told, record) for n in range(told["many"])]
-    for server in servers:
-        server.known = servers[0].known
+    def _write_record(self, event: str, **fields: str | float) -> None:
+        line = {"at": time.time(), "event": event, "server": self._uid, **fields}
+        self._record.write(orjson.dumps(line) + b"\n")
+
+
+def _served(request: RequestHead) -> bytes:
+    """The answer to a request that has run: its id."""
+    body = request.request_id.encode()
+    return OK % (len(body), body)
+
+
+async def serve(settings: ZoneSettings, record: BinaryIO) -> None:
+    """Run the servers until standard input closes; their ports are printed as one JSON line."""
     loop = asyncio.get_running_loop()
-    ports = [await loop.create_server(lambda one=one: Http(one), "127.0.0.1", 0) for one in servers]
-    print(orjson.dumps([p.sockets[0].getsockname()[1] for p in ports]).decode(), flush=True)
+    processed_keys: set[str] = set()
+    ports = []
+    for number in range(settings.servers):
+        server = AgendaServer(f"s-{settings.zone}{number}", settings, record, processed_keys)
+        listener = await loop.create_server(_connection_factory(server), LOOPBACK, 0)
+        ports.append(listener.sockets[0].getsockname()[1])
+    print(orjson.dumps(ports).decode(), flush=True)
     await loop.run_in_executor(None, sys.stdin.read)
 
 
+def _connection_factory(server: AgendaServer) -> Callable[[], Http]:
+    return lambda: Http(server)
+
+
 def main() -> None:
+    """Run the servers that the command line's argument describes."""
     import uvloop
 
-    uvloop.run(serve(orjson.loads(sys.argv[1])))
+    settings = ZoneSettings.from_json(sys.argv[1])
+    with open(settings.record, "ab", buffering=0) as record:
+        uvloop.run(serve(settings, record))
 
 
 if __name__ == "__main__":
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -3,13 +3,13 @@
 import subprocess
 import sys
 
-from mapleline.faults import schedule
-from mapleline.faults.fleet import read_logs
+from mapleline.faults import schedule_file
+from mapleline.faults.logs import read_logs
 
 
 def play(text, at, *flags):
     """`mapleline fleet run` as a process of its own (a reactor runs once a process); the logs it left."""
-    assert not schedule.read(text)[1], schedule.read(text)[1]
+    assert not schedule_file.read(text)[1], schedule_file.read(text)[1]
     (at / "schedule.hcl").write_text(text)
     line = [
         sys.executable,
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -7,7 +7,7 @@
 import pytest
 from rig import block, fault, fleet, when
 
-from mapleline.faults import checker, schedule
+from mapleline.faults import checker, schedule_file
 
 FLEET = 'fleet {\n  ingresses = 3\n  zones = ["a", "b"]\n}\n'
 
@@ -38,16 +38,16 @@
     ],
 )
 def test_a_schedule_that_is_wrong_names_the_key(text, key):
-    _, faults = schedule.read(text)
+    _, faults = schedule_file.read(text)
     assert [f.key for f in faults] == [key]
 
 
 def test_a_schedule_is_the_same_on_every_reading():
     text = step(at=2, link="ingress-1>zone-b", mode="delay", jitter_ms=40)
     text += 'fault "g" {\n  at = 1\n  for = 2\n  process = "ingress-2"\n  mode = "stall"\n}\n'
-    first, faults = schedule.read(text)
-    assert not faults and first == schedule.read(text)[0]
-    assert [(s.name, s.at, s.ends) for s in first.steps] == [("g", 1.0, 3.0), ("f", 2.0, None)]
+    first, faults = schedule_file.read(text)
+    assert not faults and first == schedule_file.read(text)[0]
+    assert [(s.name, s.at, s.ends_at) for s in first.faults] == [("g", 1.0, 3.0), ("f", 2.0, None)]
 
 
 def held(at, part, whole=10.0, epoch=1, until=None):
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from rig import block, fault, fleet, when
 
-from mapleline.faults import checker, schedule
+from mapleline.faults import checker, schedule_file
 from mapleline.handoff import InFlightTable, TakeoverAction, encode_record, log_header, read_log
 from mapleline.handoff.store import Store
 from mapleline.handoff.write_ahead_log import WriteAheadLog
@@ -434,7 +434,7 @@
     ],
 )
 def test_a_fault_waits_for_one_thing_of_an_ingress(values):
-    assert [f.key for f in schedule.read(fleet() + fault("f", 1, **values))[1]] == ["fault.f"]
+    assert [f.key for f in schedule_file.read(fleet() + fault("f", 1, **values))[1]] == ["fault.f"]
 
 
 def test_the_checker_finds_a_second_run_a_false_success_and_a_double_charge():
