--- a/mapleline/balancer/proxy/client_connection.py
+++ b/mapleline/balancer/proxy/client_connection.py
@@ -113,7 +113,7 @@
             self.upload = None
         upload.put(part, self.upload is None)
         if self.upload is not None and not upload.has_room:
-            self.hold()
+            self.pause_reading()
 
     def _handle_next_requests(self) -> None:
         """Hand over the requests that have come, as long as each is answered at once."""
@@ -131,8 +131,8 @@
 
     def _handle_request(self, request: Request) -> None:
         if request.is_streamed:
-            self.upload = Upload(request.length, self.go_on, partial(self._on_body_discarded, request))
-            self.hold()  # until a server takes what there is
+            self.upload = Upload(request.length, self.resume_reading, partial(self._on_body_discarded, request))
+            self.pause_reading()  # until a server takes what there is
         self._reserve_memory(BODY_COPIES * len(request.body))
         self._request_in_flight = self._listener.handle_request(self, request)
 
@@ -180,7 +180,7 @@
         """Send the next part of a streamed response."""
         if data:
             self.send(self._http1.part(data))
-        if not self.flushed and self._source is not None:
+        if not self.is_flushed and self._source is not None:
             self._source.pause()
 
     def end_reply(self, is_complete: bool) -> None:
@@ -232,7 +232,7 @@
     def _close(self, has_unwanted_bytes: bool) -> None:
         if has_unwanted_bytes:  # a close with bytes unread resets, and the client may never read the response
             self.transport.loseWriteConnection()
-            self.go_on()
+            self.resume_reading()
         else:
             self.transport.loseConnection()
 
--- a/mapleline/balancer/proxy/upstream_connection.py
+++ b/mapleline/balancer/proxy/upstream_connection.py
@@ -138,7 +138,7 @@
 
     def _can_be_kept(self, attempt: Attempt) -> bool:
         """Return whether request and response have ended and nothing lies behind them."""
-        if not self._http1.reusable or self._http1.is_streaming or not self.flushed:
+        if not self._http1.reusable or self._http1.is_streaming or not self.is_flushed:
             return False
         return attempt.upload is None or attempt.upload.is_complete
 
@@ -181,11 +181,11 @@
 
     def pause(self) -> None:
         """Read nothing more: what takes the response has enough for now."""
-        self.hold()
+        self.pause_reading()
 
     def resume(self) -> None:
         """Read on."""
-        self.go_on()
+        self.resume_reading()
 
     # -- the end -------------------------------------------------------------------------------------------
 
--- a/mapleline/balancer/proxy/upstream_pool.py
+++ b/mapleline/balancer/proxy/upstream_pool.py
@@ -52,7 +52,7 @@
             if not _may_carry(connection, attempt, now):
                 return None
             target.links.pop()
-            if connection.is_reusable and now < connection.keep_until and not connection.unread:
+            if connection.is_reusable and now < connection.keep_until and not connection.has_unread:
                 return connection
             connection.abort()
         return None
--- a/mapleline/balancer/transport/connections.py
+++ b/mapleline/balancer/transport/connections.py
@@ -154,7 +154,7 @@
 class CallerConnection(MessageConnection):
     """The calling side: waits for the reply and fires the call's Deferred with it."""
 
-    up: Deferred[CallerConnection] | None = None  #: fires once connected; set by `dial`
+    connect_result: Deferred[CallerConnection] | None = None  #: fires once connected; set by `dial`
 
     def __init__(self, fence: Fence, call: OutstandingCall, done: Deferred[messages.Reply]) -> None:
         """`done` fires with the reply to this call, or with why there is none."""
@@ -165,8 +165,8 @@
     def connectionMade(self) -> None:
         """Tell who dialed."""
         super().connectionMade()
-        if self.up is not None:
-            self.up.callback(self)
+        if self.connect_result is not None:
+            self.connect_result.callback(self)
 
     def stringReceived(self, data: bytes) -> None:
         """Handle what is to be the reply, and close the connection."""
--- a/mapleline/cores/supervisor.py
+++ b/mapleline/cores/supervisor.py
@@ -13,7 +13,7 @@
 from twisted.internet import error
 
 from ..ingress import BACKLOG, STAY_S, wait_for_reload, watch_twisted
-from ..net.alarm import clock_start
+from ..net.alarm import clock_start_ns
 from ..net.discovery import Directory
 from ..settings import platform
 from ..settings.platform import Config, ConfigError
@@ -108,7 +108,7 @@
         self._memory_fd = os.memfd_create("mapleline", os.MFD_CLOEXEC)  # goes with its last process
         os.ftruncate(self._memory_fd, total_bytes(workers, own.cores.accounts))
         self._memory = memoryview(mmap.mmap(self._memory_fd, 0))
-        self._clock_start_ns = clock_start()
+        self._clock_start_ns = clock_start_ns()
         self._workers: dict[int, WorkerProcess] = {}
         self._restarts = _restart_policy(own.cores)
         self._server_list = ServerListPublisher(reactor, config, DrainFlags(self._memory), self._workers)
--- a/mapleline/http1/upload.py
+++ b/mapleline/http1/upload.py
@@ -12,7 +12,7 @@
     """Takes a body to a server."""
 
     @property
-    def flushed(self) -> bool:
+    def is_flushed(self) -> bool:
         """Everything given to it has been sent."""
 
     def send(self, data: bytes) -> None:
@@ -50,7 +50,7 @@
     @property
     def has_room(self) -> bool:
         """More may be read from the client: one part is kept at most."""
-        return self._sink.flushed if self._sink is not None else not self._kept
+        return self._sink.is_flushed if self._sink is not None else not self._kept
 
     def put(self, part: bytes, is_last: bool) -> None:
         """Take in what the client sent; `is_last` says that nothing follows."""
@@ -96,7 +96,7 @@
 
     def flushed(self) -> None:
         """The sink has sent all it was given (called as well when it may not have)."""
-        if self._sink is None or not self._sink.flushed:
+        if self._sink is None or not self._sink.is_flushed:
             return
         if self.is_complete:
             on_sent = self._on_sent
--- a/mapleline/net/clients.py
+++ b/mapleline/net/clients.py
@@ -81,23 +81,23 @@
             # 60 MB more to send is not waited for.
             self.discarded += len(data)
             if self.discarded > self.discards:
-                self.hold()
+                self.pause_reading()
             return
         if self.asked and not machine.partial:
             self.front.touch(self)  # who has not asked yet has its time from connecting
         machine.receive(data)
-        if machine.busy or not self.flushed:
+        if machine.busy or not self.is_flushed:
             if machine.full:
                 # A client that writes on and on, behind a request in hand or an answer that it does not take,
                 # must not fill memory.
-                self.hold()
+                self.pause_reading()
             return
         self._next()
 
     def _read_on(self) -> None:
-        if not self.reading:
+        if not self.is_reading:
             self.heard = self.front.reactor.seconds()
-            self.go_on()
+            self.resume_reading()
 
     def _more(self, data: bytes) -> None:
         """More of a body that goes on as it comes."""
@@ -111,7 +111,7 @@
         if machine.is_streaming:
             upload.put(part, False)
             if not upload.has_room:
-                self.hold()
+                self.pause_reading()
             return
         self.upload = None
         upload.put(part, True)
@@ -133,7 +133,7 @@
 
     def _next(self) -> None:
         # Never before the last answer is out: a slow reader holds one answer and no more.
-        while self.flushed and not self.machine.busy:
+        while self.is_flushed and not self.machine.busy:
             try:
                 request = self.machine.next_request()
                 if request is None:
@@ -147,7 +147,7 @@
                 COUNTS[f"client.bad_request.{err.status}"] += 1
                 self.answer(err.status, err.reason.encode() + b"\n", last=self.machine.closing)
         machine = self.machine
-        if not self.reading and not (machine.full or machine.closing or machine.is_streaming) and self.flushed:
+        if not self.is_reading and not (machine.full or machine.closing or machine.is_streaming) and self.is_flushed:
             self._read_on()
 
     def _take(self, request: Request) -> None:
@@ -166,7 +166,7 @@
         self.recent += 1
         if request.is_streamed:
             self.upload = wish.upload = Upload(request.length, self._read_on, self._spent)
-            self.hold()  # until an attempt takes what there is
+            self.pause_reading()  # until an attempt takes what there is
         if len(request.body) > MAX_BUFFERED_BODY_BYTES:
             self.reserved = 2 * len(request.body)  # held to be sent again, and once more on its way out
             self.front.pool.reserved_bytes += self.reserved
@@ -199,9 +199,9 @@
             self.transport.loseConnection()
         elif self.front.wanted:
             self.front.rested(self)
-            if self.flushed and self.machine.partial:
+            if self.is_flushed and self.machine.partial:
                 self.front.reactor.callLater(0, self._next_if_connected)
-        elif self.flushed and self.machine.partial:
+        elif self.is_flushed and self.machine.partial:
             self.front.reactor.callLater(0, self._next_if_connected)
 
     def _forget(self) -> None:
@@ -239,7 +239,7 @@
 
     def part(self, data: bytes) -> None:
         self.send(self.machine.part(data))
-        if not self.flushed and self.source is not None:
+        if not self.is_flushed and self.source is not None:
             self.source.pause()
 
     def ended(self, whole: bool) -> None:
@@ -294,7 +294,7 @@
 
     @property
     def idle(self) -> bool:
-        return not self.machine.busy and not self.machine.partial and self.flushed
+        return not self.machine.busy and not self.machine.partial and self.is_flushed
 
     def close(self) -> None:
         """Between requests, or amid one that is not whole."""
@@ -449,12 +449,12 @@
         waiting = list(takewhile(lambda s: now - s.since >= CROWDED_S, self.streams))
         for stream in waiting:
             waited = now - stream.since
-            if not stream.flushed:
+            if not stream.is_flushed:
                 if waited >= SLOW_S:
                     COUNTS["client.slow_reader"] += 1
                     stream.transport.abortConnection()
             elif stream.machine.busy:
-                if stream.upload is not None and stream.reading and now - stream.heard >= HEAD_S:
+                if stream.upload is not None and stream.is_reading and now - stream.heard >= HEAD_S:
                     COUNTS["client.slow_writer"] += 1
                     stream._give_up(408, "the body stands still")
             elif stream.machine.closing:
@@ -519,14 +519,14 @@
         """
         coming = self.life.is_socket_shared
         return any(
-            not s.flushed or s.machine.busy or half_in and (s.machine.partial or coming and not s.asked)
+            not s.is_flushed or s.machine.busy or half_in and (s.machine.partial or coming and not s.asked)
             for s in self.streams
         )
 
     def shed(self) -> None:
         """Close what stands between requests; who is on its way with one has its time."""
         for stream in list(self.streams):
-            if stream.idle and stream.asked and not stream.machine.closing and not stream.unread:
+            if stream.idle and stream.asked and not stream.machine.closing and not stream.has_unread:
                 COUNTS["client.shed"] += 1
                 stream.close()
 
--- a/mapleline/net/counter.py
+++ b/mapleline/net/counter.py
@@ -75,7 +75,7 @@
         if self.closing is not None and self.closing.active():
             self.closing.cancel()
         # Each of them may have been added, but for the last one if the kernel never took all of it.
-        unsent = 0 if self.flushed else 1
+        unsent = 0 if self.is_flushed else 1
         calls = list(self.machine.pending)
         for n, call in enumerate(calls):
             sure = n >= len(calls) - unsent
--- a/mapleline/net/dial.py
+++ b/mapleline/net/dial.py
@@ -3,35 +3,66 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any, Protocol, TypeVar
 
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from ..settings.platform import Address
-from .streams import Stream
+if TYPE_CHECKING:
+    from twisted.internet import protocol
+    from twisted.internet.interfaces import IAddress, IConnector
 
+    from ..settings.platform import Address
+
+
+class Dialed(Protocol):
+    """A protocol that reports its connection: a `streams.Stream`, or one that calls `connect_result` itself."""
+
+    connect_result: Any  # a Deferred[Self] | None, which a protocol cannot say of attributes that are set
+
+
+DialedT = TypeVar("DialedT", bound=Dialed)
+
+
+class _DialFactory(ClientFactory):
+    """Makes the one protocol of a connection, and reports why there is none."""
 
-class _Dial(ClientFactory):
     noisy = False
 
-    def __init__(self, make: Callable[[], Stream], done: Deferred[Any]) -> None:
-        self._make, self._done = make, done
+    def __init__(self, make_protocol: Callable[[], Dialed], result: Deferred[Any]) -> None:
+        self._make_protocol = make_protocol
+        self._result = result
+
+    def buildProtocol(self, addr: IAddress | None) -> protocol.Protocol:
+        dialed: Any = self._make_protocol()
+        dialed.connect_result = self._result
+        made: protocol.Protocol = dialed
+        return made
+
+    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:
+        if not self._result.called:
+            self._result.errback(reason)
 
-    def buildProtocol(self, addr: Any) -> Stream:
-        stream = self._make()
-        stream.up = self._done
-        return stream
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        if not self._done.called:
-            self._done.errback(reason)
+def dial(
+    reactor: Any,  # noqa: ANN401  # a reactor, or the tests' own with `connectTCP` alone
+    address: Address,
+    make_protocol: Callable[[], DialedT],
+    timeout_s: float,
+) -> Deferred[DialedT]:
+    """Connect to an address.
 
+    Args:
+        reactor: the event loop.
+        address: host and port.
+        make_protocol: makes the protocol of the connection.
+        timeout_s: seconds until the attempt is given up.
 
-def dial(reactor: Any, address: Address, make: Callable[[], Stream], timeout_s: float) -> Deferred[Any]:
-    """Fires with the stream once it is connected, or with why it is not; may be cancelled."""
-    done: Deferred[Any] = Deferred(lambda _: connector.disconnect())
+    Returns:
+        What fires with the protocol once it is connected, or with why it is not; it may be cancelled.
+    """
+    result: Deferred[DialedT] = Deferred(lambda _: connector.disconnect())
     host, port = address
-    connector = reactor.connectTCP(host, port, _Dial(make, done), timeout=timeout_s)
-    return done
+    connector = reactor.connectTCP(host, port, _DialFactory(make_protocol, result), timeout=timeout_s)
+    return result
--- a/mapleline/net/upstream.py
+++ b/mapleline/net/upstream.py
@@ -75,7 +75,7 @@
     @property
     def written(self) -> bool:
         """The kernel has every byte of the request."""
-        return self.flushed and self.upload is None
+        return self.is_flushed and self.upload is None
 
     def _end_attempt(self) -> Attempt | None:
         attempt, self.attempt = self.attempt, None
@@ -131,11 +131,11 @@
 
     def pause(self) -> None:
         """Whoever takes the answer has enough for now."""
-        self.hold()
+        self.pause_reading()
 
     def resume(self) -> None:
         self.heard = self.server.pool.reactor.seconds()
-        self.go_on()
+        self.resume_reading()
 
     def dataReceived(self, data: bytes) -> None:
         if self.sink is not None:
@@ -173,7 +173,7 @@
         """
         if not self.connected or not self.machine.reusable:
             return False
-        unread = self.unread
+        unread = self.has_unread
         COUNTS["upstream.not_quiet"] += unread
         return not unread
 
@@ -360,7 +360,7 @@
         for server in self.servers.values():
             server.retire(before)
         still = self.reactor.seconds() - STILL_S
-        for stream in [s for s in self.relays if s.reading and s.heard < still]:
+        for stream in [s for s in self.relays if s.is_reading and s.heard < still]:
             COUNTS["upstream.stood_still"] += 1
             stream.transport.abortConnection()
 
--- a/tests/balancer/proxy/test_client_connection.py
+++ b/tests/balancer/proxy/test_client_connection.py
@@ -85,13 +85,13 @@
         [(_, request)] = self.handled
         self.assertEqual((len(request.body), request.length, client_conn.transport.paused), (70000, 100000, True))
         server = StubTransport()
-        server.flushed = True
+        server.is_flushed = True
         client_conn.upload.attach(server, lambda: self.handled.append("out"))
         self.assertFalse(client_conn.transport.paused)
-        server.flushed = False
+        server.is_flushed = False
         client_conn.dataReceived(bytes(20000))
         self.assertEqual((len(server.sent), client_conn.transport.paused, request.body), (20000, True, b""))
-        server.flushed = True
+        server.is_flushed = True
         client_conn.upload.flushed()
         self.assertFalse(client_conn.transport.paused)
         client_conn.dataReceived(bytes(10000))
--- a/tests/balancer/proxy/test_upstream_connection.py
+++ b/tests/balancer/proxy/test_upstream_connection.py
@@ -248,7 +248,7 @@
                 self.test_a_response_without_an_id_counts_only_for_the_first_request_of_a_connection,
             ),
             (
-                mock.patch.object(UpstreamConnection, "unread", False),
+                mock.patch.object(UpstreamConnection, "has_unread", False),
                 self.test_a_connection_with_surplus_bytes_is_not_reused,
             ),
             (
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -180,7 +180,7 @@
 
 class Sink:
     def __init__(self):
-        self.got, self.flushed = [], True
+        self.got, self.is_flushed = [], True
 
     def send(self, data):
         self.got.append(data)
@@ -193,10 +193,10 @@
     upload.put(b"ab", False)
     assert not upload.has_room and told == []  # nobody to take it: one part is held, and may still go anywhere
     first, second = Sink(), Sink()
-    first.flushed = False
+    first.is_flushed = False
     upload.attach(first, lambda: told.append("out"))
     assert told == ["spent"] and not upload.has_room
-    first.flushed = True
+    first.is_flushed = True
     upload.flushed()
     assert told == ["spent", "wanted"] and upload.has_room
     upload.detach(second)  # another's end changes nothing
