--- a/mapleline/ingress.py
+++ b/mapleline/ingress.py
@@ -86,7 +86,6 @@
         for_bodies = int(max(BODIES_LEAST, (memory - OWN_MEMORY) * BODIES_SHARE))
         buffers = self.buffers = BufferPool(limit_bytes=for_bodies)
         self.engine = Engine(brain or Brain(start), clock)
-        self.engine.alarm = ReactorAlarm(reactor, clock, self.engine.wake)
         for_door = DOOR_DESCRIPTORS if config.management else 0
         self.own = SPARE_DESCRIPTORS + for_door + 2 * lanes  #: descriptors that serve nobody
         for_clients, for_servers = self._divided(config.sockets)
@@ -99,10 +98,9 @@
             config.conn_idle_s,
             for_servers,
         )
-        self.engine.upstreams = self.upstreams
-        self.counter = self.engine.counter = CounterDriver(
-            reactor, self.engine, clock, buffers, config.counter, config.dial_timeout_s, lanes
-        )
+        self.counter = CounterDriver(reactor, self.engine, clock, buffers, config.counter, config.dial_timeout_s, lanes)
+        alarm = ReactorAlarm(reactor, clock, self.engine.handle_alarm)
+        self.engine.connect(self.upstreams, self.counter, alarm)
         translator = Translator(start, config.class_names, config.plan_names)
         self.front = Front(
             reactor,
@@ -137,7 +135,7 @@
         for line in news.servers:
             if line.life == i.Life.DRAINING:  # nothing new will go there
                 self.upstreams.close_idle(line.server)
-        self.engine.news(news)
+        self.engine.handle_server_update(news)
         # An empty list from before the start is no reason to send clients here.
         if news.news != i.News.CACHED:
             self._listed()
--- a/mapleline/net/alarm.py
+++ b/mapleline/net/alarm.py
@@ -36,7 +36,7 @@
 
 
 class ReactorAlarm:
-    """The engine's timer (`engine.Alarm`): one delayed call, moved rather than made anew."""
+    """The engine's timer (`engine.drivers.Alarm`): one delayed call, moved rather than made anew."""
 
     def __init__(self, reactor: EventLoop, clock: Callable[[], int], wake: Callable[[], None]) -> None:
         """Call `wake` when the time set has come; `clock` returns nanoseconds."""
--- a/mapleline/net/clients.py
+++ b/mapleline/net/clients.py
@@ -14,7 +14,7 @@
 from twisted.internet.tcp import Port
 from twisted.python.failure import Failure
 
-from ..engine import Engine, Open
+from ..engine import Engine, OpenRequest
 from ..http1 import (
     MAX_BODY_BYTES,
     MAX_BUFFERED_BODY_BYTES,
@@ -56,7 +56,7 @@
     def __init__(self, front: Front) -> None:
         self.front = front
         self.machine = ServerConnection(front.pool, front.gather)
-        self.open: Open | None = None
+        self.open: OpenRequest | None = None
         self.id = b""  #: of the request in hand
         self.asked = False  #: a whole request has come
         self.since = front.reactor.seconds()  #: of the last change of what it waits for
@@ -116,19 +116,19 @@
         self.upload = None
         upload.put(part, True)
         if opened is not None:
-            self.front.engine.whole(opened, opened.wish.arrival.ttl_ns)
+            self.front.engine.handle_body_end(opened, opened.payload.arrival.ttl_ns)
 
     def _give_up(self, status: int, why: str) -> None:
         """The rest of the request in hand is not to be had."""
         opened = self.open
         self.answer(status, why.encode() + b"\n", last=True)
         if opened is not None:
-            self.front.engine.left(opened)
+            self.front.engine.handle_disconnect(opened)
 
     def _spent(self) -> None:
-        if self.open is not None and not self.open.spent:
-            self.open.spent = True
-            self.open.wish.request.body = b""  # of no more use
+        if self.open is not None and not self.open.is_body_released:
+            self.open.is_body_released = True
+            self.open.payload.request.body = b""  # of no more use
             self._release()
 
     def _next(self) -> None:
@@ -156,7 +156,7 @@
         wish = self.front.translator.read(request)
         if len(self.front.engine.requests) >= self.front.open_cap:
             COUNTS["client.over_open_cap"] += 1
-            return self.refused(self.front.retry_ns, False)
+            return self.reject(self.front.retry_ns, False)
         if not self.front.ids.claim(wish.id):
             if self.front.outcome is not None and (known := self.front.outcome(wish.id)) is not None:
                 return self.answer(known[0], known[1], known[2])
@@ -170,8 +170,8 @@
         if len(request.body) > MAX_BUFFERED_BODY_BYTES:
             self.reserved = 2 * len(request.body)  # held to be sent again, and once more on its way out
             self.front.pool.reserved_bytes += self.reserved
-        opened = self.front.engine.arrive(wish.arrival, wish, self)
-        if not opened.answered:
+        opened = self.front.engine.accept(wish.arrival, wish, self)
+        if not opened.is_answered:
             self.open = opened
 
     def answer(self, status: int, body: bytes = b"", lines: bytes = b"", last: bool = False) -> None:
@@ -221,11 +221,11 @@
 
     # --- the engine's Answerer
 
-    def served(self, answer: Response) -> None:
+    def send_answer(self, answer: Response) -> None:
         kind = answer.headers.get(b"content-type")
         self.answer(200, answer.body, b"Content-Type: %b\r\n" % kind if kind else b"")
 
-    def begun(self, answer: Response, source: Any) -> None:
+    def begin_answer(self, answer: Response, source: Any) -> None:
         """The answer goes out as it comes: `part`s, then `ended`.  `source` is paused and resumed."""
         if not self.connected:
             return
@@ -258,14 +258,14 @@
         else:
             self.transport.loseConnection()  # what came still goes out
 
-    def refused(self, retry_in_ns: int, over_quota: bool) -> None:
+    def reject(self, retry_in_ns: int, over_quota: bool) -> None:
         lines = b"Retry-After: %.3f\r\n" % (retry_in_ns / 1e9) if retry_in_ns > 0 else b""
         self.answer(429 if over_quota else 503, lines=lines)
 
-    def failed(self, overdue: bool) -> None:
+    def fail(self, overdue: bool) -> None:
         self.answer(504 if overdue else 502)
 
-    def dropped(self) -> None:
+    def drop(self) -> None:
         """Another ingress has the request: this client asks there."""
         self.open = self.upload = None
         self.id = b""  # held by the other now
@@ -290,7 +290,7 @@
         self.front.parted(self)
         if self.open is not None:
             opened, self.open = self.open, None
-            self.front.engine.left(opened)
+            self.front.engine.handle_disconnect(opened)
 
     @property
     def idle(self) -> bool:
--- a/mapleline/net/counter.py
+++ b/mapleline/net/counter.py
@@ -9,7 +9,7 @@
 
 from twisted.python.failure import Failure
 
-from ..engine import Call, Engine
+from ..engine import CounterCall, Engine
 from ..http1 import BufferPool, ClientConnection, Response, write_request
 from ..policy.interface import Result
 from ..settings.platform import Address
@@ -40,11 +40,11 @@
         self.last = False  #: it closes with the answer to its last call
         self.closing: Any = None  #: or when this goes off
 
-    def call(self, call: Call) -> None:
+    def call(self, call: CounterCall) -> None:
         life_ms = max(1, min(MOST_LIFE_MS, -(-call.ttl_ns // 1_000_000)))
         amount = format(call.amount, ".7g").encode()
         target = b"/v2/numbers/%016x?delta=%b&life_ms=%d" % (call.name, amount, life_ms)
-        call.written = True
+        call.is_written = True
         self.machine.add_request(call)
         self.send(write_request(b"POST", target, self.lane.driver.host_line))
 
@@ -79,7 +79,7 @@
         calls = list(self.machine.pending)
         for n, call in enumerate(calls):
             sure = n >= len(calls) - unsent
-            self.lane.driver.engine.counted(call, Result.NO_CONNECTION if sure else Result.TIMEOUT)
+            self.lane.driver.engine.handle_counter_result(call, Result.NO_CONNECTION if sure else Result.TIMEOUT)
 
 
 class Lane:
@@ -90,13 +90,13 @@
         self.retired = False  #: the counter has moved: nothing new goes this way
         self.stream: CounterStream | None = None
         self.dialing = False
-        self.queue: deque[Call] = deque()  # until the connection is up
+        self.queue: deque[CounterCall] = deque()  # until the connection is up
 
-    def add(self, call: Call) -> None:
+    def add(self, call: CounterCall) -> None:
         if self.stream is not None:
             return self.stream.call(call)
         if len(self.queue) >= MOST_QUEUED:
-            return self.driver.engine.counted(call, Result.NO_CONNECTION)
+            return self.driver.engine.handle_counter_result(call, Result.NO_CONNECTION)
         self.queue.append(call)
         if not self.dialing:
             self.dialing = True
@@ -115,31 +115,31 @@
         if isinstance(stream, Failure):
             COUNTS["counter.dial_failed"] += 1
             for call in queue:
-                if not call.over:
-                    self.driver.engine.counted(call, Result.NO_CONNECTION)
+                if not call.is_finished:
+                    self.driver.engine.handle_counter_result(call, Result.NO_CONNECTION)
             return
         self.stream = stream
         for call in queue:
-            if not call.over:  # one that ran out of time unsent was told as never added
+            if not call.is_finished:  # one that ran out of time unsent was told as never added
                 stream.call(call)
 
     def part(self, stream: CounterStream) -> None:
         if self.stream is stream:
             self.stream = None
 
-    def retire(self) -> list[Call]:
+    def retire(self) -> list[CounterCall]:
         """What is written here finishes here; returns the calls that are not written, in their order."""
         self.retired = True
         stream, self.stream = self.stream, None
         if stream is not None:
             stream.last = True
             stream.close_when_done()
-        unwritten, self.queue = [call for call in self.queue if not call.over], deque()
+        unwritten, self.queue = [call for call in self.queue if not call.is_finished], deque()
         return unwritten
 
 
 class CounterDriver:
-    """The engine's Counter."""
+    """The engine's QuotaCounter."""
 
     def __init__(
         self,
@@ -166,30 +166,30 @@
         for call in unwritten:
             self.add(call)
 
-    def add(self, call: Call) -> None:
+    def add(self, call: CounterCall) -> None:
         self.lanes[call.name % self.connections].add(call)
 
-    def answered(self, call: Call, response: Response) -> bool:
+    def answered(self, call: CounterCall, response: Response) -> bool:
         """Tell what the answer says; False if it says nothing that can be read."""
         if response.status in NOTHING_ADDED:
-            self.engine.counted(call, Result.REJECTED)
+            self.engine.handle_counter_result(call, Result.REJECTED)
             return True
         total = read_total(response)
         if total is not None:
-            self.engine.counted(call, Result.OK, total)
+            self.engine.handle_counter_result(call, Result.OK, total)
         else:
             # Added, though it does not say to what: to the module that is a call without an answer, whose
             # amount it must not add a second time.
             COUNTS["counter.malformed"] += 1
-            self.engine.counted(call, Result.TIMEOUT)
+            self.engine.handle_counter_result(call, Result.TIMEOUT)
         return total is not None
 
-    def gave_up(self, call: Call) -> None:
+    def expire(self, call: CounterCall) -> None:
         """Its time has run out: if its connection has long been silent, the next calls take a new one."""
         lane = self.lanes[call.name % self.connections]
         stream = lane.stream
         calls = stream.machine.pending if stream is not None else ()
-        if calls and self.clock() - calls[0].made_ns > DEAD_S * 1e9:
+        if calls and self.clock() - calls[0].created_ns > DEAD_S * 1e9:
             COUNTS["counter.given_up"] += 1
             lane.part(stream)
             stream.transport.abortConnection()
--- a/mapleline/net/fleet.py
+++ b/mapleline/net/fleet.py
@@ -41,7 +41,7 @@
         handoff = Handoff(ingress.reactor, own.handoff, ingress.engine, config.name, names)
     except OSError as error:
         raise ConfigError(f"handoff.dir: {error.strerror or error}: {own.handoff.dir}") from None
-    ingress.engine.record = handoff
+    ingress.engine.journal = handoff
     ingress.front.ids = handoff.ids
     ingress.front.outcome = handoff.known_outcome
     ingress.reactor.callWhenRunning(handoff.start)
@@ -59,7 +59,7 @@
     if own.zones.enabled and start.zones > 1:
         tiers = _read_tiers(ingress, own)
         ejection = _start_zone_monitor(ingress, own, member)
-    ingress.engine.share(member.shares, ejection, tiers)
+    ingress.engine.set_fleet(member.shares, ejection, tiers)
     ingress.reactor.callWhenRunning(member.start)
     return member
 
--- a/mapleline/net/handoff.py
+++ b/mapleline/net/handoff.py
@@ -12,6 +12,7 @@
 import time
 from typing import TYPE_CHECKING
 
+from ..engine.answers import Served
 from ..handoff.in_flight import InFlightTable
 from ..handoff.store import Store
 from ..handoff.write_ahead_log import WriteAheadLog, log_name
@@ -34,10 +35,10 @@
 if TYPE_CHECKING:
     from twisted.internet.task import LoopingCall
 
-    from ..engine import Attempt, Engine, Open
+    from ..engine import Attempt, Engine, OpenRequest
+    from ..engine.answers import Answer
     from ..handoff.log_format import Record
     from ..handoff.store import Outcome
-    from ..http1 import Response
     from ..policy.interface import Arrival
     from ..settings.own import Handoff as HandoffSettings
     from .event_loop import EventLoop
@@ -180,13 +181,13 @@
         COUNTS["handoff.fenced"] += 1
         self.adopter.clear()
         self.ids.clear()
-        self.engine.abandon()
+        self.engine.abandon_all()
 
-    # -- events of the engine (`Engine.record`) ----------------------------------------------------------------
+    # -- events of the engine (`Engine.journal`) ---------------------------------------------------------------
 
-    def accepted(self, opened: Open, arrival: Arrival) -> None:
+    def record_accepted(self, request: OpenRequest, arrival: Arrival) -> None:
         """Log a request that the engine takes in; one that is logged was taken over."""
-        wish = opened.wish
+        wish = request.payload
         if self.ids.take_charged(wish.id):
             arrival.paid = True
         if text_of(wish.id) in self.in_flight.requests or not self.holds_lease():
@@ -195,39 +196,38 @@
         plan_name = self._names.plans[arrival.plan]
         self.append_record(accepted_record(wish, arrival, class_name, plan_name, time.time()))
 
-    def sending(self, attempt: Attempt) -> bool:
+    def record_sending(self, attempt: Attempt) -> bool:
         """Log an attempt before it goes out; return whether it may."""
         if not self.holds_lease():
             return False
-        self.append_record(sent_record(attempt.wish.id, attempt.number, time.time()))
+        self.append_record(sent_record(attempt.payload.id, attempt.number, time.time()))
         return True
 
-    def never_ran(self, attempt: Attempt) -> None:
+    def record_not_executed(self, attempt: Attempt) -> None:
         """Log that an attempt was not executed."""
-        if not attempt.open.answered:
-            self.append_record(not_executed_record(attempt.wish.id, attempt.number))
+        if not attempt.request.is_answered:
+            self.append_record(not_executed_record(attempt.payload.id, attempt.number))
 
-    def answering(self, opened: Open, how: str, what: tuple[Response, ...]) -> bool:
+    def record_answer(self, request: OpenRequest, answer: Answer) -> bool:
         """Log the final answer before the client gets it; return whether it may.
 
         Args:
-            opened: the request.
-            how: the answerer's method that is called.
-            what: the arguments of that method; the answer itself where `how` is "served".
+            request: the request.
+            answer: what it is answered.
         """
         if not self.holds_lease():
             return False
-        is_safe = opened.cls.effect == Effect.SAFE
-        record = done_record(opened.wish.id, how)
-        if how == "served" and not is_safe:
-            record["body"] = text_of(what[0].body)
+        is_safe = request.request_class.effect == Effect.SAFE
+        record = done_record(request.payload.id, answer.kind.value)
+        if isinstance(answer, Served) and not is_safe:
+            record["body"] = text_of(answer.response.body)
         self.append_record(record, is_deferred=is_safe)
         return True
 
-    def left(self, opened: Open) -> None:
+    def record_disconnect(self, request: OpenRequest) -> None:
         """Keep that the outcome is unknown where the client has gone and the request must not be executed twice."""
-        request_id = opened.wish.id
-        if opened.cls.effect != Effect.SAFE and opened.sent and self.holds_lease():
+        request_id = request.payload.id
+        if request.request_class.effect != Effect.SAFE and request.attempts_sent and self.holds_lease():
             self.ids.retain(request_id)
             self.publish(request_id, UNKNOWN_OUTCOME)
 
--- a/mapleline/net/log_adoption.py
+++ b/mapleline/net/log_adoption.py
@@ -58,11 +58,11 @@
         self._handoff = handoff
         self._request_id = request_id
 
-    def served(self, answer: Response) -> None:
+    def send_answer(self, response: Response) -> None:
         """Keep the answer."""
-        self._handoff.publish(self._request_id, answer_outcome(answer))
+        self._handoff.publish(self._request_id, answer_outcome(response))
 
-    def begun(self, answer: object, source: object) -> None:
+    def begin_answer(self, response: object, source: object) -> None:
         """Keep that the outcome is unknown: the request was executed, and its answer is too long to keep."""
         self._handoff.publish(self._request_id, UNKNOWN_OUTCOME)
 
@@ -72,16 +72,16 @@
     def ended(self, whole: bool) -> None:
         """Do nothing at the end of a long answer."""
 
-    def refused(self, retry_in_ns: int, over_quota: bool) -> None:
+    def reject(self, retry_after_ns: int, is_over_quota: bool) -> None:
         """Keep that it was refused: a client that comes again with the id makes a new attempt, charged already."""
         COUNTS["handoff.refused"] += 1
         self._handoff.publish(self._request_id, REFUSED_OUTCOME)
 
-    def failed(self, overdue: bool) -> None:
+    def fail(self, is_overdue: bool) -> None:
         """Keep that the outcome is unknown."""
         self._handoff.publish(self._request_id, UNKNOWN_OUTCOME)
 
-    def dropped(self) -> None:
+    def drop(self) -> None:
         """Do nothing: another ingress has taken it over in turn."""
 
 
@@ -233,4 +233,4 @@
             keep_alive=True,
         )
         translated = TranslatedRequest(request_id, arrival, request, bytes_of(record["lines"]))
-        self._engine.arrive(arrival, translated, TakeoverAnswerer(self._handoff, request_id))
+        self._engine.accept(arrival, translated, TakeoverAnswerer(self._handoff, request_id))
--- a/mapleline/net/upstream.py
+++ b/mapleline/net/upstream.py
@@ -55,9 +55,9 @@
 
     def start(self, attempt: Attempt, data: bytes) -> None:
         self.attempt = attempt
-        attempt.carrier = self
+        attempt.connection = self
         self.machine.add_request(attempt)
-        self.upload = attempt.wish.upload
+        self.upload = attempt.payload.upload
         self.send(data)
         if self.upload is not None:
             self.upload.attach(self, self._uploaded)
@@ -88,8 +88,8 @@
         attempt, pool = self.attempt, self.server.pool
         result = judge(response)
         if result == Result.OK and attempt is not None and self.written:
-            self.sink = attempt.open.answerer
-            if pool.engine.attempt_begun(attempt, response, self):
+            self.sink = attempt.request.answerer
+            if pool.engine.handle_answer_start(attempt, response, self):
                 pool.relays[self] = None
                 self.transport.bufferSize = RELAY_READ
                 self.heard = pool.reactor.seconds()
@@ -98,7 +98,7 @@
         self._end_attempt()
         self.transport.abortConnection()
         if attempt is not None:
-            pool.engine.attempt_ended(attempt, Result.ERROR if result == Result.OK else result, response)
+            pool.engine.handle_attempt_end(attempt, Result.ERROR if result == Result.OK else result, response)
 
     def _pass_on(self, data: bytes) -> None:
         pool, sink = self.server.pool, self.sink
@@ -127,7 +127,7 @@
                 self.transport.abortConnection()
         sink.ended(whole)
         if attempt is not None:
-            pool.engine.attempt_ended(attempt, Result.OK if whole else otherwise)
+            pool.engine.handle_attempt_end(attempt, Result.OK if whole else otherwise)
 
     def pause(self) -> None:
         """Whoever takes the answer has enough for now."""
@@ -152,7 +152,7 @@
             self.server.forget(self)
             self.transport.abortConnection()
             if attempt is not None:
-                self.server.pool.engine.attempt_ended(attempt, Result.ERROR)
+                self.server.pool.engine.handle_attempt_end(attempt, Result.ERROR)
 
     def _answered(self, response: Response) -> None:
         reusable = self.machine.reusable and self.written and self.connected
@@ -163,7 +163,7 @@
         else:
             self.transport.abortConnection()  # whatever else the other side may have to say
         if attempt is not None:
-            self.server.pool.engine.attempt_ended(attempt, judge(response), response)
+            self.server.pool.engine.handle_attempt_end(attempt, judge(response), response)
 
     @property
     def quiet(self) -> bool:
@@ -195,7 +195,7 @@
         if attempt is not None:
             # Never ran only if its last byte was never written.
             result = Result.RESET if written else Result.NO_CONNECTION
-            self.server.pool.engine.attempt_ended(attempt, result)
+            self.server.pool.engine.handle_attempt_end(attempt, result)
 
 
 class Place(NamedTuple):
@@ -226,7 +226,7 @@
             stream.drop()
         if self.pool.held >= self.pool.most and not self.pool.make_room():
             COUNTS["upstream.no_descriptor"] += 1  # no fault of the server's: never sent
-            return self.pool.engine.attempt_ended(attempt, Result.MOOT)
+            return self.pool.engine.handle_attempt_end(attempt, Result.MOOT)
         COUNTS["upstream.dialed"] += 1
         pool = self.pool
         pool.held += 1
@@ -237,22 +237,22 @@
         if isinstance(stream, Failure):
             self.pool.held -= 1
             COUNTS["upstream.dial_failed"] += 1
-            self.pool.engine.attempt_ended(attempt, Result.NO_CONNECTION)
-        elif attempt.over:
+            self.pool.engine.handle_attempt_end(attempt, Result.NO_CONNECTION)
+        elif attempt.is_finished:
             self.rest(stream)  # called off meanwhile: the connection serves the next one
         else:
             self._start(stream, attempt)
 
     def _veto(self, attempt: Attempt) -> None:
         COUNTS["upstream.vetoed"] += 1  # never sent, so another server may have it
-        self.pool.engine.attempt_ended(attempt, Result.NO_CONNECTION)
+        self.pool.engine.handle_attempt_end(attempt, Result.NO_CONNECTION)
 
     def _start(self, stream: UpstreamStream, attempt: Attempt) -> None:
         if self.pool.vetoed(self.number):  # while the connection came up
             self.rest(stream)
             return self._veto(attempt)
-        wish, request = attempt.wish, attempt.wish.request
-        left = attempt.open.deadline_ns - self.pool.clock()
+        wish, request = attempt.payload, attempt.payload.request
+        left = attempt.request.deadline_ns - self.pool.clock()
         if request.is_streamed:
             left = wish.arrival.ttl_ns
         lines = b"%b%bX-Timeout-Ms: %d\r\n" % (self.host_line, wish.lines, max(1, left // 1_000_000))
@@ -328,11 +328,11 @@
     def send(self, attempt: Attempt, wait_ns: int) -> None:
         server = self.servers.get(attempt.server)
         if server is None:
-            return self.engine.attempt_ended(attempt, Result.NO_CONNECTION)
+            return self.engine.handle_attempt_end(attempt, Result.NO_CONNECTION)
         server.send(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        stream = attempt.carrier
+        stream = attempt.connection
         if stream is not None and stream.attempt is attempt:
             stream.drop()
 
--- a/mapleline/net/zones.py
+++ b/mapleline/net/zones.py
@@ -158,7 +158,7 @@
             alive=alive,
             hold_s=self._ejection.hold_s(self._ejection.zones[zone]),
         )
-        self._engine.zone_turned(zone, is_ejected)
+        self._engine.handle_zone_change(zone, is_ejected)
 
     def _probe(self, zone: int) -> None:
         """Probe the next server of a zone; nothing where it has none."""
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -176,10 +176,10 @@
     def __init__(self):
         self.came = []
 
-    def arrive(self, arrival, wish, answerer):
+    def accept(self, arrival, wish, answerer):
         self.came.append((wish.id, arrival.paid))
 
-    def abandon(self):
+    def abandon_all(self):
         raise AssertionError("not fenced")
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -4,15 +4,15 @@
 from random import Random
 
 import pytest
+from engine_rig import ScriptedModule
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from ingress import Client, Counter, Discovery, config_for
 from test_bodies import in_chunks, large
-from test_engine import Module
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
-from mapleline import engine as e
+from mapleline.engine import Engine
 from mapleline.http1 import BufferPool, RequestReader, ResponseReader
 from mapleline.http1.translator import Translator
 from mapleline.ingress import Ingress
@@ -110,15 +110,15 @@
     def __init__(self):
         config = read_config(config_for(Counter(), Discovery(), []), {})
         self.pool, self.servers = BufferPool(), []
-        self.module = Module()
+        self.module = ScriptedModule()
         self.module.s = config.start
-        self.module.then[i.Arrival] = lambda ev: [i.Send(ev.request, 1)]
-        self.module.then[i.Outcome] = lambda ev: [] if ev.final else [i.Fail(ev.request)]
+        self.module.reactions[i.Arrival] = lambda ev: [i.Send(ev.request, 1)]
+        self.module.reactions[i.Outcome] = lambda ev: [] if ev.final else [i.Fail(ev.request)]
         clock = lambda: 10**18  # noqa: E731
-        self.engine = e.Engine(self.module, clock)
-        self.engine.alarm = self.engine.counter = self
-        self.engine.upstreams = UpstreamPool(self, self.engine, clock, self.pool, 1.0, 30.0, 100)
-        self.engine.upstreams.update({1: Place(("127.0.0.1", 1), 0)})
+        self.engine = Engine(self.module, clock)
+        upstreams = UpstreamPool(self, self.engine, clock, self.pool, 1.0, 30.0, 100)
+        self.engine.connect(upstreams, counter=self, alarm=self)
+        upstreams.update({1: Place(("127.0.0.1", 1), 0)})
         translator = Translator(config.start, config.class_names, config.plan_names)
         front = Front(self, self.engine, translator, self.pool, 100, 100, 0, Lifecycle(), GATHER)
         self.client = Wire(front.buildProtocol(None))
@@ -289,7 +289,7 @@
 
 def test_a_body_that_goes_on_may_not_stand_still():
     relay = Clocked()
-    relay.module.then[i.Left] = lambda ev: [i.Cancel(ev.request, 0)]  # as the module does
+    relay.module.reactions[i.Left] = lambda ev: [i.Cancel(ev.request, 0)]  # as the module does
     relay.client.grant(10**6)
     _, coming = request(400_000, "length")
     while not relay.servers:
