--- a/mapleline/net/counter.py
+++ b/mapleline/net/counter.py
@@ -1,149 +1,208 @@
-"""The quota counter: calls pipelined over a few connections, one name always on the same one."""
+"""The engine's client of the quota counter: calls pipelined over a few connections, one name always on the same one."""
 
 from __future__ import annotations
 
 import re
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING
 
+from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from ..engine import CounterCall, Engine
-from ..http1 import BufferPool, ClientConnection, Response, write_request
+from ..http1 import ClientConnection, write_request
 from ..policy.interface import Result
-from ..settings.platform import Address
 from ..telemetry import COUNTS
 from .dial import dial
 from .streams import Stream
 
-CONNECTIONS = 16  # of the 32 that the counter holds for an ingress: one that is slow to die takes no room
-DEAD_S = 1.0  # a connection whose oldest call waits longer is given up: its machine may be gone for good
-MOST_LIFE_MS = 60_000
-NOTHING_ADDED = (400, 404, 503)
-TOTAL = re.compile(rb"-?[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][+-]?[0-9]{1,2})?")  # no nan, no inf
-MOST_QUEUED = 256  # calls that wait for one connection
+if TYPE_CHECKING:
+    from ..engine import CounterCall, Engine
+    from ..http1 import BufferPool, Response
+    from ..settings.platform import Address
+    from .event_loop import DelayedCall, EventLoop
+
+CONNECTIONS = 16  #: of the 32 that the counter has for an ingress: one that is slow to close takes no place
+DEAD_S = 1.0  #: seconds; a connection whose oldest call waits longer is given up: its machine may be gone for good
+MOST_KEY_LIFETIME_MS = 60_000  #: milliseconds; the longest that the counter keeps a number
+NOTHING_ADDED = (400, 404, 503)  #: statuses that say that the amount was not added
+TOTAL = re.compile(rb"-?[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][+-]?[0-9]{1,2})?")  #: no nan, no inf
+MOST_QUEUED = 256  #: calls that wait for one connection
+NANOSECONDS = 1e9
+NANOSECONDS_PER_MS = 1_000_000
 
 
 def read_total(response: Response) -> float | None:
-    """The total that an answer holds, if it says that the amount was added and to what."""
+    """Return the total in a response; None unless it says that the amount was added and to what."""
     total = TOTAL.fullmatch(response.body) if response.status == 200 else None
     return None if total is None else float(total[0])
 
 
+def _target_of(call: CounterCall) -> bytes:
+    """Return the target of a call's request; the amount has seven significant digits, the lifetime is rounded up."""
+    lifetime_ms = max(1, min(MOST_KEY_LIFETIME_MS, -(-call.ttl_ns // NANOSECONDS_PER_MS)))
+    amount = format(call.amount, ".7g").encode()
+    return b"/v2/numbers/%016x?delta=%b&life_ms=%d" % (call.name, amount, lifetime_ms)
+
+
 class CounterStream(Stream):
     """One connection; answers come in the order of the calls."""
 
-    def __init__(self, lane: Lane) -> None:
-        self.lane = lane
-        self.machine = ClientConnection(lane.driver.buffers)
-        self.last = False  #: it closes with the answer to its last call
-        self.closing: Any = None  #: or when this goes off
+    def __init__(self, channel: CounterChannel) -> None:
+        """Serve a channel."""
+        self._channel = channel
+        self._http1: ClientConnection[CounterCall] = ClientConnection(channel.driver.buffers)
+        self._is_retired = False  # it closes with the answer to its last call
+        self._closing: DelayedCall | None = None  # or when this goes off
 
     def call(self, call: CounterCall) -> None:
-        life_ms = max(1, min(MOST_LIFE_MS, -(-call.ttl_ns // 1_000_000)))
-        amount = format(call.amount, ".7g").encode()
-        target = b"/v2/numbers/%016x?delta=%b&life_ms=%d" % (call.name, amount, life_ms)
+        """Send a call."""
         call.is_written = True
-        self.machine.add_request(call)
-        self.send(write_request(b"POST", target, self.lane.driver.host_line))
+        self._http1.add_request(call)
+        self.send(write_request(b"POST", _target_of(call), self._channel.driver.host_line))
+
+    @property
+    def oldest_call(self) -> CounterCall | None:
+        """The call that has waited longest for its answer."""
+        return self._http1.pending[0] if self._http1.pending else None
 
     def dataReceived(self, data: bytes) -> None:
-        readable = True
-        for call, response in self.machine.receive(data):
-            readable = self.lane.driver.answered(call, response) and readable
-        if self.machine.protocol_error:
+        """Report the answers; give the connection up after one that cannot be read."""
+        is_readable = True
+        for call, response in self._http1.receive(data):
+            is_readable = self._channel.driver.on_answer(call, response) and is_readable
+        if self._http1.protocol_error:
             COUNTS["counter.malformed"] += 1
-        if not self.machine.reusable or not readable:
+        if not self._http1.reusable or not is_readable:
             # Calls behind the answer may have been added, and no answer of theirs can be trusted.
-            self.lane.part(self)
-            self.transport.abortConnection()
-        elif self.last:
-            self.close_when_done()
-
-    def close_when_done(self) -> None:
-        """At once where nothing is out, and after a while all the same: the old counter may never answer."""
-        if not self.machine.pending:
+            self.abort()
+        elif self._is_retired:
+            self._close_when_answered()
+
+    def abort(self) -> None:
+        """Close at once; the channel makes a new connection for its next call."""
+        self._channel.detach(self)
+        self.transport.abortConnection()
+
+    def retire(self) -> None:
+        """Send no further call, and close with the answer to the last one."""
+        self._is_retired = True
+        self._close_when_answered()
+
+    def _close_when_answered(self) -> None:
+        """Close where no call is under way, and after a while all the same: the old counter may never answer."""
+        if not self._http1.pending:
             self.transport.loseConnection()
-        elif self.closing is None:
-            self.closing = self.lane.driver.reactor.callLater(DEAD_S, self.transport.abortConnection)
+        elif self._closing is None:
+            self._closing = self._channel.driver.reactor.callLater(DEAD_S, self.transport.abortConnection)
 
-    def connectionLost(self, reason: Failure) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Report the calls without an answer."""
         super().connectionLost(reason)
-        self.machine.on_closed(False)
-        self.lane.part(self)
-        if self.closing is not None and self.closing.active():
-            self.closing.cancel()
-        # Each of them may have been added, but for the last one if the kernel never took all of it.
-        unsent = 0 if self.is_flushed else 1
-        calls = list(self.machine.pending)
-        for n, call in enumerate(calls):
-            sure = n >= len(calls) - unsent
-            self.lane.driver.engine.handle_counter_result(call, Result.NO_CONNECTION if sure else Result.TIMEOUT)
+        self._http1.on_closed(False)
+        self._channel.detach(self)
+        if self._closing is not None and self._closing.active():
+            self._closing.cancel()
+        self._report_unanswered()
+
+    def _report_unanswered(self) -> None:
+        """Report calls as lost; each may have been added, but for the last if the kernel never took all of it."""
+        calls = list(self._http1.pending)
+        written = len(calls) if self.is_flushed else len(calls) - 1
+        for index, call in enumerate(calls):
+            result = Result.TIMEOUT if index < written else Result.NO_CONNECTION
+            self._channel.driver.engine.handle_counter_result(call, result)
 
 
-class Lane:
-    """The names that share one connection to one address."""
+class CounterChannel:
+    """The calls that share one connection to one address: a new one is made when a call needs it."""
 
     def __init__(self, driver: CounterDriver) -> None:
+        """Start without a connection."""
         self.driver = driver
-        self.retired = False  #: the counter has moved: nothing new goes this way
         self.stream: CounterStream | None = None
-        self.dialing = False
-        self.queue: deque[CounterCall] = deque()  # until the connection is up
+        self._is_retired = False  # the counter has moved: no further call comes here
+        self._is_dialing = False
+        self._queue: deque[CounterCall] = deque()  # until the connection is up
 
     def add(self, call: CounterCall) -> None:
+        """Send a call, or queue it for the connection that is being made."""
         if self.stream is not None:
-            return self.stream.call(call)
-        if len(self.queue) >= MOST_QUEUED:
-            return self.driver.engine.handle_counter_result(call, Result.NO_CONNECTION)
-        self.queue.append(call)
-        if not self.dialing:
-            self.dialing = True
-            COUNTS["counter.dialed"] += 1
-            driver = self.driver
-            dialed = dial(driver.reactor, driver.address, lambda: CounterStream(self), driver.dial_timeout_s)
-            dialed.addBoth(self._dialed)
-
-    def _dialed(self, stream: CounterStream | Failure) -> None:
-        self.dialing = False
-        queue, self.queue = self.queue, deque()
-        if self.retired:
-            if not isinstance(stream, Failure):
-                stream.transport.abortConnection()  # nothing was written on it, and its calls have moved on
+            self.stream.call(call)
             return
-        if isinstance(stream, Failure):
-            COUNTS["counter.dial_failed"] += 1
-            for call in queue:
-                if not call.is_finished:
-                    self.driver.engine.handle_counter_result(call, Result.NO_CONNECTION)
+        if len(self._queue) >= MOST_QUEUED:
+            self.driver.engine.handle_counter_result(call, Result.NO_CONNECTION)
             return
+        self._queue.append(call)
+        if not self._is_dialing:
+            self._dial()
+
+    def _dial(self) -> None:
+        self._is_dialing = True
+        COUNTS["counter.dialed"] += 1
+        driver = self.driver
+        dialed = dial(driver.reactor, driver.address, lambda: CounterStream(self), driver.dial_timeout_s)
+        dialed.addBoth(self._on_dialed)
+
+    def _on_dialed(self, result: CounterStream | Failure) -> None:
+        self._is_dialing = False
+        queue = self._take_queue()
+        if self._is_retired:
+            if not isinstance(result, Failure):
+                result.transport.abortConnection()  # nothing was written on it, and its calls have moved on
+        elif isinstance(result, Failure):
+            self._fail(queue)
+        else:
+            self._send_queued(result, queue)
+
+    def _fail(self, queue: deque[CounterCall]) -> None:
+        COUNTS["counter.dial_failed"] += 1
+        for call in queue:
+            if not call.is_finished:
+                self.driver.engine.handle_counter_result(call, Result.NO_CONNECTION)
+
+    def _send_queued(self, stream: CounterStream, queue: deque[CounterCall]) -> None:
         self.stream = stream
         for call in queue:
-            if not call.is_finished:  # one that ran out of time unsent was told as never added
+            if not call.is_finished:  # one that timed out before it was sent has been reported as never added
                 stream.call(call)
 
-    def part(self, stream: CounterStream) -> None:
+    def _take_queue(self) -> deque[CounterCall]:
+        queue = self._queue
+        self._queue = deque()
+        return queue
+
+    def detach(self, stream: CounterStream) -> None:
+        """Use a stream no more."""
         if self.stream is stream:
             self.stream = None
 
     def retire(self) -> list[CounterCall]:
-        """What is written here finishes here; returns the calls that are not written, in their order."""
-        self.retired = True
-        stream, self.stream = self.stream, None
+        """Let what is written here finish here; return the calls that are not written, in their order."""
+        self._is_retired = True
+        stream = self.stream
+        self.stream = None
         if stream is not None:
-            stream.last = True
-            stream.close_when_done()
-        unwritten, self.queue = [call for call in self.queue if not call.is_finished], deque()
-        return unwritten
+            stream.retire()
+        return [call for call in self._take_queue() if not call.is_finished]
 
 
 class CounterDriver:
-    """The engine's QuotaCounter."""
+    """The engine's client of the counter (`engine.drivers.QuotaCounter`).
+
+    Attributes:
+        reactor: the event loop.
+        engine: learns how each call ended.
+        buffers: where answers are read into.
+        dial_timeout_s: seconds that making a connection may take.
+        address: of the counter.
+        host_line: the Host header line of each request.
+        channels: one a connection.
+    """
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: EventLoop,
         engine: Engine,
         clock: Callable[[], int],
         buffers: BufferPool,
@@ -151,45 +210,53 @@
         dial_timeout_s: float,
         connections: int = CONNECTIONS,
     ) -> None:
-        self.reactor, self.engine, self.clock, self.buffers = reactor, engine, clock, buffers
+        """Connect with the first calls; `clock` is the engine's, in nanoseconds."""
+        self.reactor = reactor
+        self.engine = engine
+        self.buffers = buffers
         self.dial_timeout_s = dial_timeout_s
-        self.connections = connections
-        self.lanes: list[Lane] = []
+        self._clock = clock
+        self._connections = connections
+        self.channels: list[CounterChannel] = []
         self.move(address)
 
     def move(self, address: Address) -> None:
-        """Calls go to this address from now on, unwritten ones too; the others finish where they are."""
-        unwritten = [call for lane in self.lanes for call in lane.retire()]
+        """Send further calls to an address, unwritten ones too; the others finish where they are."""
+        unwritten = [call for channel in self.channels for call in channel.retire()]
         self.address = address
         self.host_line = b"Host: %b:%d\r\n" % (address[0].encode(), address[1])
-        self.lanes = [Lane(self) for _ in range(self.connections)]
+        self.channels = [CounterChannel(self) for _ in range(self._connections)]
         for call in unwritten:
             self.add(call)
 
     def add(self, call: CounterCall) -> None:
-        self.lanes[call.name % self.connections].add(call)
+        """Make a call."""
+        self._channel_of(call).add(call)
+
+    def _channel_of(self, call: CounterCall) -> CounterChannel:
+        return self.channels[call.name % self._connections]
 
-    def answered(self, call: CounterCall, response: Response) -> bool:
-        """Tell what the answer says; False if it says nothing that can be read."""
+    def on_answer(self, call: CounterCall, response: Response) -> bool:
+        """Report what an answer says; return whether it can be read."""
         if response.status in NOTHING_ADDED:
             self.engine.handle_counter_result(call, Result.REJECTED)
             return True
         total = read_total(response)
-        if total is not None:
-            self.engine.handle_counter_result(call, Result.OK, total)
-        else:
-            # Added, though it does not say to what: to the module that is a call without an answer, whose
-            # amount it must not add a second time.
+        if total is None:
+            # Added, though it does not say to what: to the module that is a call without an answer, whose amount it
+            # must not add a second time.
             COUNTS["counter.malformed"] += 1
             self.engine.handle_counter_result(call, Result.TIMEOUT)
-        return total is not None
+            return False
+        self.engine.handle_counter_result(call, Result.OK, total)
+        return True
 
     def expire(self, call: CounterCall) -> None:
-        """Its time has run out: if its connection has long been silent, the next calls take a new one."""
-        lane = self.lanes[call.name % self.connections]
-        stream = lane.stream
-        calls = stream.machine.pending if stream is not None else ()
-        if calls and self.clock() - calls[0].created_ns > DEAD_S * 1e9:
+        """Handle a call that timed out: a connection that has answered nothing for long is given up for a new one."""
+        stream = self._channel_of(call).stream
+        oldest = stream.oldest_call if stream is not None else None
+        if stream is None or oldest is None:
+            return
+        if self._clock() - oldest.created_ns > DEAD_S * NANOSECONDS:
             COUNTS["counter.given_up"] += 1
-            lane.part(stream)
-            stream.transport.abortConnection()
+            stream.abort()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -342,6 +342,6 @@
 def test_an_inherited_listener_halves_what_the_other_process_has_as_well():
     raw = config_for(Counter(), Discovery(), [], limits={"sockets": 512, "memory_mb": 80})
     alone, beside = (Ingress(Relay(), read_config(raw, environment)) for environment in ({}, {"EDGE_ACCEPT_FD": "9"}))
-    assert 2 * len(beside.counter.lanes) == len(alone.counter.lanes) == 16
-    assert 2 * len(alone.counter.lanes) <= 32
+    assert 2 * len(beside.counter.channels) == len(alone.counter.channels) == 16
+    assert 2 * len(alone.counter.channels) <= 32
     assert 3 * beside.front.gather < alone.front.gather  # of what memory leaves, not of all
