--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -45,7 +45,8 @@
 def test_every_fault_shows_before_a_party_without_defences(logs):
     """Stand-in servers in the ingresses' place: each fault breaks a rule there, the untouched none.
 
-    Each works 150 ms a request, so that a restart always finds some in hand (40 a second: all but e^-6)."""
+    Each works 150 ms a request, so that a restart always finds some in flight (40 a second: all but e^-6).
+    """
     found = checker.judge(logs, slack_s=0.1, strict=True)
     broken = {v.source for v in found if v.rule == "answered"}
     assert broken == {f"ingress-{n}" for n in range(1, 13)}, [str(v) for v in found[:20]]
@@ -165,11 +166,14 @@
 
 @pytest.mark.schedule(BUDGETS)
 def test_parts_held_across_the_fleet_never_sum_above_the_whole(logs):
-    """Stalls across a lease's end, lost answers, half the fleet cut off, a flapping member and a death:
-    the checker sums every part in use at every instant; once the faults are over the whole is used."""
+    """The checker sums every share in use at every instant; once the faults are over the total is used.
+
+    The faults: stalls across a lease's end, lost answers, half the fleet cut off, a flapping member and a death.
+    """
     assert [str(v) for v in checker.judge(logs)] == []
     epochs = checker.shares_by_epoch(logs)["fleet"]
-    assert len(epochs) >= 6 and max(epochs.values()) <= 100 + 1e-6
+    assert len(epochs) >= 6
+    assert max(epochs.values()) <= 100 + 1e-6
     assert min(used_after(logs, "kill-one", 2.0)) >= 90, epochs
 
 
@@ -178,7 +182,11 @@
     begun = when(logs, fault)
     ended = next(e["at"] for e in logs["fleet"] if e["event"] == "load ended")
     epochs = checker.shares_by_epoch(logs)["fleet"]
-    used = [part for e, part in epochs.items() if e * lease_s >= begun + 2 * lease_s and (e + 1) * lease_s <= ended]
+    used = [
+        share
+        for epoch, share in epochs.items()
+        if epoch * lease_s >= begun + 2 * lease_s and (epoch + 1) * lease_s <= ended
+    ]
     assert used, epochs
     return used
 
@@ -274,9 +282,12 @@
 
 @pytest.mark.schedule(DIVIDED)
 def test_what_the_module_spends_of_each_budget_never_sums_above_its_whole(logs):
-    """Calls, retries, the room of each server and cold servers' starts, all far below what the load would
+    """Two leases after the load has moved, the total is used again.
+
+    Calls, retries, the capacity of each server and cold servers' starts are all far below what the load would
     take, while a zone dies and returns cold, the load moves from one ingress to another, two ingresses lose
-    the counter and one is stalled.  Two leases after the load has moved the whole is used again."""
+    the counter and one is stalled.
+    """
     assert [str(v) for v in checker.judge(logs)] == []
     spent = checker.spent_by_epoch(logs)
     assert {name.partition(":")[0] for name, _ in spent} == {"calls", "retries", "cold"}
@@ -288,7 +299,9 @@
     }
     settled = [share for at, share in used.items() if 3 <= at <= 8.5 or 13 <= at <= 14.5]
     # 0.94 can be, 1 - (1 - floor) * 2 * margin / lease, less fractions of a unit.
-    assert len(settled) >= 4 and statistics.median(settled) >= 0.87 and min(settled) >= 0.8, used
+    assert len(settled) >= 4, used
+    assert statistics.median(settled) >= 0.87, used
+    assert min(settled) >= 0.8, used
     assert max(e["in_work"] for e in logs["zone-a"] if e["event"] == "run") <= 5
 
 
@@ -316,13 +329,19 @@
 
 @pytest.mark.schedule(QUOTAS)
 def test_quotas_hold_while_the_counter_is_emptied_silent_slow_and_replaced(logs):
-    """Four customers ask for three times their quota, sixteen for three quarters.  The checker holds the run
-    to its bounds; no fault's four seconds with the four after it pass the worst that is allowed."""
+    """No fault's four seconds, with the four after it, pass the worst that is allowed.
+
+    Four customers ask for three times their quota, sixteen for three quarters.  The checker judges the whole run.
+    """
     assert [str(v) for v in checker.judge(logs)] == []
     healthy = checker.measure_quotas(logs, when(logs, "emptied") - 4, when(logs, "emptied"))
-    assert healthy.overrun_share <= 0.04 and healthy.served > 600  # 0.02 and a little
+    assert healthy.overrun_share <= 0.04  # 0.02 and a little
+    assert healthy.served > 600
     for name in ("emptied", "silent", "slow", "replaced"):
-        got = checker.measure_quotas(logs, when(logs, name), when(logs, name) + 8)
-        assert got.overrun_share <= 0.1 and got.refused_share <= 0.05, (name, got)
-    counts = [next(e["counts"] for e in logs[f"ingress-{n}"] if e["event"] == "counters") for n in range(5)]
-    assert all(c.get("counter.timeout", 0) > 0 and c.get("reload.done", 0) == 1 for c in counts)
+        outcome = checker.measure_quotas(logs, when(logs, name), when(logs, name) + 8)
+        assert outcome.overrun_share <= 0.1, (name, outcome)
+        assert outcome.refused_share <= 0.05, (name, outcome)
+    for number in range(5):
+        counts = next(event["counts"] for event in logs[f"ingress-{number}"] if event["event"] == "counters")
+        assert counts.get("counter.timeout", 0) > 0
+        assert counts.get("reload.done", 0) == 1
