--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -2,6 +2,7 @@
 
 import queue
 import resource
+import socket
 import threading
 
 import pytest
@@ -231,6 +232,8 @@
 
 
 BIG = large(3_000_000)
+RECEIVE_BUFFER_BYTES = 65536  #: fixed, so that the kernel does not let it grow to tens of megabytes
+BEYOND_BUFFERS = large(12_000_000)  #: more than a sender's buffer (4 MiB at most) and that one hold together
 
 
 @pytest.mark.parametrize("form", ["length", "chunks", "close"])
@@ -361,13 +364,14 @@
 def test_a_server_that_dies_under_a_large_request_is_no_second_copy(tmp_path):
     class Dying(Peer):
         def _serve(self, sock):
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             self.seen.put(sock.recv(1 << 16))
             sock.recv(1 << 20)
             sock.close()
 
     with running(tmp_path, Dying(None), Dying(None), limits={"sockets": 256, "memory_mb": 40}) as ingress:
         client = ingress.client()
-        data = client.bytes_of(cls="book", body=BIG)
+        data = client.bytes_of(cls="book", body=BEYOND_BUFFERS)
         assert client.ask(data)[0] in (502, 503)
         counts = ingress.counts()
         assert counts["attempt.no_connection"] >= 1 and counts.get("attempt.reset", 0) == 0
