--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -38,3 +38,9 @@
     finally:
         process.kill()
         process.wait()
+
+
+def test_every_path_that_the_deploy_file_names_exists():
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    named = [*deploy["policy"], *deploy["node"]]
+    assert [path for path in named if not (ROOT / path).exists()] == []
