--- a/mapleline/balancer/cli/commands.py
+++ b/mapleline/balancer/cli/commands.py
@@ -24,7 +24,7 @@
 Addresses = Annotated[
     str, cappa.Arg(long="--at", help="control addresses, host:port, tried in order; commas between them")
 ]
-AsJson = Annotated[bool, cappa.Arg(long="--json", help="as JSON, whole")]
+AsJson = Annotated[bool, cappa.Arg(long="--json", help="as JSON, in full")]
 
 
 def print_result(result: Result[str, str], end: str = "\n") -> None:
@@ -59,7 +59,7 @@
 @cappa.command(
     name="balancer",
     aliases=[cappa.Alias("desk", hidden=True)],  # the role's first name, which start scripts may still have
-    help="The role of every machine: data plane, and a part of the core where there is a disk",
+    help="The role of every machine: data plane, and a control replica where there is a disk",
 )
 @dataclass
 class BalancerCommand:
@@ -98,7 +98,7 @@
         print_result(read_file(self.file).bind(file_checks.check_config))
 
 
-@cappa.command(name="put", help="Send a whole configuration; done once the core has it on disk")
+@cappa.command(name="put", help="Send a complete configuration; done once a majority of the voters has it on disk")
 @dataclass
 class ConfigPutCommand:
     """Put a configuration in force."""
@@ -113,7 +113,7 @@
         print_result(body.bind(lambda content: send_order(self.at, "/config/replace", content)))
 
 
-@cappa.command(name="read", help="The newest configuration, whole, or an earlier one")
+@cappa.command(name="read", help="The newest configuration, or an earlier one")
 @dataclass
 class ConfigReadCommand:
     """Read a configuration."""
@@ -127,7 +127,7 @@
         print_result(ask(self.at, "GET", path), end="")
 
 
-@cappa.command(name="history", help="What came into force, and which orders were answered, newest first")
+@cappa.command(name="history", help="What came into force, and which commands were answered, newest first")
 @dataclass
 class ConfigHistoryCommand:
     """Read the history of configurations and orders."""
@@ -180,7 +180,7 @@
         print_result(send_order(self.at, f"/evacuations/{self.zone}/{self.order}"))
 
 
-@cappa.command(name="forget", help="Take a machine with a disk away for good; it must be stopped")
+@cappa.command(name="forget", help="Remove a control replica for good; it must be stopped")
 @dataclass
 class CoreForgetCommand:
     """Remove a replica."""
@@ -193,7 +193,7 @@
         print_result(send_order(self.at, f"/core/{self.address}/forget"))
 
 
-@cappa.command(name="core", help="The machines that keep the operator's word")
+@cappa.command(name="core", help="The control replicas: machines with a disk that decide by majority")
 @dataclass
 class CoreCommand:
     """The group of commands on the replicas."""
@@ -201,7 +201,7 @@
     command: cappa.Subcommands[CoreForgetCommand]
 
 
-@cappa.command(name="status", help="What an ingress knows: its contact with the core, who votes, what is in force")
+@cappa.command(name="status", help="What a node knows: its read lease, who votes, what is in force")
 @dataclass
 class StatusCommand:
     """Read an ingress's status."""
@@ -221,7 +221,7 @@
     return json.dumps(json.loads(text), indent=2)
 
 
-@cappa.command(name="check", help="Read every file of the folder; status 1 names those that can't be believed")
+@cappa.command(name="check", help="Read every file of the folder; status 1 names those that are corrupt")
 @dataclass
 class ArchiveCheckCommand:
     """Check a stopped machine's data folder."""
@@ -233,7 +233,7 @@
         print_result(data_folder.check_archive(self.folder))
 
 
-@cappa.command(name="dump", help="The whole word as JSON on standard output; of the earlier format too")
+@cappa.command(name="dump", help="The chosen state as JSON on standard output; of the earlier format too")
 @dataclass
 class ArchiveDumpCommand:
     """Dump a stopped machine's control state."""
@@ -249,7 +249,9 @@
             print_result(data_folder.dump_archive(self.folder))
 
 
-@cappa.command(name="restore", help="Write a dump into an empty folder; the machine believes it once the core agrees")
+@cappa.command(
+    name="restore", help="Write a dump into an empty folder; the machine has no vote until the voters let it in"
+)
 @dataclass
 class ArchiveRestoreCommand:
     """Restore a dump."""
@@ -262,7 +264,7 @@
         print_result(read_file(self.dump).bind(lambda content: data_folder.restore_archive(self.folder, content)))
 
 
-@cappa.command(name="archive", help="The operator's word in a stopped machine's data folder")
+@cappa.command(name="archive", help="The control state in a stopped machine's data folder")
 @dataclass
 class ArchiveCommand:
     """The group of commands on data folders."""
@@ -275,7 +277,9 @@
 class TryCommand:
     """Run a trial cluster."""
 
-    check: Annotated[bool, cappa.Arg(long="--check", help="see orders, rivals, losses and leaving go through")] = False
+    check: Annotated[bool, cappa.Arg(long="--check", help="check commands, rivals, losses and graceful shutdown")] = (
+        False
+    )
 
     def __call__(self) -> None:
         """Run until interrupted, or through the check."""
--- a/mapleline/balancer/cli/data_folder.py
+++ b/mapleline/balancer/cli/data_folder.py
@@ -103,9 +103,9 @@
     store = SnapshotStore(str(folder))
     try:
         if store.folder.exists() and any(store.folder.iterdir()):
-            return Error(f"{folder}: holds a word already; nothing was changed")
+            return Error(f"{folder}: holds a control state already; nothing was changed")
         if state.config is not None and state.config.digest not in contents:
-            return Error(f"no dump of a word: content {state.config.digest:016x} is missing")
+            return Error(f"no dump of a control state: content {state.config.digest:016x} is missing")
         make_folder(store.folder)
         store.save(Record(0, 0, earlier_chosen=state, version=1), contents)
     except OSError as error:
@@ -119,7 +119,7 @@
 def _load(folder: Path) -> Result[StoredReplica, str]:
     """Read what a folder holds; nothing in it is changed."""
     if not (folder / FOLDER).is_dir():
-        return Error(f"{folder}: holds no word")
+        return Error(f"{folder}: holds no control state")
     try:
         record, contents, faults = SnapshotStore(str(folder)).load()
     except OSError as error:
@@ -215,8 +215,8 @@
         state = msgspec.convert([dump["state"][name] for name in State.__struct_fields__], State)
         contents = {int(name, 16): base64.b64decode(body, validate=True) for name, body in dump["contents"].items()}
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise DumpError(f"no dump of a word: {error}") from error
+        raise DumpError(f"no dump of a control state: {error}") from error
     for name, body in contents.items():
         if content_digest(body) != name:
-            raise DumpError(f"no dump of a word: content {name:016x} is another's")
+            raise DumpError(f"no dump of a control state: content {name:016x} is another's")
     return state, contents
--- a/mapleline/balancer/cli/trial/checks.py
+++ b/mapleline/balancer/cli/trial/checks.py
@@ -52,8 +52,8 @@
 def _service_steps(scenario: Scenario, cluster: TrialCluster) -> list[Step]:
     return [
         Step("a configuration is acknowledged", scenario.put_configuration),
-        Step("every ingress serves", lambda: scenario.is_served_by_all("/slots/x", "a")),
-        Step("three megabytes go up and come back", scenario.is_long_body_echoed),
+        Step("every node serves", lambda: scenario.is_served_by_all("/slots/x", "a")),
+        Step("three megabytes are echoed", scenario.is_long_body_echoed),
         Step(
             "a machine is killed, the next version acknowledged",
             lambda: scenario.put_configuration("/free/"),
@@ -75,28 +75,28 @@
 def _order_steps(scenario: Scenario) -> list[Step]:
     return [
         Step("the first version is put in force again", lambda: scenario.roll_back(1)),
-        Step("every ingress serves by that", lambda: scenario.is_served_by_all("/slots/x", "r")),
-        Step(f"of two rivals one is confirmed and one refused, {RIVAL_ROUNDS} times", scenario.play_rivals),
-        Step("an order whose answer was thrown away is confirmed at another", scenario.repeat_after_lost_answer),
-        Step("the newest again is confirmed everywhere", scenario.is_newest_confirmed_again),
-        Step("another content under its number is refused everywhere", scenario.is_other_content_refused),
+        Step("every node serves by that", lambda: scenario.is_served_by_all("/slots/x", "r")),
+        Step(f"of two rivals one is acknowledged and one rejected, {RIVAL_ROUNDS} times", scenario.play_rivals),
+        Step("a command whose answer was lost is acknowledged by another node", scenario.repeat_after_lost_answer),
+        Step("the newest again is acknowledged everywhere", scenario.is_newest_confirmed_again),
+        Step("another content under its version is rejected everywhere", scenario.is_other_content_refused),
     ]
 
 
 def _disk_steps(scenario: Scenario) -> list[Step]:
     return [
         Step(
-            "a disk is lost, and joins the core again",
+            "a disk is lost, and its machine gets a vote again",
             lambda: scenario.is_formed("z2"),
             action=lambda: scenario.restart_with_damaged_disk("z2", rmtree),
         ),
         Step(
-            "a torn file is not believed, and mended",
+            "a torn file is found, and written anew",
             lambda: scenario.is_torn_file_repaired("z3"),
             action=lambda: scenario.restart_with_damaged_disk("z3", tear_content_file),
         ),
         Step(
-            "an order is acknowledged and in force everywhere",
+            "a command is acknowledged and in force everywhere",
             lambda: scenario.put_configuration(FROZEN_PREFIX) and scenario.is_served_by_all(f"{FROZEN_PREFIX}x", "f"),
         ),
     ]
@@ -104,22 +104,22 @@
 
 def _freeze_steps(scenario: Scenario) -> list[Step]:
     return [
-        Step("a machine stands still, orders go on", scenario.order_while_frozen, action=scenario.freeze),
-        Step("thawed it comes to the newest, and never said the old", scenario.is_thawed, action=scenario.thaw),
+        Step("a machine is frozen, commands go on", scenario.order_while_frozen, action=scenario.freeze),
+        Step("thawed it catches up, and never answered with the old", scenario.is_thawed, action=scenario.thaw),
     ]
 
 
 def _membership_steps(scenario: Scenario, cluster: TrialCluster) -> list[Step]:
     return [
         Step(
-            "all are killed at once, and serve by the last word",
+            "all are killed at once, and serve by the last configuration",
             scenario.is_served_after_restart,
             action=scenario.restart_all,
         ),
         Step("a fourth machine joins", scenario.is_joined, action=scenario.join),
-        Step("one leaves in order", scenario.is_released, action=scenario.leave),
+        Step("one shuts down gracefully", scenario.is_released, action=scenario.leave),
         Step(
-            "and right after one is killed: orders go on",
+            "and right after one is killed: commands go on",
             lambda: scenario.put_configuration(name=JOINING_NODE),
             action=lambda: cluster.kill("z3"),
         ),
@@ -130,5 +130,5 @@
     return [
         Step("an evacuation is acknowledged", scenario.begin_evacuation),
         Step("the zone's servers get nothing", scenario.is_evacuated_zone_idle),
-        Step("a booking runs once", scenario.is_booked_once),
+        Step("a booking is executed once", scenario.is_booked_once),
     ]
--- a/tests/balancer/cli/test_commands.py
+++ b/tests/balancer/cli/test_commands.py
@@ -29,7 +29,7 @@
         ):
             status, text = self.run_main(*arguments)
             self.assertEqual(status, 1)
-            self.assertRegex(text, "holds no word|No such file")
+            self.assertRegex(text, "holds no control state|No such file")
 
     def test_desk_is_a_hidden_alias_of_balancer(self):
         for command in ("balancer", "desk"):
--- a/tests/balancer/cli/test_data_folder.py
+++ b/tests/balancer/cli/test_data_folder.py
@@ -11,7 +11,7 @@
 
 class TestCheck(FolderCase):
     def test_a_folder_that_holds_nothing_is_a_fault(self):
-        self.assertIn("holds no word", data_folder.check_archive(self.folder).error)
+        self.assertIn("holds no control state", data_folder.check_archive(self.folder).error)
 
     def test_a_replica_is_described_in_a_line(self):
         self.store_after(2)
