--- a/mapleline/cores/messages.py
+++ b/mapleline/cores/messages.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ..policy.interface import Life
+from ..policy.interface import ServerState
 
 JsonObject = dict[str, Any]
 Address = tuple[str, int]
@@ -41,7 +41,7 @@
     """
 
     number: int
-    life: Life
+    life: ServerState
     started_ns: int
     weight: float
     kind: int
@@ -68,7 +68,7 @@
     def decode(cls, fields: list[Any]) -> ServerEntry:
         """Read the JSON form."""
         number, life, *rest = fields
-        return cls(number, Life(life), *rest)
+        return cls(number, ServerState(life), *rest)
 
 
 # --- supervisor to worker
--- a/mapleline/cores/server_list_feed.py
+++ b/mapleline/cores/server_list_feed.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-from ..policy.interface import Life
+from ..policy.interface import ServerState
 from .messages import ServerEntry, ServerListUpdate
 
 
@@ -30,7 +30,7 @@
 
     @property
     def is_removed(self) -> bool:
-        return self.entry.life == Life.GONE
+        return self.entry.life == ServerState.GONE
 
 
 @dataclass(slots=True)
@@ -75,13 +75,13 @@
         changed = [*entries, *(self._removals(entries) if is_complete else ())]
         for entry in changed:
             self._entries[entry.number] = _VersionedEntry(self.revision, entry)
-        return [DrainChange(entry.number, entry.life != Life.READY) for entry in changed]
+        return [DrainChange(entry.number, entry.life != ServerState.READY) for entry in changed]
 
     def _removals(self, entries: Sequence[ServerEntry]) -> list[ServerEntry]:
         """A removal for each server that a complete list no longer names."""
         named = {entry.number for entry in entries}
         return [
-            replace(known.entry, life=Life.GONE)
+            replace(known.entry, life=ServerState.GONE)
             for number, known in self._entries.items()
             if number not in named and not known.is_removed
         ]
--- a/mapleline/cores/server_list_publisher.py
+++ b/mapleline/cores/server_list_publisher.py
@@ -7,7 +7,7 @@
 
 from ..http1 import BufferPool
 from ..net.discovery import Directory, Watcher, backoff
-from ..policy.interface import Life, News, Server, ServerNews
+from ..policy.interface import News, Server, ServerNews, ServerState
 from ..telemetry import COUNTS
 from .drain_flags import DrainFlags
 from .messages import ServerEntry
@@ -99,11 +99,11 @@
 
     def _entry(self, server: Server) -> ServerEntry:
         host, port = "", 0
-        if server.life != Life.GONE:
+        if server.state != ServerState.GONE:
             host, port = self._directory.places[server.server].address
         return ServerEntry(
             number=server.server,
-            life=server.life,
+            life=server.state,
             started_ns=server.started_ns,
             weight=server.weight,
             kind=server.kind,
--- a/mapleline/cores/worker.py
+++ b/mapleline/cores/worker.py
@@ -166,7 +166,7 @@
 
     def _apply_server(self, entry: ServerEntry) -> interface.Server:
         """Update the server's address; returns the entry as the decision module has it."""
-        if entry.life == interface.Life.GONE:
+        if entry.life == interface.ServerState.GONE:
             self.directory.places.pop(entry.number, None)
         else:
             self.directory.places[entry.number] = Place((entry.host, entry.port), entry.started_ns)
--- a/mapleline/cores/worker_config.py
+++ b/mapleline/cores/worker_config.py
@@ -37,8 +37,8 @@
     divided = copy.copy(config)
     start = copy.copy(config.start)
     start.workers = workers
-    start.gateway = start.gateway * workers + number
-    start.gateways = start.gateways * workers
+    start.ingress = start.ingress * workers + number
+    start.ingresses = start.ingresses * workers
     start.seed += number  # else all workers would draw the same random numbers at the same time
     divided.start = start
     divided.sockets = worker_sockets(config.sockets, workers)
--- a/mapleline/engine/drivers.py
+++ b/mapleline/engine/drivers.py
@@ -17,16 +17,16 @@
     """Decides what becomes of requests (mapleline/policy).
 
     Attributes:
-        s: its settings.
-        acts: the actions decided so far for the event in hand.
-        fleet: this ingress's shares of the fleet's budgets; None where each ingress stands alone.
+        settings: its settings.
+        actions: the actions decided so far for the event in hand.
+        budgets: this ingress's shares of the fleet's budgets; None where each ingress stands alone.
         zones: the fleet's decisions on zones; None where zones are not watched.
         tiers: sets of zones, the preferred set first.
     """
 
-    s: Start
-    acts: list[Action]
-    fleet: BudgetShares | None
+    settings: Start
+    actions: list[Action]
+    budgets: BudgetShares | None
     zones: ZoneEjection | None
     tiers: list[frozenset[int]]
 
@@ -106,7 +106,7 @@
     """Keeps requests in flight on record, so that another ingress can take them over (net/handoff.py)."""
 
     def record_accepted(self, request: OpenRequest, arrival: Arrival) -> None:
-        """Record a new request; may set `arrival.paid`."""
+        """Record a new request; may set `arrival.is_counted`."""
 
     def record_sending(self, attempt: Attempt) -> bool:
         """Record an attempt before it is sent; False if it must not be, since another ingress has the request."""
--- a/mapleline/engine/engine.py
+++ b/mapleline/engine/engine.py
@@ -58,7 +58,7 @@
         """Drive a decision module; `clock` returns its time, ns."""
         self._module = module
         self._clock = clock
-        self._settings = module.s
+        self._settings = module.settings
         self.requests: dict[int, OpenRequest] = {}
         self._answered: dict[int, OpenRequest] = {}  # those with attempts in flight
         self._last_id = 0
@@ -89,7 +89,7 @@
         self, budgets: BudgetShares, zones: ZoneEjection | None = None, tiers: Iterable[frozenset[int]] = ()
     ) -> None:
         """Give the decision module the fleet's budgets, its decisions on zones and the tiers of zones."""
-        self._module.fleet = budgets
+        self._module.budgets = budgets
         self._module.zones = zones
         self._module.tiers = list(tiers)
 
@@ -105,8 +105,8 @@
         """
         self._last_id = (self._last_id + 1) % REQUEST_IDS
         arrival.request = self._last_id
-        deadline_ns = self._clock() + (BODY_LIMIT_NS if arrival.coming else arrival.ttl_ns)
-        request_class = self._settings.classes[arrival.cls]
+        deadline_ns = self._clock() + (BODY_LIMIT_NS if arrival.is_body_pending else arrival.ttl_ns)
+        request_class = self._settings.classes[arrival.class_id]
         request = OpenRequest(self._last_id, request_class, payload, answerer, deadline_ns)
         self.requests[request.id] = request
         COUNTS["request.accepted"] += 1
@@ -274,9 +274,9 @@
 
     def _notify_outcome(self, attempt: Attempt, result: Result) -> None:
         request = attempt.request
-        took_ns = attempt.time_to_first_byte_ns or self._clock() - attempt.sent_ns
+        duration_ns = attempt.time_to_first_byte_ns or self._clock() - attempt.sent_ns
         outcome = interface.Outcome(
-            request.id, attempt.server, attempt.number, took_ns, result, final=request.is_answered
+            request.id, attempt.server, attempt.number, duration_ns, result, is_final=request.is_answered
         )
         self._module_driver.notify(outcome)
 
@@ -304,7 +304,7 @@
         What the module had decided by then counts.  A request that it was handling and that has no attempt in
         flight fails now rather than at its deadline; a timer goes off again.
         """
-        actions = list(self._module.acts)
+        actions = list(self._module.actions)
         if isinstance(event, interface.Timer):
             actions.append(interface.SetTimer(TIMER_RETRY_NS, event.token))
         request = self.requests.get(getattr(event, "request", NO_REQUEST))
@@ -342,7 +342,7 @@
         number = request.attempts_sent if request is not None else 0
         COUNTS[ATTEMPT_COUNTERS[Result.MOOT]] += 1
         outcome = interface.Outcome(
-            action.request, action.server, number, took_ns=0, result=Result.MOOT, final=request is None
+            action.request, action.server, number, duration_ns=0, result=Result.MOOT, is_final=request is None
         )
         self._module_driver.notify(outcome)
 
@@ -377,7 +377,7 @@
     def _call_counter(self, action: interface.Count) -> None:
         COUNTS["counter.called"] += 1
         call = CounterCall(action.name, action.amount, action.ttl_ns, self._clock())
-        timeout_ns = self._settings.count_wait_ns or COUNTER_TIMEOUT_NS
+        timeout_ns = self._settings.counter_timeout_ns or COUNTER_TIMEOUT_NS
         self._timers.add(call.created_ns + timeout_ns, call)
         self._counter_calls.add(call)
         self.counter.add(call)
--- a/mapleline/http1/translator.py
+++ b/mapleline/http1/translator.py
@@ -107,7 +107,7 @@
             raise RejectedRequestError(400, "bad X-Weight")
         weight = Weight(float(match[1]), int(match[2]), int(match[3]))
         start = self._start
-        if not 0 < weight.units <= start.largest_units or not 0 < weight.spread <= start.gateways > weight.first:
+        if not 0 < weight.units <= start.max_units or not 0 < weight.spread <= start.ingresses > weight.first:
             raise RejectedRequestError(400, "bad X-Weight")
         return weight
 
--- a/mapleline/ingress.py
+++ b/mapleline/ingress.py
@@ -133,7 +133,7 @@
         COUNTS["discovery.lines"] += len(news.servers)
         self.upstreams.update(self.directory.places)
         for line in news.servers:
-            if line.life == i.Life.DRAINING:  # nothing new will go there
+            if line.state == i.ServerState.DRAINING:  # nothing new will go there
                 self.upstreams.close_idle(line.server)
         self.engine.handle_server_update(news)
         # An empty list from before the start is no reason to send clients here.
--- a/mapleline/net/discovery.py
+++ b/mapleline/net/discovery.py
@@ -27,7 +27,7 @@
 SPARE_S = 1.5  # for the answer of a watch whose time is over
 WHOLE_S = 1.0  # for the whole list, which the agent gives without waiting
 ASK_SHARE = 2.0  # of the time without a call after which the list counts as told; four times it after one
-LIVES = {"in_service": i.Life.READY, "terminating": i.Life.DRAINING, "terminated": i.Life.GONE}
+LIVES = {"in_service": i.ServerState.READY, "terminating": i.ServerState.DRAINING, "terminated": i.ServerState.GONE}
 
 
 class Directory:
@@ -55,7 +55,7 @@
             listed = {line.server for line in lines}
             self.places = {n: place for n, place in self.places.items() if n in listed}
         for line in lines:
-            if line.life == i.Life.GONE:
+            if line.state == i.ServerState.GONE:
                 self.places.pop(line.server, None)
         self._numbers = {uid: n for uid, n in self._numbers.items() if n in self.places}
         for table in (self.zones, self.ids):
@@ -117,7 +117,7 @@
     """The pauses of one watcher.  Asked calls are work for the fleet's one discovery; where changes are
     pushed, the agent on this machine answers alone, and each moment without a watch is one without news."""
     most_s = ASK_SHARE * start.list_ask_within_ns / 1e9
-    fleet = start.gateways if start.list_on_request else 1
+    fleet = start.ingresses if start.list_on_request else 1
     return Backoff(start.seed, fleet, most_s or float("inf"))
 
 
--- a/mapleline/net/fleet.py
+++ b/mapleline/net/fleet.py
@@ -51,7 +51,7 @@
     """Send heartbeats, claim budgets, and eject zones with the fleet where that is enabled."""
     start = ingress.config.start
     spill_share = own.zones.spill_share if own.zones.enabled else 0.0
-    position = RosterPosition(start.gateway, start.gateways)
+    position = RosterPosition(start.ingress, start.ingresses)
     member = FleetMember(ingress.reactor, own.budgets, ingress.buffers, ingress.config.counter, position, spill_share)
     member.shares.server_ids = ingress.directory.ids
     ejection: ZoneEjection | None = None
--- a/mapleline/net/handoff.py
+++ b/mapleline/net/handoff.py
@@ -189,10 +189,10 @@
         """Log a request that the engine takes in; one that is logged was taken over."""
         wish = request.payload
         if self.ids.take_charged(wish.id):
-            arrival.paid = True
+            arrival.is_counted = True
         if text_of(wish.id) in self.in_flight.requests or not self.holds_lease():
             return
-        class_name = self._names.classes[arrival.cls]
+        class_name = self._names.classes[arrival.class_id]
         plan_name = self._names.plans[arrival.plan]
         self.append_record(accepted_record(wish, arrival, class_name, plan_name, time.time()))
 
--- a/mapleline/net/log_adoption.py
+++ b/mapleline/net/log_adoption.py
@@ -216,14 +216,14 @@
         """Give a request to the engine as if it had come here, with its units charged already."""
         arrival = Arrival(
             request=0,
-            cls=self._names.classes.index(record["cls"]),
+            class_id=self._names.classes.index(record["cls"]),
             plan=self._names.plans.index(record["plan"]),
             customer=record["customer"],
             ttl_ns=request_class.deadline_ns,
             units=record["units"],
-            spread=record["spread"],
-            first=record["start"],
-            paid=True,
+            ingress_count=record["spread"],
+            first_ingress=record["start"],
+            is_counted=True,
         )
         request = Request(
             method=record["method"].encode(),
--- a/mapleline/policy/admission.py
+++ b/mapleline/policy/admission.py
@@ -40,8 +40,7 @@
             total, follows, own = max(0.0, c.known + c.unseen / c.share), win == c.win + 1, c.own + c.peer_own
             if follows and total > 0 and own > 0:  # own part, for when the counter is gone
                 c.share += 0.5 * (min(1.0, max(own / total, 0.5 / c.spread)) - c.share)
-            # Never above the limit: what lies beyond was refused, if not taken off again.
-            c.prev = min(self.limit(plan), total) if follows else 0.0
+            c.prev = min(self.limit(plan), total) if follows else 0.0  # what lies beyond was refused
             c.win, c.known, c.blind, c.owed, c.own = win, 0.0, 0.0, 0.0, 0.0
             c.peer_blind, c.peer_own, c.known_at, c.put, c.least = 0.0, 0.0, 0, 0.0, 0.0
         gained = plan.rate * (self.now - c.saved_at) / 1e9 if c.saved_at else self.limit(plan)
@@ -52,26 +51,25 @@
         """One call a try; late and missing answers thin them out by lot, most where they change little."""
         c, left, odds = r.who, self.roll(r.who, r.plan), self.odds_of(r)
         r.call_win = c.win
-        stakes = min(odds, odds - self.gain(r)) * r.cls.worth * r.plan.price * r.ev.units
+        stakes = min(odds, odds - self.gain(r)) * r.cls.value * r.plan.value_factor * r.ev.units
         self.mean_stakes += PLAN_GAIN * (stakes - self.mean_stakes)
         share = self.asking * max(CALLS_EVEN, stakes / self.mean_stakes)
         if self.asking < 1 and self.thin(r) and self.over.get(r.ev.customer, 0) > self.now:
             return self.finish(r, self.over[r.ev.customer] - self.now, True)
-        if not self.s.may_count or self.rng.random() > share or not self.may("calls"):
+        if not self.settings.may_count or self.rng.random() > share or not self.may("calls"):
             return self.decide(r, None)
-        # A try that asks stands for those let in that did not.  A refused try's units block the customer
-        # elsewhere: where the last totals already speak against it, the call only reads.
+        # Adds units of uncounted admissions too; only reads if over the limit: refused units block others.
         if c.prev * left + c.known + c.unseen / c.share <= self.limit(r.plan) or self.saved_up(r):
             r.charged = r.ev.units / (min(1.0, share) if self.thin(r) and self.gain(r) > 0 else 1.0)
         c.owed += r.charged
         self.call(r)
-        if self.patience != self.s.count_wait_ns:  # else the call's own time-out ends the wait
+        if self.patience != self.settings.counter_timeout_ns:  # else the call's own time-out ends the wait
             self.timer(self.patience, COUNT_WAIT, r.ev.request)
 
     def call(self, r: Request) -> None:
         c, name = r.who, mix64(r.ev.customer, r.who.win)
         self.calls.setdefault(name, []).append((r, c.win, c.owed))
-        self.acts.append(i.Count(name, c.owed, min(NAME_LIFE_NS, 3 * self.window(r.plan))))
+        self.actions.append(i.Count(name, c.owed, min(NAME_LIFE_NS, 3 * self.window(r.plan))))
         c.owed = 0.0
 
     def saved_up(self, r: Request) -> bool:
@@ -84,12 +82,12 @@
 
     def odds_of(self, r: Request) -> float:
         """How often tries like this one were inside by the counter: this customer's, else the plan's."""
-        return r.who.odds if r.who.odds >= 0 else self.odds.get((r.ev.plan, r.ev.repeat), ODDS_START)
+        return r.who.odds if r.who.odds >= 0 else self.odds.get((r.ev.plan, r.ev.is_retry), ODDS_START)
 
     def gain(self, r: Request) -> float:
         """What letting in an unknown try earns at the odds seen, as a part of a sure one's worth."""
         odds = self.odds_of(r)
-        return odds - (1 - odds) * max(0.0, r.plan.over_cost - r.plan.over_worth)
+        return odds - (1 - odds) * max(0.0, r.plan.over_quota_cost - r.plan.over_quota_value)
 
     def on_counted(self, ev: i.Counted) -> None:
         queue = self.calls.get(ev.name)
@@ -99,9 +97,9 @@
         c, answered = r.who, ev.result == OK
         if answered:
             grow = CALLS_GROW if self.asking_cut else 4 * CALLS_GROW  # nobody knows yet what it bears
-            grow *= 1 - ev.took_ns / (CALLS_WAIT * self.patience)
+            grow *= 1 - ev.duration_ns / (CALLS_WAIT * self.patience)
             self.asking = max(CALLS_LEAST, min(CALLS_MOST, self.asking + grow / self.asking))
-        elif (ev.took_ns >= self.patience or ev.result in i.NEVER_RAN) and (
+        elif (ev.duration_ns >= self.patience or ev.result in i.NEVER_RAN) and (
                 self.now - self.asking_cut > self.patience):  # an answer spoilt on its way tells of no load
             self.asking, self.asking_cut = max(CALLS_LEAST, CALLS_CUT * self.asking), self.now  # once a jam
         self.say("counter down", self.asking <= CALLS_LEAST)
@@ -129,7 +127,7 @@
         estimate = weighted(c.prev, left, c.known if before is None else before)
         inside = estimate <= limit or before is not None and self.saved_up(r)
         if before is not None:
-            kind, odds = (r.ev.plan, r.ev.repeat), self.odds_of(r)
+            kind, odds = (r.ev.plan, r.ev.is_retry), self.odds_of(r)
             c.odds = odds + ODDS_GAIN * (inside - odds)
             odds = self.odds.get(kind, ODDS_START)
             self.odds[kind] = odds + PLAN_GAIN * (inside - odds)
@@ -145,23 +143,22 @@
                 c.owed += u
             r.charged = r.charged or u
             return self.dispatch(r)
-        # The previous total weighs less from moment to moment: the estimate is down at the limit after this
-        # share of the window, or, with the current total alone above it, not before the window ends.
+        # The previous total fades: the estimate fits after this share, or at the end if `known` is over.
         part = min(left, (estimate - limit) / c.prev) if c.prev > 0 and estimate > limit else left
         part = left if c.known > limit else part
         if before is not None and estimate > limit and self.over.get(r.ev.customer, 0) < self.now:
-            # Over until then: its other gateways see too little of it to learn that themselves.
             self.over[r.ev.customer] = self.now + int(part * self.window(r.plan))
-            if self.thin(r):
-                others = [(r.ev.first + n) % self.s.gateways for n in range(c.spread)]
+            if self.thin(r):  # its other ingresses see too little of it to learn that themselves
+                others = [(r.ev.first_ingress + n) % self.settings.ingresses for n in range(c.spread)]
                 self.tell(others, r.ev.customer, CUSTOMER, self.over[r.ev.customer])
         self.finish(r, part * self.window(r.plan), True)
 
     def tell(self, others: list[int], key: int, cls: int, until: int) -> None:
         """Where gateways may talk; all together send half of what each takes in, saved up to one word."""
-        if self.s.may_tell and self.tell_credit >= len(others):
+        if self.settings.may_message_peers and self.tell_credit >= len(others):
             self.tell_credit -= len(others)
-            self.acts += [i.Tell(n, WORD.pack(key, cls, until)) for n in others if n != self.s.gateway]
+            self.actions += [i.Tell(n, WORD.pack(key, cls, until))
+                             for n in others if n != self.settings.ingress]
 
     def on_told(self, ev: i.Told) -> None:
         key, cls, until = WORD.unpack(ev.data) if len(ev.data) == WORD.size else (-1, 0, 0)
@@ -172,18 +169,19 @@
 
     def open_room(self, r: Request) -> bool:
         """Attempts out at once: this gateway's part of the cap, at least one."""
-        return not r.plan.open or r.who.out + r.who.peer_out < max(1, round(r.plan.open * r.who.share + 0.25))
+        return not r.plan.max_in_flight or r.who.out + r.who.peer_out < max(
+            1, round(r.plan.max_in_flight * r.who.share + 0.25))
 
     def extra(self, r: Request) -> bool:
         """Beyond the quota only where it earns more than it costs and less than half the room is used."""
-        return r.plan.over_worth > r.plan.over_cost and self.out < 0.5 * self.room
+        return r.plan.over_quota_value > r.plan.over_quota_cost and self.out < 0.5 * self.room
 
     def ceiling(self, r: Request) -> bool:
         """Own part of the hard ceiling, safe whatever others do; spent at start, by the one before it."""
         p, c = r.plan, r.who
         if p.rate > 0 and p.burst > 0:
             self.roll(c, p)  # the store as any worker left it; without a quota each has its part
-        part = 1 / (c.spread * (self.s.workers if p.rate <= 0 or p.burst <= 0 else 1))
+        part = 1 / (c.spread * (self.settings.workers if p.rate <= 0 or p.burst <= 0 else 1))
         full, rate = (p.ceiling_burst + 0.9 * p.ceiling_slack) * part, p.ceiling_rate * part / 1e9
         c.store = min(full, c.store + rate * (self.now - (c.store_at or self.born)))
         c.store_at = self.now
--- a/mapleline/policy/brain.py
+++ b/mapleline/policy/brain.py
@@ -1,7 +1,6 @@
-"""Every decision of a gateway, by concern: admission.py, choice.py, tries.py, health.py.
-What it is told and what it may do: mapleline/policy/interface.py; what it remembers: state.py.
-A request's path: on_arrival, ask (counter call), decide (two-window estimate), dispatch (ceiling, server,
-Send), on_outcome (again, or end), finish (the one final answer)."""
+"""All decisions of an ingress: admission.py, choice.py, tries.py, health.py; what they remember: state.py.
+Events and actions: mapleline/policy/interface.py.  A request: on_arrival, ask (counter call), decide
+(two-window estimate), dispatch (ceiling, server, Send), on_outcome (retry or end), finish (final answer)."""
 
 
 from . import interface as i
@@ -19,58 +18,56 @@
 
     def __init__(self, start: i.Start) -> None:
         super().__init__(start)
-        self.patience = min(start.count_wait_ns or self.aim, self.aim * MISS_SHARE)  # with the counter
+        self.patience = min(start.counter_timeout_ns or self.aim, self.aim * MISS_SHARE)  # with the counter
         self.asking, self.asking_cut, self.mean_stakes = CALLS_FIRST, 0, 1e-9  # share of tries that call
         self.on = {i.Arrival: self.on_arrival, i.Outcome: self.on_outcome, i.Timer: self.on_timer,
-                   i.Counted: self.on_counted, i.ServerNews: self.on_news, i.Left: self.on_left,
-                   i.Begun: self.on_left, i.Probed: lambda ev: None, i.Told: self.on_told,
-                   i.Whole: self.on_whole, i.ZoneTurn: self.on_zone}
+          i.Counted: self.on_counted, i.ServerNews: self.on_news, i.Left: self.on_left, i.Begun: self.on_left,
+          i.Probed: lambda ev: None, i.Told: self.on_told, i.Whole: self.on_whole, i.ZoneTurn: self.on_zone}
 
     def handle(self, now_ns: int, event: i.Event) -> list[i.Action]:
-        """Take one event, return the actions in order."""
-        self.now, self.acts = now_ns, []
+        self.now, self.actions = now_ns, []
         if self.born < 0:
             self.born = now_ns
             self.timer(self.aim // 2, TICK, 0)
-            self.acts += [i.Watch()] if self.s.list_on_request else []
+            self.actions += [i.Watch()] if self.settings.list_on_request else []
         self.on[type(event)](event)
         if self.peers is not None:
             self.peers.publish()
-        return self.acts
+        return self.actions
 
     def timer(self, after: float, kind: int, ref: int) -> None:
         owner = None if kind == TICK else ref
-        self.acts.append(i.SetTimer(max(0, int(after)), ref * 8 + kind, owner))
+        self.actions.append(i.SetTimer(max(0, int(after)), ref * 8 + kind, owner))
 
     def say(self, what: str, state: bool) -> None:
         if self.says.get(what, False) != state:
             self.says[what] = state
-            self.acts.append(i.Log(f"{what}: {'yes' if state else 'no'}"))
+            self.actions.append(i.Log(f"{what}: {'yes' if state else 'no'}"))
 
     def may(self, what: str, key: int = 0, size: float = 1.0, part: float = 1.0) -> bool:
-        return self.fleet is None or self.fleet.take(what, self.now, key, size, part)
+        return self.budgets is None or self.budgets.take(what, self.now, key, size, part)
 
     def on_arrival(self, ev: i.Arrival) -> None:
-        s, cls = self.s, self.s.classes[ev.cls]
+        s, cls = self.settings, self.settings.classes[ev.class_id]
         plan = s.plans[ev.plan] if ev.plan < len(s.plans) else i.Plan()
-        c = Customer(ev.plan, max(1, min(ev.spread, s.gateways)), key=ev.customer)
+        c = Customer(ev.plan, max(1, min(ev.ingress_count, s.ingresses)), key=ev.customer)
         c = self.customers.setdefault(ev.customer, c)
         c.seen_at = self.now
         r = self.requests[ev.request] = Request(ev, cls, plan, c, at=self.now)
         spent = 0  # a marked later try with another patience than first ones has what is left of the deadline
-        if not ev.repeat:
-            self.first_ttl[ev.cls] = ev.ttl_ns
-        elif abs(ev.ttl_ns - self.first_ttl[ev.cls]) > 0.02 * cls.deadline_ns:
+        if not ev.is_retry:
+            self.first_ttl[ev.class_id] = ev.ttl_ns
+        elif abs(ev.ttl_ns - self.first_ttl[ev.class_id]) > 0.02 * cls.deadline_ns:
             spent = max(0, cls.deadline_ns - ev.ttl_ns)
-        useful = cls.aim_ns - spent if cls.late_worth <= 0 else ev.ttl_ns
+        useful = cls.latency_target_ns - spent if cls.late_value <= 0 else ev.ttl_ns
         r.end = self.now + max(0, min(ev.ttl_ns, useful) - 3 * s.tick_ns)  # later no answer can earn
-        if cls.late_worth <= 0 and useful < self.usual[ev.cls]:
+        if cls.late_value <= 0 and useful < self.usual[ev.class_id]:
             return self.finish(r)
-        if not ev.coming:
+        if not ev.is_body_pending:
             self.timer(r.end - self.now, GUARD, ev.request)
         if self.out >= int(self.room + self.rng.random()):  # a lot for the odd part: right over many gateways
             self.finish(r, s.max_retry_after_ns)
-        elif plan.rate > 0 and plan.burst > 0 and not ev.paid:
+        elif plan.rate > 0 and plan.burst > 0 and not ev.is_counted:
             self.ask(r)
         else:
             self.dispatch(r) if self.open_room(r) or self.extra(r) else self.finish(r)
@@ -83,7 +80,7 @@
             self.timer(r.end - self.now, GUARD, ev.request)
             for n, sid in r.live.items():
                 if sid in self.servers and self.servers[sid].out.pop((ev.request, n), None):
-                    self.servers[sid].out[(ev.request, n)] = (self.now, self.usual[r.ev.cls])
+                    self.servers[sid].out[(ev.request, n)] = (self.now, self.usual[r.ev.class_id])
 
     def on_timer(self, ev: i.Timer) -> None:
         kind, rid = ev.token % 8, ev.token // 8
@@ -109,10 +106,11 @@
         """Twice an aim: slow forgetting, and dropping what is no longer needed."""
         self.timer(self.aim // 2, TICK, 0)
         self.say("overload", self.out >= self.room)
-        self.tell_credit = min(self.s.gateways, self.tell_credit + self.s.tell_in_per_s / 4 * self.aim / 1e9)
+        self.tell_credit = min(self.settings.ingresses,
+                               self.tell_credit + self.settings.peer_messages_per_s / 4 * self.aim / 1e9)
         for sid, sv in list(self.servers.items()):
             sv.slow, sv.bad = 0.95 * sv.slow + 0.05, 0.95 * sv.bad  # else one never chosen would stay out
-            if sv.life == i.Life.GONE and not sv.out:
+            if sv.life == i.ServerState.GONE and not sv.out:
                 del self.servers[sid]
         self.refresh()
         self.calls = {name: queue for name, queue in self.calls.items() if queue}
--- a/mapleline/policy/health.py
+++ b/mapleline/policy/health.py
@@ -19,31 +19,31 @@
 class Health:
 
     def on_news(self, ev: i.ServerNews) -> None:
-        self.acts += [i.Watch()] if ev.news == i.News.FAILED and self.s.list_on_request else []
+        self.actions += [i.Watch()] if ev.news == i.News.FAILED and self.settings.list_on_request else []
         if ev.news in (i.News.FULL, i.News.CACHED):
             for sv in self.servers.values():
-                sv.life = i.Life.GONE
+                sv.life = i.ServerState.GONE
         for line in ev.servers:
             sv = self.servers.setdefault(line.server, Server(line.server, answered=self.now))
-            sv.life, sv.weight, sv.zone = line.life, max(line.weight, 1e-3), line.zone
+            sv.life, sv.weight, sv.zone = line.state, max(line.weight, 1e-3), line.zone
             if sv.life != READY:  # it turned away because it drained, not because there is too much out
                 self.room, sv.cost = self.room + sv.cost, 0.0
             if sv.started != line.started_ns:  # a new process: cold, and not to blame for the old one
                 sv.started, sv.slow, sv.bad, sv.fails, sv.hold = line.started_ns, 1.0, 0.0, 0, 0
         self.refresh()
-        mean = FIRST_ROOM * len(self.servers) / self.s.gateways
+        mean = FIRST_ROOM * len(self.servers) / self.settings.ingresses
         self.room = self.room or mean + CHANCE_ROOM * mean ** 0.5
 
     def on_zone(self, ev: i.ZoneTurn) -> None:
         """Left: what is out there and may be repeated goes elsewhere at once.  Back: its servers are cold."""
-        self.left[ev.zone] = ev.left
+        self.left[ev.zone] = ev.is_left
         there = {sv.id: sv for sv in self.servers.values() if sv.zone == ev.zone}
-        for sv in there.values() if not ev.left else ():
+        for sv in there.values() if not ev.is_left else ():
             sv.regained, sv.slow, sv.bad, sv.fails, sv.hold = self.now, 1.0, 0.0, 0, 0
         self.refresh()
-        for rid, r in self.requests.items() if ev.left else ():
+        for rid, r in self.requests.items() if ev.is_left else ():
             if not r.stream and self.repeatable(r, True):
-                self.acts += [i.Cancel(rid, n) for n, sid in r.live.items() if sid in there]
+                self.actions += [i.Cancel(rid, n) for n, sid in r.live.items() if sid in there]
 
     def learn(self, ev: i.Outcome, r: Request | None, sv: Server) -> None:
         """Judge a server by what comes back: errors, no connection, resets, silence, slow answers."""
@@ -51,21 +51,22 @@
         self.zones and self.zones.ended(sv.zone, ev.result, self.now)
         if ev.result == OK:
             sv.answered, sv.fails, sv.bad, sv.cost = self.now, 0, sv.bad * (1 - PRAISE), 0.0
-            self.credit = min(10.0 / self.s.workers, self.credit + RETRY_SHARE)
+            self.credit = min(10.0 / self.settings.workers, self.credit + RETRY_SHARE)
             if r is not None and sent is not None:
-                usual = self.usual[r.ev.cls]
-                sv.slow += SLOW_GAIN * (ev.took_ns / usual - sv.slow)
-                self.usual[r.ev.cls] += 0.02 * (ev.took_ns - usual)
-                if ev.took_ns > AIM_QUEUE * r.cls.aim_ns:
+                usual = self.usual[r.ev.class_id]
+                sv.slow += SLOW_GAIN * (ev.duration_ns / usual - sv.slow)
+                self.usual[r.ev.class_id] += 0.02 * (ev.duration_ns - usual)
+                if ev.duration_ns > AIM_QUEUE * r.cls.latency_target_ns:
                     self.crowded()
                 elif self.out > 0.5 * self.room:
                     self.room += 0.4 * min(0.5, ROOM_STEP * self.room)
-        elif ev.result == i.Result.REJECTED and r is not None and ev.took_ns > SLOW_FULL * r.cls.aim_ns:
-            # A full line is told at once: who takes time to say it holds back a class, with room for others.
-            known = sv.full_for.get(r.ev.cls, 0) > self.now
-            sv.full_for[r.ev.cls] = self.now + int(HELD_BACK * r.cls.aim_ns)
+        elif ev.result == i.Result.REJECTED and r is not None and (  # a full queue rejects at once:
+                ev.duration_ns > SLOW_FULL * r.cls.latency_target_ns):  # here one class is held back
+            known = sv.full_for.get(r.ev.class_id, 0) > self.now
+            sv.full_for[r.ev.class_id] = self.now + int(HELD_BACK * r.cls.latency_target_ns)
             if not known:
-                self.tell(list(range(self.s.gateways)), sv.id, r.ev.cls, sv.full_for[r.ev.cls])
+                self.tell(list(range(self.settings.ingresses)), sv.id, r.ev.class_id,
+                          sv.full_for[r.ev.class_id])
         elif ev.result == i.Result.REJECTED:  # full: no knocking again until its line can have moved
             self.hold_off(sv)
             room = self.room
@@ -74,7 +75,7 @@
         elif ev.result in (i.Result.ERROR, i.Result.NO_CONNECTION, i.Result.RESET) or (
                 ev.result in (i.Result.TIMEOUT, i.Result.CANCELLED) and sent and self.silent(sv, sent)):
             if sv.bad <= EJECT < sv.bad + BLAME * (1 - sv.bad):
-                self.acts.append(i.Log(f"server {sv.id} ejected: {ev.result.name.lower()}"))
+                self.actions.append(i.Log(f"server {sv.id} ejected: {ev.result.name.lower()}"))
             sv.bad += BLAME * (1 - sv.bad)
             if sv.bad > EJECT:
                 self.hold_off(sv)
@@ -86,7 +87,7 @@
 
     def crowded(self) -> None:
         """Late, overdue and full: less may be out, so that lines drain.  Harm: few slow servers cost room."""
-        least = LEAST_ROOM * len(self.servers) / self.s.gateways
+        least = LEAST_ROOM * len(self.servers) / self.settings.ingresses
         self.room = max(least, self.room - min(0.5, ROOM_STEP * self.room))
 
     def silent(self, sv: Server, sent: tuple | None = None) -> bool:
@@ -95,7 +96,8 @@
         return sv.answered < at and self.now - at > SILENT * usual
 
     def usable(self, sv: Server, cls: int) -> bool:
-        if self.fleet is not None and self.fleet.limit and len(sv.out) >= self.fleet.slots(sv.id, self.now):
+        if self.budgets is not None and self.budgets.limit and (
+                len(sv.out) >= self.budgets.slots(sv.id, self.now)):
             return False
         if sv.life != READY or self.now < sv.hold or sv.out and (sv.bad > EJECT or self.silent(sv)):
             return False
@@ -103,7 +105,7 @@
 
     def refresh(self) -> None:
         ready = [sv for sv in self.servers.values() if sv.life == READY and not self.left.get(sv.zone)]
-        cold = {sv.id: 0 < max(sv.started, sv.regained) > self.now - self.s.warm_up_ns for sv in ready}
+        cold = {sv.id: 0 < max(sv.started, sv.regained) > self.now - self.settings.warm_up_ns for sv in ready}
         self.warm = [sv for sv in ready if not cold[sv.id]]
         first = next((t for t in self.tiers if any(sv.zone in t for sv in ready)), None)
         ready = [sv for sv in ready if first is None or sv.zone in first]  # nothing spills to cold servers
@@ -113,8 +115,8 @@
         """A cold server's even share of first attempts times the climb so far, by lot."""
         ticket = self.rng.random() * self.weight
         for sv in self.cold:
-            climbed = max(0, self.now - max(sv.started, sv.regained)) / self.s.warm_up_ns
-            part = self.s.cold_from + (1 - self.s.cold_from) * climbed
+            climbed = max(0, self.now - max(sv.started, sv.regained)) / self.settings.warm_up_ns
+            part = self.settings.slow_start_share + (1 - self.settings.slow_start_share) * climbed
             ticket -= sv.weight * part
             if ticket < 0:
                 return sv if self.usable(sv, cls) and self.may("cold", sv.id, part) else None
--- a/mapleline/policy/interface.py
+++ b/mapleline/policy/interface.py
@@ -26,7 +26,7 @@
     CELL = 2
 
 
-class Weights(IntEnum):
+class WeightKind(IntEnum):
     """What a server's listed weight means."""
 
     NONE = 0
@@ -35,7 +35,7 @@
     LIVE = 3
 
 
-class Life(IntEnum):
+class ServerState(IntEnum):
     """A server's standing on the list."""
 
     READY = 0
@@ -73,13 +73,13 @@
 class RequestClass:
     """One class of request."""
 
-    aim_ns: int
+    latency_target_ns: int
     deadline_ns: int
     effect: Effect = Effect.SAFE
     scope: Scope = Scope.ALL
     key_ttl_ns: int = 0
-    late_worth: float = 0.0
-    worth: float = 1.0
+    late_value: float = 0.0
+    value: float = 1.0
     stream: bool = False
 
 
@@ -89,13 +89,13 @@
 
     rate: float = 0.0
     burst: float = 0.0
-    open: int = 0
+    max_in_flight: int = 0
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
-    over_worth: float = 0.0
-    over_cost: float = 0.0
-    price: float = 1.0
+    over_quota_value: float = 0.0
+    over_quota_cost: float = 0.0
+    value_factor: float = 1.0
     window_ns: int = field(default=0, compare=False)  #: the module's own, worked out once
     limit: float = field(default=0.0, compare=False)  #: units of a window; the module's own
 
@@ -104,20 +104,20 @@
 class Start:
     """Everything a gateway is told when it starts."""
 
-    gateway: int = 0
-    gateways: int = 1
+    ingress: int = 0
+    ingresses: int = 1
     workers: int = 1  #: processes of this gateway, which share its part of a customer's quota
     seed: int = 0
     zone: int = 0
     zones: int = 1
     classes: list[RequestClass] = field(default_factory=list)
     plans: list[Plan] = field(default_factory=list)
-    weights: Weights = Weights.NONE
+    weight_kind: WeightKind = WeightKind.NONE
     list_on_request: bool = False
     list_ask_within_ns: int = 0
     tick_ns: int = 1_000_000
     answer_slack_ns: int = 0
-    cold_from: float = 1.0
+    slow_start_share: float = 1.0
     warm_up_ns: int = 0
     fall_multiple: float = 1.0
     fall_window_ns: int = 0
@@ -126,16 +126,16 @@
     connect_timeout_ns: int = 0
     may_cancel: bool = False
     may_probe: bool = False
-    may_tell: bool = False
-    tell_in_per_s: float = 0.0
-    may_copy: bool = False
+    may_message_peers: bool = False
+    peer_messages_per_s: float = 0.0
+    may_hedge: bool = False
     may_advise: bool = False
     may_count: bool = False
-    settles: bool = False
+    corrects_units: bool = False
     marks_retries: bool = False
-    largest_units: float = 1.0
-    count_wait_ns: int = 0
-    reports: tuple[str, ...] = ()
+    max_units: float = 1.0
+    counter_timeout_ns: int = 0
+    report_fields: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
@@ -143,7 +143,7 @@
     """One line of the server list."""
 
     server: int
-    life: Life = Life.READY
+    state: ServerState = ServerState.READY
     started_ns: int = 0
     weight: float = 1.0
     kind: int = 0
@@ -156,16 +156,16 @@
     """A client's request; one final answer is owed."""
 
     request: int
-    cls: int
+    class_id: int
     plan: int
     customer: int
     ttl_ns: int
     units: float = 1.0
-    spread: int = 1
-    first: int = 0
-    repeat: bool = False
-    coming: bool = False  #: its body is still coming in: `ttl_ns` counts from the Whole event
-    paid: bool = False  #: its units are on the count already: another gateway had accepted it
+    ingress_count: int = 1
+    first_ingress: int = 0
+    is_retry: bool = False
+    is_body_pending: bool = False  #: its body is still coming in: `ttl_ns` counts from the Whole event
+    is_counted: bool = False  #: its units are on the count already: another gateway had accepted it
 
 
 @dataclass(slots=True)
@@ -198,9 +198,9 @@
     request: int
     server: int
     attempt: int
-    took_ns: int
+    duration_ns: int
     result: Result
-    final: bool
+    is_final: bool
     units: float = 0.0
     report: tuple[float, ...] = ()
 
@@ -226,7 +226,7 @@
 
     server: int
     result: Result
-    took_ns: int = 0
+    duration_ns: int = 0
     report: tuple[float, ...] = ()
 
 
@@ -237,7 +237,7 @@
     name: int
     result: Result
     total: float = 0.0
-    took_ns: int = 0
+    duration_ns: int = 0
 
 
 @dataclass(slots=True)
@@ -253,7 +253,7 @@
     """The fleet has left a zone, or is back in it."""
 
     zone: int
-    left: bool
+    is_left: bool
 
 
 Event = ZoneTurn | Arrival | Whole | Left | Begun | Outcome | Timer | ServerNews | Probed | Counted | Told
--- a/mapleline/policy/state.py
+++ b/mapleline/policy/state.py
@@ -5,9 +5,9 @@
 import random
 from dataclasses import dataclass, field
 
-from .interface import Action, Arrival, Effect, Life, Plan, RequestClass, Result, Start
+from .interface import Action, Arrival, Effect, Plan, RequestClass, Result, ServerState, Start
 
-SAFE, UNSAFE, OK, READY = Effect.SAFE, Effect.UNSAFE, Result.OK, Life.READY
+SAFE, UNSAFE, OK, READY = Effect.SAFE, Effect.UNSAFE, Result.OK, ServerState.READY
 GUARD, COUNT_WAIT, TICK = range(3)  # kinds of timer, low digit of the token
 NAME_LIFE_NS = 60_000_000_000  # the counter keeps no name for longer
 MASK = (1 << 64) - 1
@@ -104,23 +104,23 @@
     """All that one gateway's module remembers, as it starts."""
 
     def __init__(self, start: Start) -> None:
-        self.s, self.rng, self.born = start, random.Random(start.seed), -1
-        self.acts: list[Action] = []
+        self.settings, self.rng, self.born = start, random.Random(start.seed), -1
+        self.actions: list[Action] = []
         self.requests: dict[int, Request] = {}
         self.customers: dict[int, Customer] = {}
         self.servers: dict[int, Server] = {}
         self.cold, self.warm, self.weight = [], [], 0.0  #: ready servers; see refresh
-        self.aim = min([c.aim_ns for c in start.classes], default=1_000_000_000)
-        self.usual = [c.aim_ns / 8 for c in start.classes]  #: usual answer time: an aim has room for eight
+        self.aim = min([c.latency_target_ns for c in start.classes], default=1_000_000_000)
+        self.usual = [c.latency_target_ns / 8 for c in start.classes]  #: usual answer time: an aim has room for eight
         self.first_ttl = [0] * len(start.classes)  #: patience of a first try, as last seen
         self.calls: dict[int, list] = {}  #: counter calls unanswered, by name, in call order
         self.odds: dict[tuple[int, bool], float] = {}  #: of being inside, by plan and client's repeat
         self.down_at = -NAME_LIFE_NS  #: when the counter was last silent
         self.over: dict[int, int] = {}  #: customers over their limit, as told, until when
-        self.tell_credit = self.rng.random() * start.gateways  #: messages; not everybody's at once
+        self.tell_credit = self.rng.random() * start.ingresses  #: messages; not everybody's at once
         self.says, self.room, self.out = {}, 0.0, 0  #: attempts allowed, out
         self.credit = 5.0 / start.workers  #: retries saved
-        self.fleet = None  #: this ingress's parts of the fleet's budgets, where those are divided
+        self.budgets = None  #: this ingress's parts of the fleet's budgets, where those are divided
         self.zones, self.left, self.tiers = None, {}, []  #: the fleet's word on zones, where it gives one
         self.peers = None  #: the ingress's other workers, where it has some: they keep one count of a customer
         refills = [p.ceiling_burst / p.ceiling_rate * 1e9 for p in start.plans if p.ceiling_rate > 0]
--- a/mapleline/policy/tries.py
+++ b/mapleline/policy/tries.py
@@ -19,9 +19,9 @@
         r.tried.append(best.id)
         r.live[n] = best.id
         self.count_out(r, 1)
-        best.out[(r.ev.request, n)] = (self.now, self.usual[r.ev.cls])
+        best.out[(r.ev.request, n)] = (self.now, self.usual[r.ev.class_id])
         self.zones and self.zones.sent(best.zone, self.now)
-        self.acts.append(i.Send(r.ev.request, best.id, 0))
+        self.actions.append(i.Send(r.ev.request, best.id, 0))
 
     def on_outcome(self, ev: i.Outcome) -> None:
         r, sv = self.requests.get(ev.request), self.servers.get(ev.server)
@@ -36,10 +36,10 @@
             self.roll(r.who, r.plan)
             r.who.known += ev.units - r.ev.units
             r.who.owed += ev.units - r.ev.units
-        if ev.final:
+        if ev.is_final:
             self.forget(r)
         elif not r.live and not r.stream:
-            over = ev.result == i.Result.MOOT or r.sent >= self.s.max_attempts or self.credit < 1
+            over = ev.result == i.Result.MOOT or r.sent >= self.settings.max_attempts or self.credit < 1
             if over or not self.repeatable(r, r.may_ran) or not self.may("retries"):
                 return self.finish(r)
             self.credit -= 1
@@ -63,17 +63,17 @@
             r.who.known -= r.charged
             r.who.saved += r.charged
             r.who.owed -= r.charged
-            if self.asking > CALLS_EASE and self.s.may_count and self.may("calls"):  # else with the next add
+            if self.asking > CALLS_EASE and self.settings.may_count and self.may("calls"):  # else by next add
                 self.call(r)
         self.count_out(r, -len(r.live))
-        if self.s.may_cancel and not r.stream:
-            self.acts += [i.Cancel(r.ev.request, n) for n in r.live]
+        if self.settings.may_cancel and not r.stream:
+            self.actions += [i.Cancel(r.ev.request, n) for n in r.live]
         r.live, r.decided = {}, True  # a counter answer still to come must not send it again
         self.requests.pop(r.ev.request, None)
 
     def finish(self, r: Request, advice: float = 0, over_quota: bool = False) -> None:
         """The one final answer, at once: refused (and until when) where harmless, else failed."""
         harmless = r.cls.effect == SAFE or not (r.may_ran or r.live)
-        wait = min(int(advice or r.cls.aim_ns), self.s.max_retry_after_ns)
-        self.acts.append(i.Refuse(r.ev.request, wait, over_quota) if harmless else i.Fail(r.ev.request))
+        wait = min(int(advice or r.cls.latency_target_ns), self.settings.max_retry_after_ns)
+        self.actions.append(i.Refuse(r.ev.request, wait, over_quota) if harmless else i.Fail(r.ev.request))
         self.forget(r)
--- a/mapleline/settings/platform.py
+++ b/mapleline/settings/platform.py
@@ -20,10 +20,10 @@
 EFFECTS = {"free": i.Effect.SAFE, "guarded": i.Effect.KEYED, "single_shot": i.Effect.UNSAFE}
 SCOPES = {"all": i.Scope.ALL, "zone": i.Scope.ZONE, "cell": i.Scope.CELL}
 WEIGHTS = {
-    "off": i.Weights.NONE,
-    "nominal": i.Weights.NOMINAL,
-    "rough": i.Weights.ROUGH,
-    "live": i.Weights.LIVE,
+    "off": i.WeightKind.NONE,
+    "nominal": i.WeightKind.NOMINAL,
+    "rough": i.WeightKind.ROUGH,
+    "live": i.WeightKind.LIVE,
 }
 REPORTS = {
     "concurrent": "inflight",
@@ -134,14 +134,14 @@
 def _read_class(c: Section) -> i.RequestClass:
     effect = c.word("effect", EFFECTS, "single_shot")
     return i.RequestClass(
-        aim_ns=c.whole("aim_ns") or c.whole("deadline_ns"),
+        latency_target_ns=c.whole("aim_ns") or c.whole("deadline_ns"),
         deadline_ns=c.whole("deadline_ns"),
         effect=effect,
         # Only keys have a scope: a class without them may name none, or one that is no word here.
         scope=c.word("key_scope", SCOPES, "all") if effect == i.Effect.KEYED else i.Scope.ALL,
         key_ttl_ns=c.whole("key_ttl_ns"),
-        late_worth=c.number("late_worth"),
-        worth=c.number("importance", 1.0),
+        late_value=c.number("late_worth"),
+        value=c.number("importance", 1.0),
         stream=c.flag("stream"),
     )
 
@@ -155,30 +155,30 @@
         i.Plan(
             rate=p.number("refill"),
             burst=p.number("depth"),
-            open=p.whole("concurrency"),
+            max_in_flight=p.whole("concurrency"),
             ceiling_rate=p.number("cap_rate"),
             ceiling_burst=p.number("ceiling_burst"),
             ceiling_slack=p.number("ceiling_slack"),
-            over_worth=p.number("excess_worth"),
-            over_cost=p.number("excess_cost"),
-            price=p.number("value_factor", 1.0),
+            over_quota_value=p.number("excess_worth"),
+            over_quota_cost=p.number("excess_cost"),
+            value_factor=p.number("value_factor", 1.0),
         )
         for p in top.sections("plans")
     ]
     return i.Start(
-        gateway=top.whole("me"),
-        gateways=top.whole("balancers", 1, 1),
+        ingress=top.whole("me"),
+        ingresses=top.whole("balancers", 1, 1),
         seed=seed,
         zone=top.whole("locality"),
         zones=max(1, len(top.names("zones"))),
         classes=classes,
         plans=plans,
-        weights=top.word("weight_kind", WEIGHTS, "off"),
+        weight_kind=top.word("weight_kind", WEIGHTS, "off"),
         list_on_request=top.text("membership_mode") == "on_request",
         list_ask_within_ns=rules.whole("ask_within_ns"),
         tick_ns=top.whole("quantum_ns"),
         answer_slack_ns=rules.whole("answer_slack_ns"),
-        cold_from=rules.number("cold_from"),
+        slow_start_share=rules.number("cold_from"),
         warm_up_ns=rules.whole("warm_up_ns"),
         fall_multiple=rules.number("fall_multiple"),
         fall_window_ns=rules.whole("fall_ns"),
@@ -187,16 +187,16 @@
         connect_timeout_ns=limits.whole("dial_timeout_ns"),
         may_cancel=limits.flag("cancel"),
         may_probe=limits.flag("probing"),
-        may_tell=limits.flag("peers"),
-        tell_in_per_s=facts.number("mail_per_s"),
-        may_copy=limits.flag("second_copies"),
+        may_message_peers=limits.flag("peers"),
+        peer_messages_per_s=facts.number("mail_per_s"),
+        may_hedge=limits.flag("second_copies"),
         may_advise=limits.flag("retry_after"),
         may_count=facts.flag("may_count"),
-        settles=facts.flag("settles"),
+        corrects_units=facts.flag("settles"),
         marks_retries=top.section("client_habits").flag("marks_retry"),
-        largest_units=facts.number("largest", 1.0),
-        count_wait_ns=facts.whole("count_wait_ns"),
-        reports=tuple(REPORTS.get(name, name) for name in top.section("stats").names("fields")),
+        max_units=facts.number("largest", 1.0),
+        counter_timeout_ns=facts.whole("count_wait_ns"),
+        report_fields=tuple(REPORTS.get(name, name) for name in top.section("stats").names("fields")),
     )
 
 
@@ -279,8 +279,8 @@
     for n, cls in enumerate(start.classes):
         if cls.deadline_ns <= 0:
             settings.fault(f"classes[{n}].deadline_ns", "expected more than 0")
-    if start.gateway >= start.gateways:
-        settings.fault("me", f"expected less than settings.balancers ({start.gateways})")
+    if start.ingress >= start.ingresses:
+        settings.fault("me", f"expected less than settings.balancers ({start.ingresses})")
     limits = settings.section("limits")
     return Config(
         name=top.text("name") or environment.get("EDGE_NAME", "ingress"),
--- a/mapleline/simwire/__main__.py
+++ b/mapleline/simwire/__main__.py
@@ -51,7 +51,7 @@
                 else:
                     actions = brains[node].handle(now, value)
                 for action in actions:
-                    if type(action) is Refuse and not brains[node].s.may_advise:
+                    if type(action) is Refuse and not brains[node].settings.may_advise:
                         action.retry_in_ns = 0  # this wire takes advice only where the settings allow it
                     reply.add(node, action)
             except WireError:
--- a/mapleline/simwire/wire.py
+++ b/mapleline/simwire/wire.py
@@ -80,7 +80,7 @@
 def parse_entries(data: bytes) -> list[i.Server]:
     """Read the lines of a server list."""
     return [
-        i.Server(server, i.Life(life), started, weight, kind, zone, cell)
+        i.Server(server, i.ServerState(life), started, weight, kind, zone, cell)
         for cell, started, life, weight, kind, zone, server in ENTRY.iter_unpack(data)
     ]
 
--- a/tests/cores/test_messages.py
+++ b/tests/cores/test_messages.py
@@ -4,9 +4,9 @@
 import pytest
 
 from mapleline.cores import messages
-from mapleline.policy.interface import Life
+from mapleline.policy.interface import ServerState
 
-SERVER = messages.ServerEntry(3, Life.DRAINING, 5, 1.5, 1, 2, 4, "10.0.0.1", 80)
+SERVER = messages.ServerEntry(3, ServerState.DRAINING, 5, 1.5, 1, 2, 4, "10.0.0.1", 80)
 
 COMMANDS = [
     (
--- a/tests/cores/test_peer_usage.py
+++ b/tests/cores/test_peer_usage.py
@@ -39,13 +39,13 @@
     @staticmethod
     def _new_brain(memory, workers, number, seed):
         start = settings(
-            gateways=workers,
-            gateway=number,
+            ingresses=workers,
+            ingress=number,
             workers=workers,
             seed=seed + number,
             plans=[PLAN],
             max_retry_after_ns=S,
-            largest_units=1,
+            max_units=1,
         )
         brain = Brain(start)
         brain.asking = 1.1
@@ -122,7 +122,7 @@
     memory = new_memory(2)
 
     def start_worker():
-        brain = Brain(settings(gateways=2, gateway=0, workers=2, seed=0, plans=[PLAN]))
+        brain = Brain(settings(ingresses=2, ingress=0, workers=2, seed=0, plans=[PLAN]))
         brain.peers = PeerUsage(CustomerTable(memory, 2, 0, CUSTOMER_ROWS))
         brain.handle(START_NS, interface.ServerNews(interface.News.CACHED, SERVERS))
         return brain
@@ -149,7 +149,7 @@
     servers = [*(interface.Server(number) for number in range(1, 10)), slow_start_server]
     forwarded = 0
     for worker in range(4):
-        brain = Brain(settings(gateways=4, gateway=worker, workers=4, seed=worker))
+        brain = Brain(settings(ingresses=4, ingress=worker, workers=4, seed=worker))
         brain.handle(START_NS, interface.ServerNews(interface.News.CACHED, servers))
         brain.room = 1e9
         for number in range(1000):
--- a/tests/cores/test_server_list_feed.py
+++ b/tests/cores/test_server_list_feed.py
@@ -5,11 +5,11 @@
 
 from mapleline.cores.messages import ServerEntry
 from mapleline.cores.server_list_feed import ServerListFeed
-from mapleline.policy.interface import Life
+from mapleline.policy.interface import ServerState
 
 
 def entry(number, life=0):
-    return ServerEntry(number, Life(life), 0, 1.0, 0, 0, 0, "127.0.0.1", 80)
+    return ServerEntry(number, ServerState(life), 0, 1.0, 0, 0, 0, "127.0.0.1", 80)
 
 
 def changes_by_server(changes):
@@ -68,7 +68,7 @@
             return False
         view = {} if update.is_complete else self.views[worker]
         view.update({server.number: server.life for server in update.servers})
-        self.views[worker] = {n: life for n, life in view.items() if life != Life.GONE}
+        self.views[worker] = {n: life for n, life in view.items() if life != ServerState.GONE}
         self.feed.acknowledge(worker, update.revision)
         return True
 
@@ -102,6 +102,6 @@
     workers.deliver_all(0)
     workers.deliver_all(1)
     feed.apply([], is_complete=False)
-    wanted = {n: life for n, life in truth.items() if life != Life.GONE}
+    wanted = {n: life for n, life in truth.items() if life != ServerState.GONE}
     assert workers.views.get(0, {}) == wanted
     assert workers.views.get(1, {}) == wanted
--- a/tests/engine_rig.py
+++ b/tests/engine_rig.py
@@ -13,27 +13,27 @@
     """Stands for the decision module: answers each type of event as scripted, and keeps the events.
 
     Attributes:
-        s: the settings.
+        settings: the settings.
         events: the events so far.
         reactions: by type of event, a function from an event to its actions; an exception among them is raised.
-        acts: the actions decided for the event in hand.
+        actions: the actions decided for the event in hand.
     """
 
     def __init__(self, **changes):
-        self.s = settings(**changes)
+        self.settings = settings(**changes)
         self.events = []
         self.reactions = {}
-        self.acts = []
+        self.actions = []
 
     def handle(self, now_ns, event):
         self.events.append(event)
-        self.acts = []
+        self.actions = []
         react = self.reactions.get(type(event), lambda event: [])
         for action in react(event):
             if isinstance(action, Exception):
                 raise action
-            self.acts.append(action)
-        return self.acts
+            self.actions.append(action)
+        return self.actions
 
     def event_types(self):
         return [type(event) for event in self.events]
@@ -65,7 +65,7 @@
         self.module.reactions[interface.Arrival] = lambda event: [interface.Send(event.request, 1)]
 
     def accept(self, cls=0, coming=False):
-        arrival = interface.Arrival(0, cls, 0, 5, REQUEST_TTL_NS, coming=coming)
+        arrival = interface.Arrival(0, cls, 0, 5, REQUEST_TTL_NS, is_body_pending=coming)
         return self.engine.accept(arrival, "payload", self)
 
     def advance(self, after_ns):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,18 +9,18 @@
 
 def settings(**changes) -> i.Start:
     base = dict(
-        gateways=3,
+        ingresses=3,
         seed=7,
         tick_ns=2 * MS,
         may_count=True,
         may_cancel=True,
-        count_wait_ns=50 * MS,
+        counter_timeout_ns=50 * MS,
         max_attempts=4,
-        cold_from=0.2,
+        slow_start_share=0.2,
         warm_up_ns=10 * S,
         fall_multiple=2.5,
         fall_window_ns=2 * S,
-        largest_units=4,
+        max_units=4,
         classes=[i.RequestClass(S, 4 * S), i.RequestClass(2 * S, 5 * S, i.Effect.UNSAFE)],
         plans=[
             i.Plan(rate=2.0, burst=8.0),
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -212,7 +212,7 @@
 
 def test_the_time_of_a_request_that_is_coming_begins_with_its_last_byte():
     g = Gateway()
-    acts = g.do(i.Arrival(1, 0, 2, 5, 4 * S, coming=True))
+    acts = g.do(i.Arrival(1, 0, 2, 5, 4 * S, is_body_pending=True))
     (send,) = only(acts, i.Send)
     guards = [a for a in acts if type(a) is i.SetTimer and a.request == 1]
     assert guards == []
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -84,7 +84,7 @@
 
 
 def test_silent_counter_answers_before_the_client_suffers():
-    g = Gateway(count_wait_ns=100 * MS)
+    g = Gateway(counter_timeout_ns=100 * MS)
     _, acts = g.arrive(plan=0)
     (wait,) = [t for t in only(acts, i.SetTimer) if t.token % 8 == 1]
     assert wait.after_ns <= S / 16
@@ -175,7 +175,7 @@
 @pytest.mark.parametrize(("took", "grows"), [(2, True), (15, True), (25, False), (40, False)])
 def test_the_share_of_tries_that_call_follows_the_wait_for_the_counter(took, grows):
     """It grew only on answers within a quarter of the patience: a slow counter stood idle for a third."""
-    g = Gateway(count_wait_ns=200 * MS, classes=[i.RequestClass(640 * MS, 4 * S)])  # a patience of 40 ms
+    g = Gateway(counter_timeout_ns=200 * MS, classes=[i.RequestClass(640 * MS, 4 * S)])  # a patience of 40 ms
     g.brain.asking = start = 0.5
     for _ in range(20):
         for call in ask(g, wait=10 * MS)[1]:
@@ -301,9 +301,9 @@
 
 def test_drained_and_gone_servers_get_nothing_new():
     g = Gateway(servers=2)
-    g.do(i.ServerNews(i.News.CHANGES, [i.Server(1, i.Life.DRAINING)]))
+    g.do(i.ServerNews(i.News.CHANGES, [i.Server(1, i.ServerState.DRAINING)]))
     assert {s.server for _ in range(8) for s in only(g.arrive(wait=MS)[1], i.Send)} == {2}
-    g.do(i.ServerNews(i.News.FULL, [i.Server(1, i.Life.GONE)]))
+    g.do(i.ServerNews(i.News.FULL, [i.Server(1, i.ServerState.GONE)]))
     assert not only(g.arrive()[1], i.Send)
 
 
@@ -376,7 +376,7 @@
         g.end(rid, send.server, i.Result.REJECTED, took=1 * MS)
         costs.append(before - g.brain.room)
     assert costs[0] > 0
-    g.do(i.ServerNews(i.News.CHANGES, [i.Server(1, i.Life.DRAINING)]))
+    g.do(i.ServerNews(i.News.CHANGES, [i.Server(1, i.ServerState.DRAINING)]))
     assert g.brain.room == room
 
 
@@ -391,5 +391,5 @@
         rid, acts = g.arrive(wait=5 * S)
         g.end(rid, 1, i.Result.OK, took=100 * MS)
     lost = g.brain.room
-    g.do(i.ServerNews(i.News.CHANGES, [i.Server(1, i.Life.DRAINING)]))
+    g.do(i.ServerNews(i.News.CHANGES, [i.Server(1, i.ServerState.DRAINING)]))
     assert g.brain.room == lost
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -44,7 +44,7 @@
 
 def fleet(clock, discovery, size, pauses=None):
     for n in range(size):
-        pause = pauses or backoff(i.Start(seed=n, gateways=size, list_on_request=True))
+        pause = pauses or backoff(i.Start(seed=n, ingresses=size, list_on_request=True))
         watcher = Watcher(clock, ("10.0.0.1", 1), BufferPool(), Directory([], []), lambda news: None, pause)
         watcher._ask = discovery.ask
         watcher.start()
@@ -66,7 +66,7 @@
     """The agent answers alone: a watch that starts late learns late of a drain."""
     clock = Clock()
     discovery = Discovery(clock, 100)
-    pushed = backoff(i.Start(seed=1, gateways=40, list_ask_within_ns=10_000_000_000))
+    pushed = backoff(i.Start(seed=1, ingresses=40, list_ask_within_ns=10_000_000_000))
     fleet(clock, discovery, 1, pushed)
     assert discovery.calls == 1
     assert max(pushed.pause() for _ in range(100)) <= 0.5
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -31,7 +31,7 @@
     rig.engine.handle_attempt_end(rig.attempts[0], Result.RESET)  # a second report of the driver is ignored
     assert rig.notes == [("answer", "body")]
     assert rig.module.event_types() == [Arrival, Outcome]
-    assert rig.module.events[1].final
+    assert rig.module.events[1].is_final
     rig.advance(3 * S)
     assert rig.notes == [("answer", "body")]
     assert not rig.engine.requests
@@ -130,7 +130,7 @@
 @pytest.mark.parametrize(("is_written", "result"), [(False, Result.NO_CONNECTION), (True, Result.TIMEOUT)])
 def test_a_counter_call_times_out_once(is_written, result):
     """Only a call that was never written is reported as never added; the late answer is dropped."""
-    rig = EngineRig(count_wait_ns=30 * MS)
+    rig = EngineRig(counter_timeout_ns=30 * MS)
     rig.module.reactions[Arrival] = lambda event: [Count(9, 1.0, S)]
     rig.accept()
     (call,) = rig.counter_calls
@@ -143,7 +143,7 @@
 
 def test_finished_requests_and_calls_set_no_alarm():
     """Half of all wake-ups on the calm day were for timers of calls and requests answered long before."""
-    rig = EngineRig(count_wait_ns=30 * MS)
+    rig = EngineRig(counter_timeout_ns=30 * MS)
     rig.module.reactions[Arrival] = lambda event: [
         SetTimer(S, 8, event.request),
         Count(9, 1.0, S),
@@ -169,7 +169,7 @@
     rig.engine.handle_counter_result(other, Result.OK, 5.0)
     rig.now_ns += MS
     rig.engine.handle_counter_result(first, Result.TIMEOUT)
-    results = [(event.name, event.result, event.total, event.took_ns) for event in rig.module.events_of(Counted)]
+    results = [(event.name, event.result, event.total, event.duration_ns) for event in rig.module.events_of(Counted)]
     assert results == [(0, Result.OK, 5.0, 0), (1, Result.TIMEOUT, 0.0, MS), (1, Result.OK, 9.0, 0)]
     assert len(rig.engine._counter_calls) == 1  # that of the call in flight; finished ones leave nothing behind
 
@@ -186,8 +186,8 @@
     assert rig.notes == [("begin answer", "head", "source")]
     rig.engine.handle_attempt_end(attempt, Result.OK)
     (outcome,) = rig.module.events_of(Outcome)
-    assert outcome.final
-    assert outcome.took_ns == 100 * MS  # the server is judged by its first byte
+    assert outcome.is_final
+    assert outcome.duration_ns == 100 * MS  # the server is judged by its first byte
     assert rig.notes == [("begin answer", "head", "source")]
     assert not rig.engine.handle_answer_start(attempt, "head", "source")
 
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -177,7 +177,7 @@
         self.came = []
 
     def accept(self, arrival, wish, answerer):
-        self.came.append((wish.id, arrival.paid))
+        self.came.append((wish.id, arrival.is_counted))
 
     def abandon_all(self):
         raise AssertionError("not fenced")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -111,9 +111,9 @@
         config = read_config(config_for(Counter(), Discovery(), []), {})
         self.pool, self.servers = BufferPool(), []
         self.module = ScriptedModule()
-        self.module.s = config.start
+        self.module.settings = config.start
         self.module.reactions[i.Arrival] = lambda ev: [i.Send(ev.request, 1)]
-        self.module.reactions[i.Outcome] = lambda ev: [] if ev.final else [i.Fail(ev.request)]
+        self.module.reactions[i.Outcome] = lambda ev: [] if ev.is_final else [i.Fail(ev.request)]
         clock = lambda: 10**18  # noqa: E731
         self.engine = Engine(self.module, clock)
         upstreams = UpstreamPool(self, self.engine, clock, self.pool, 1.0, 30.0, 100)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,7 +29,7 @@
     ]
     g = Gateway(classes=classes, **changes)
     owed, live, may_run, timers, calls, stores = {}, {}, {}, [], [], {}
-    life = dict.fromkeys(range(1, 7), i.Life.READY)
+    life = dict.fromkeys(range(1, 7), i.ServerState.READY)
     log, start = list(g.first), g.now
 
     def note(acts):
@@ -43,11 +43,11 @@
                 assert a.request in owed, "sent after its end"
                 ev, sent = owed[a.request]
                 out = [n for r, n in live if r == a.request]
-                assert not out or changes.get("may_copy"), "two attempts out"
-                assert life[a.server] == i.Life.READY, "sent to a drained server"
-                if ev.cls == 1:
+                assert not out or changes.get("may_hedge"), "two attempts out"
+                assert life[a.server] == i.ServerState.READY, "sent to a drained server"
+                if ev.class_id == 1:
                     assert not may_run.get(a.request) and not out, "unsafe work sent again"
-                if ev.cls >= 2 and may_run.get(a.request):
+                if ev.class_id >= 2 and may_run.get(a.request):
                     assert g.now - may_run[a.request] <= 2 * S, "key forgotten"
                 if sent == 0 and ev.plan == 1:
                     level, at = stores.get(ev.customer, (0.0, start))
@@ -59,7 +59,7 @@
             elif type(a) in (i.Refuse, i.Fail):
                 assert a.request in owed, "answered twice"
                 ev, _ = owed.pop(a.request)
-                if type(a) is i.Refuse and ev.cls:
+                if type(a) is i.Refuse and ev.class_id:
                     assert not may_run.get(a.request), "refused though it may have run"
                     assert not [1 for r, _ in live if r == a.request], "refused while out"
 
@@ -92,8 +92,8 @@
             result = [R.OK, R.OK, R.TIMEOUT, R.REJECTED][pick % 4]
             note(g.do(i.Counted(call.name, result, float(pick % 12), MS)))
         elif what == "list":
-            life[1 + pick % 6] = i.Life(pick % 3)
-            note(g.do(i.ServerNews(i.News.CHANGES, [i.Server(1 + pick % 6, i.Life(pick % 3))])))
+            life[1 + pick % 6] = i.ServerState(pick % 3)
+            note(g.do(i.ServerNews(i.News.CHANGES, [i.Server(1 + pick % 6, i.ServerState(pick % 3))])))
         elif what == "left" and owed:
             rid = sorted(owed)[pick % len(owed)]
             del owed[rid]
@@ -113,7 +113,7 @@
 @settings(max_examples=100, derandomize=True, deadline=None)
 @given(steps)
 def test_rules_hold_with_second_copies(script):
-    play(script, may_copy=True)
+    play(script, may_hedge=True)
 
 
 @settings(max_examples=40, derandomize=True, deadline=None)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,7 +19,7 @@
 
 
 def fleet(count, servers=60, **changes):
-    return [Gateway(servers, gateways=count, gateway=n, seed=n, **changes) for n in range(count)]
+    return [Gateway(servers, ingresses=count, ingress=n, seed=n, **changes) for n in range(count)]
 
 
 def test_without_the_counter_a_try_is_not_refused_because_the_own_part_is_small():
@@ -32,8 +32,8 @@
 
 def test_unknown_tries_go_by_the_odds_seen():
     """Where most tries of a plan are over the quota and excess costs, a guess is a loss."""
-    plan = i.Plan(rate=2.0, burst=8.0, over_cost=1.0)
-    g = Gateway(gateways=300, plans=[plan] * 3)
+    plan = i.Plan(rate=2.0, burst=8.0, over_quota_cost=1.0)
+    g = Gateway(ingresses=300, plans=[plan] * 3)
     for n in range(60):  # the counter says over each time, for ever new customers
         _, acts = g.arrive(plan=0, spread=300, customer=100 + n, wait=10 * MS)
         for call in only(acts, i.Count):
@@ -44,7 +44,7 @@
 
 def test_calls_thin_out_when_answers_do_not_come_and_grow_again_without_a_burst():
     """A crowded counter worked on calls nobody waited for: 99.7% unanswered on brisbane-tenancy-later."""
-    g = Gateway(gateways=300)
+    g = Gateway(ingresses=300)
 
     def calls(tries, result):
         made = 0
@@ -64,11 +64,11 @@
 
 
 def test_an_asking_try_stands_for_those_that_did_not_ask():
-    g = Gateway(gateways=300)
+    g = Gateway(ingresses=300)
     g.brain.asking = 0.5
     amounts = [c.amount for n in range(40) for c in only(g.arrive(plan=0, spread=300, customer=n)[1], i.Count)]
     assert amounts and all(1.0 < a <= 4.0 for a in amounts)
-    few = Gateway(gateways=3)
+    few = Gateway(ingresses=3)
     few.brain.asking = 0.5
     amounts = [c.amount for n in range(40) for c in only(few.arrive(plan=0, customer=n)[1], i.Count)]
     assert amounts and set(amounts) == {1.0}
@@ -76,7 +76,7 @@
 
 def test_a_total_beyond_the_limit_does_not_block_the_next_window():
     """Refused units that nobody takes off again counted as use: prev is the limit at most."""
-    g = Gateway(gateways=300)
+    g = Gateway(ingresses=300)
     for n in range(2):
         rid, acts = g.arrive(plan=0, spread=300, wait=n * MS)
         for call in only(acts, i.Count):
@@ -87,7 +87,7 @@
 
 
 def test_a_customer_over_its_limit_is_told_to_its_gateways_and_not_asked_for_again():
-    g, other = (Gateway(gateways=300, gateway=n, may_tell=True, tell_in_per_s=60.0) for n in (0, 1))
+    g, other = (Gateway(ingresses=300, ingress=n, may_message_peers=True, peer_messages_per_s=60.0) for n in (0, 1))
     g.brain.tell_credit = 300.0
     _, acts = g.arrive(plan=0, spread=40)
     (call,) = only(acts, i.Count)
@@ -105,7 +105,7 @@
 
 def test_messages_have_a_budget():
     """One form of this flooded: 890,000 messages in 39 s (simulated)."""
-    g, told = Gateway(gateways=300, may_tell=True, tell_in_per_s=60.0), 0
+    g, told = Gateway(ingresses=300, may_message_peers=True, peer_messages_per_s=60.0), 0
     for n in range(300):
         _, acts = g.arrive(plan=0, spread=300, customer=n, wait=20 * MS)
         for call in only(acts, i.Count):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -35,14 +35,14 @@
 
 def test_client_repeat_flag():
     ev = read_one(INCOMING.replace("0000803f 0100", "0000803f 0200"))[2]
-    assert ev.repeat
+    assert ev.is_retry
 
 
 def test_returned_with_report():
     text = "09 0300 c4913a5d 074a1203 a0491a0100000000 0000 5600 01 0000 0300 01 52b81e3f"
     ev = read_one(text)[2]
-    assert (ev.request, ev.server, ev.attempt, ev.took_ns) == (RID, SERVER, 0, 0x011A49A0)
-    assert ev.result == i.Result.OK and ev.final and ev.units == 3.0
+    assert (ev.request, ev.server, ev.attempt, ev.duration_ns) == (RID, SERVER, 0, 0x011A49A0)
+    assert ev.result == i.Result.OK and ev.is_final and ev.units == 3.0
     assert ev.report == pytest.approx((0.62,))
 
 
@@ -53,7 +53,7 @@
 
 def test_pong():
     ev = read_one("05 0300 f211902c 0000 c05c150000000000 01 52b81e3f")[2]
-    assert (ev.server, ev.result, ev.took_ns) == (0x2C9011F2, i.Result.OK, 1400000)
+    assert (ev.server, ev.result, ev.duration_ns) == (0x2C9011F2, i.Result.OK, 1400000)
     assert ev.report == pytest.approx((0.62,))
 
 
@@ -72,7 +72,7 @@
     body = record("08 0000 00000000 02000000") + record("0c 0000 29000000 02 0000") + entries
     first, second = read_batch(body, 2)
     assert first[1] == "list" and [s.server for s in first[2][1]] == [SERVER, 0x2C9011F2]
-    assert first[2][1][1] == i.Server(0x2C9011F2, i.Life.READY, 6100000000, 1.5, 0, 1, 0)
+    assert first[2][1][1] == i.Server(0x2C9011F2, i.ServerState.READY, 6100000000, 1.5, 0, 1, 0)
     assert second == (0, "news", (i.News.CACHED, 0))
     assert parse_entries(b"") == []
 
@@ -143,7 +143,7 @@
 
 def test_settings_ignore_the_unknown_and_default_the_missing():
     start = parse_settings(json.dumps({"novel": 1, "plans": [{"refill": None}], "classes": []}).encode(), 9)
-    assert start.seed == 9 and start.plans[0].rate == 0 and start.gateways == 1
+    assert start.seed == 9 and start.plans[0].rate == 0 and start.ingresses == 1
     for bad in (b"[1]", b"{", b'{"classes": [{"effect": "guarded", "key_scope": "odd"}]}', b'{"plans": [7]}'):
         with pytest.raises(WireError):
             parse_settings(bad, 0)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -227,15 +227,15 @@
 
 
 def test_spill_goes_to_the_next_tier_as_far_as_the_budget_goes_the_rest_is_refused_at_once():
-    g = two_zones(classes=[i.RequestClass(S, 4 * S, worth=1.0), i.RequestClass(S, 4 * S, worth=4.0)])
-    g.brain.fleet, g.brain.tiers = Part(spill=20), read_tiers("b > a", ["a", "b"], 1)
-    assert set(sends(g, 50)) == {1} and g.brain.fleet.asked == []  # its own tier: no spill
+    g = two_zones(classes=[i.RequestClass(S, 4 * S, value=1.0), i.RequestClass(S, 4 * S, value=4.0)])
+    g.brain.budgets, g.brain.tiers = Part(spill=20), read_tiers("b > a", ["a", "b"], 1)
+    assert set(sends(g, 50)) == {1} and g.brain.budgets.asked == []  # its own tier: no spill
     g.do(i.ZoneTurn(1, True))
     assert sends(g, 50) == [0] * 20
-    assert g.brain.fleet.asked[0] == (0, 3, 0.25)  # the receiving zone, its warm servers, the class's worth
+    assert g.brain.budgets.asked[0] == (0, 3, 0.25)  # the receiving zone, its warm servers, the class's worth
     _, acts = g.arrive(cls=1, wait=MS)
     assert only(acts, i.Refuse)[0].retry_in_ns >= 0 and not only(acts, i.Send)
-    assert g.brain.fleet.asked[-1][2] == 1.0
+    assert g.brain.budgets.asked[-1][2] == 1.0
 
 
 # --- fleets of processes
