--- a/mapleline/policy/interface.py
+++ b/mapleline/policy/interface.py
@@ -1,7 +1,8 @@
-"""What the decision module is told and what it may ask for.
+"""The events that the decision module receives, the actions that it returns, and its settings.
 
-All times are integer nanoseconds.  Nothing here decides anything: these are the settings a gateway gets at
-start, the events it sees and the actions it may return.
+The engine (mapleline/engine) and the simulator's adapter (mapleline/simwire) send the events and carry out the actions.
+This module holds data only.  Times and durations are integer nanoseconds.  Numbers of requests, servers, customers,
+classes and plans are the sender's; a class or plan is an index into `Start.classes` or `Start.plans`.
 """
 
 from __future__ import annotations
@@ -11,23 +12,23 @@
 
 
 class Effect(IntEnum):
-    """What happens when a request runs twice."""
+    """Whether a request of a class may be executed more than once."""
 
-    SAFE = 0
-    KEYED = 1
-    UNSAFE = 2
+    SAFE = 0  #: it may: repeating it changes nothing
+    KEYED = 1  #: servers discard a repeat by its idempotency key, within the class's scope and `key_ttl_ns`
+    UNSAFE = 2  #: it may not
 
 
 class Scope(IntEnum):
-    """Which servers discard repeats of a keyed request."""
+    """The set of servers that share idempotency keys, and so discard each other's repeats."""
 
-    ALL = 0
-    ZONE = 1
-    CELL = 2
+    ALL = 0  #: all servers
+    ZONE = 1  #: the servers of a zone
+    CELL = 2  #: the servers of a cell
 
 
 class WeightKind(IntEnum):
-    """What a server's listed weight means."""
+    """What the weights in the server list stand for; the values are those of the setting `weight_kind`."""
 
     NONE = 0
     NOMINAL = 1
@@ -36,42 +37,53 @@
 
 
 class ServerState(IntEnum):
-    """A server's standing on the list."""
+    """The state of a server in the server list."""
 
-    READY = 0
-    GONE = 1
-    DRAINING = 2
+    READY = 0  #: takes requests
+    GONE = 1  #: has terminated
+    DRAINING = 2  #: finishes what it has and takes no new requests
 
 
 class News(IntEnum):
-    """What a server-list event carries."""
+    """What a ServerNews event carries."""
 
-    CHANGES = 0
-    FULL = 1
-    CACHED = 2
-    FAILED = 3
+    CHANGES = 0  #: the servers that were added or changed; the others are as before
+    FULL = 1  #: the whole list; a server that is missing is gone
+    CACHED = 2  #: a whole list that was stored earlier and may be out of date
+    FAILED = 3  #: no list: the request for it failed
 
 
 class Result(IntEnum):
     """How an attempt, a probe or a counter call ended."""
 
     OK = 0
-    ERROR = 1
-    REJECTED = 2
-    TIMEOUT = 3
-    NO_CONNECTION = 4
-    RESET = 5
-    CANCELLED = 6
-    MOOT = 7
+    ERROR = 1  #: answered with an error
+    REJECTED = 2  #: refused before it was executed
+    TIMEOUT = 3  #: no answer in time; it may have been executed
+    NO_CONNECTION = 4  #: no connection could be made, so nothing was sent
+    RESET = 5  #: the connection broke before the answer; it may have been executed
+    CANCELLED = 6  #: ended by this ingress before its answer; it may have been executed
+    MOOT = 7  #: never sent: the request was over or could have no further attempt
 
 
-#: Results that prove that the attempt never ran.
+#: Results that prove that the attempt was not executed.
 NEVER_RAN = frozenset({Result.REJECTED, Result.NO_CONNECTION, Result.MOOT})
 
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of request."""
+    """The settings of one class of requests.
+
+    Attributes:
+        latency_target_ns: The time from arrival within which an answer has its whole value.
+        deadline_ns: The longest time that a client waits.
+        effect: Whether a request may be executed more than once.
+        scope: Which servers share the class's idempotency keys.
+        key_ttl_ns: For how long servers remember an idempotency key.
+        late_value: The value of an answer after the target; at 0 such an answer is worth nothing.
+        value: The value of an answer within the target, relative to the other classes.
+        stream: Whether answers are streamed.
+    """
 
     latency_target_ns: int
     deadline_ns: int
@@ -85,7 +97,21 @@
 
 @dataclass(slots=True)
 class Plan:
-    """A plan's quota (rate, burst, open), its hard ceiling and what use beyond the quota earns and costs."""
+    """The settings of one plan, which apply to each of its customers over the whole fleet.
+
+    Attributes:
+        rate: The quota's refill in units per second; no quota at 0.
+        burst: The quota's size in units; no quota at 0.
+        max_in_flight: The most attempts in flight at once; no limit at 0.
+        ceiling_rate: The refill of the hard ceiling in units per second; no ceiling at 0.
+        ceiling_burst: The size of the hard ceiling in units.
+        ceiling_slack: By how many units the fleet may exceed the hard ceiling.
+        over_quota_value: The value of a request that is admitted beyond the quota, as a share of the usual one.
+        over_quota_cost: What such a request costs, in the same measure.
+        value_factor: Multiplies the value of the customers' requests.
+        window_ns: The length of the counting window; 0 until the decision module has derived it.
+        limit: The units of one counting window; derived together with `window_ns`.
+    """
 
     rate: float = 0.0
     burst: float = 0.0
@@ -96,17 +122,52 @@
     over_quota_value: float = 0.0
     over_quota_cost: float = 0.0
     value_factor: float = 1.0
-    window_ns: int = field(default=0, compare=False)  #: the module's own, worked out once
-    limit: float = field(default=0.0, compare=False)  #: units of a window; the module's own
+    window_ns: int = field(default=0, compare=False)
+    limit: float = field(default=0.0, compare=False)
 
 
 @dataclass(slots=True)
 class Start:
-    """Everything a gateway is told when it starts."""
+    """The settings of the decision module of one ingress.
+
+    Attributes:
+        ingress: The number of this ingress, from 0.
+        ingresses: How many ingresses the fleet has.
+        workers: The worker processes of this ingress, which share its part of a customer's quota.
+        seed: The seed of all random numbers.
+        zone: The number of this ingress's zone.
+        zones: How many zones there are.
+        classes: The classes, by number.
+        plans: The plans, by number.
+        weight_kind: What the weights of servers stand for.
+        list_on_request: Whether the server list has to be asked for, rather than being pushed.
+        list_ask_within_ns: The time within which the list is to be asked for; it bounds the pauses between requests.
+        tick_ns: The resolution of the clock.
+        answer_slack_ns: The platform's tolerance for answer times; the decision module does not use it.
+        slow_start_share: The share of its traffic that a server gets at the start of its warm-up, 0 to 1.
+        warm_up_ns: The time over which a new server's share grows to 1.
+        fall_multiple: A server fails when it gets this multiple of what it can bear.
+        fall_window_ns: The time over which that is measured.
+        max_attempts: The most attempts of a request, the first one included.
+        max_retry_after_ns: The longest `Refuse.retry_in_ns`.
+        connect_timeout_ns: The time limit for a connection to a server.
+        may_cancel: Whether Cancel is allowed.
+        may_probe: Whether Probe is allowed.
+        may_message_peers: Whether Tell is allowed.
+        peer_messages_per_s: How many messages a second an ingress may receive from the others.
+        may_hedge: Whether a second attempt may be made while the first is in flight.
+        may_advise: Whether a refusal may carry `retry_in_ns`.
+        may_count: Whether there is a quota counter to call.
+        corrects_units: Whether an outcome carries the units that the request actually used.
+        marks_retries: Whether clients mark their retries (`Arrival.is_retry`).
+        max_units: The most units that a request may use.
+        counter_timeout_ns: The time limit for a counter call; the engine's own limit holds at 0.
+        report_fields: The names of the values in `Outcome.report` and `Probed.report`, in their order.
+    """
 
     ingress: int = 0
     ingresses: int = 1
-    workers: int = 1  #: processes of this gateway, which share its part of a customer's quota
+    workers: int = 1
     seed: int = 0
     zone: int = 0
     zones: int = 1
@@ -140,7 +201,17 @@
 
 @dataclass(slots=True)
 class Server:
-    """One line of the server list."""
+    """One entry of the server list.
+
+    Attributes:
+        server: The server's number.
+        state: Its state.
+        started_ns: When its process started, which identifies the process: another time means a restart.
+        weight: Its capacity relative to the other servers.
+        kind: The number of its kind.
+        zone: The number of its zone.
+        cell: The number of its cell.
+    """
 
     server: int
     state: ServerState = ServerState.READY
@@ -151,9 +222,26 @@
     cell: int = 0
 
 
+# -- events: sent by the engine to the decision module -----------------------------------------------------------------
+
+
 @dataclass(slots=True)
 class Arrival:
-    """A client's request; one final answer is owed."""
+    """A client's request has arrived; the module answers it exactly once, by Refuse, Fail or an attempt's answer.
+
+    Attributes:
+        request: The request's number.
+        class_id: The number of its class.
+        plan: The number of its customer's plan.
+        customer: The customer's number.
+        ttl_ns: The time from now for which the client waits.
+        units: The units of quota that the request uses, by the client's estimate.
+        ingress_count: How many ingresses get requests of this customer.
+        first_ingress: The number of the first of them; the others have the numbers that follow.
+        is_retry: Whether the client marked the request as a retry.
+        is_body_pending: Whether its body is still arriving; `ttl_ns` then counts from the Whole event.
+        is_counted: Whether its units have been counted, since another ingress had accepted it before.
+    """
 
     request: int
     class_id: int
@@ -164,27 +252,27 @@
     ingress_count: int = 1
     first_ingress: int = 0
     is_retry: bool = False
-    is_body_pending: bool = False  #: its body is still coming in: `ttl_ns` counts from the Whole event
-    is_counted: bool = False  #: its units are on the count already: another gateway had accepted it
+    is_body_pending: bool = False
+    is_counted: bool = False
 
 
 @dataclass(slots=True)
 class Whole:
-    """The last byte of a request that was coming has come: its time counts from now."""
+    """The last byte of a request with `is_body_pending` has arrived; its time starts now."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Left:
-    """The client is gone; nothing is owed any more."""
+    """The client of a request has disconnected or its deadline has passed: no answer is needed any more."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Begun:
-    """A streamed answer has begun."""
+    """The streamed answer of an attempt has begun; it is the request's final answer."""
 
     request: int
     attempt: int
@@ -193,7 +281,18 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """How one attempt ended."""
+    """An attempt has ended.
+
+    Attributes:
+        request: The request's number.
+        server: The server that the attempt was sent to.
+        attempt: The attempt's number, counted from 0 for each request.
+        duration_ns: The time from sending to the end, or to the first byte of a streamed answer.
+        result: How it ended.
+        is_final: Whether the request has been answered, so that no further attempt is needed.
+        units: The units that the request actually used; 0 if unknown.
+        report: What the server reports of its load, as named by `Start.report_fields`.
+    """
 
     request: int
     server: int
@@ -207,14 +306,14 @@
 
 @dataclass(slots=True)
 class Timer:
-    """A timer set earlier has run out."""
+    """A timer that was set by SetTimer with this token has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class ServerNews:
-    """News of the server list."""
+    """The server list, or changes of it, by the value of `news`."""
 
     news: News
     servers: list[Server] = field(default_factory=list)
@@ -222,7 +321,7 @@
 
 @dataclass(slots=True)
 class Probed:
-    """How a probe ended."""
+    """A probe has ended; `report` is as in Outcome."""
 
     server: int
     result: Result
@@ -232,7 +331,14 @@
 
 @dataclass(slots=True)
 class Counted:
-    """The counter service's answer to one call."""
+    """A counter call has ended.
+
+    Attributes:
+        name: The counter's name, as in Count.
+        result: How the call ended.
+        total: The counter's value after the addition, in units; valid with Result.OK only.
+        duration_ns: The time from the call to its end.
+    """
 
     name: int
     result: Result
@@ -242,7 +348,7 @@
 
 @dataclass(slots=True)
 class Told:
-    """A message from another gateway."""
+    """Another ingress has sent a message by Tell; `sender` is its number."""
 
     sender: int
     data: bytes
@@ -250,7 +356,7 @@
 
 @dataclass(slots=True)
 class ZoneTurn:
-    """The fleet has left a zone, or is back in it."""
+    """The fleet has ejected a zone (`is_left`) or has readmitted it."""
 
     zone: int
     is_left: bool
@@ -259,9 +365,15 @@
 Event = ZoneTurn | Arrival | Whole | Left | Begun | Outcome | Timer | ServerNews | Probed | Counted | Told
 
 
+# -- actions: returned by the decision module for the engine to carry out ----------------------------------------------
+
+
 @dataclass(slots=True)
 class Send:
-    """Send the request to a server; the next attempt number is implied."""
+    """Send an attempt to a server.  Its number is the count of the request's earlier attempts.
+
+    `timeout_ns` limits the attempt from now on; at 0 only the request's deadline does.
+    """
 
     request: int
     server: int
@@ -270,7 +382,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt in flight."""
 
     request: int
     attempt: int
@@ -278,7 +390,13 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: refused, a retry does no harm; over_quota tells the customer's doing from the fleet's."""
+    """Answer finally that the request was not executed, or may be repeated, so that a retry does no harm.
+
+    Attributes:
+        request: The request's number.
+        retry_in_ns: The earliest time, from now, at which a retry makes sense.
+        over_quota: Whether the customer's own quota is the reason, rather than the state of the fleet.
+    """
 
     request: int
     retry_in_ns: int = 0
@@ -287,14 +405,17 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, nothing promised."""
+    """Answer finally that the request failed; it may or may not have been executed."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a Timer event; one that names a request need not come once that request is over."""
+    """Send a Timer event with this token after `after_ns`.
+
+    If `request` is given, the event may be left out once that request is over.
+    """
 
     after_ns: int
     token: int
@@ -303,7 +424,10 @@
 
 @dataclass(slots=True)
 class Count:
-    """Add to a named count and get its total."""
+    """Add `amount` units to a named counter and return its total by Counted.
+
+    The counter is created by its first call and removed after `ttl_ns`.
+    """
 
     name: int
     amount: float
@@ -312,14 +436,14 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Probe a server."""
+    """Probe a server; Probed follows."""
 
     server: int
 
 
 @dataclass(slots=True)
 class Tell:
-    """Message to another gateway; None means all of them."""
+    """Send a message to the ingress with the number `to`, or to all others if that is None."""
 
     to: int | None
     data: bytes
@@ -327,26 +451,26 @@
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a line to the log."""
 
     text: str
 
 
 @dataclass(slots=True)
 class Watch:
-    """Ask for changes of the server list from now on."""
+    """Start to report changes of the server list by ServerNews; stop that if `on` is false."""
 
     on: bool = True
 
 
 @dataclass(slots=True)
 class Fetch:
-    """Ask for the whole server list once."""
+    """Report the whole server list once by ServerNews."""
 
 
 @dataclass(slots=True)
 class Close:
-    """Close idle connections to a server."""
+    """Close the idle connections to a server."""
 
     server: int
 
--- a/mapleline/simwire/__init__.py
+++ b/mapleline/simwire/__init__.py
@@ -1,1 +1,1 @@
-"""The bench adapter: the decision module on the simulator's wire."""
+"""Adapter of the decision module to the simulator's binary protocol."""
--- a/mapleline/simwire/__main__.py
+++ b/mapleline/simwire/__main__.py
@@ -1,4 +1,7 @@
-"""Runs the decision module on the bench's wire: one Brain per instance, nothing shared between them."""
+"""Runs the decision module for the simulator on stdin and stdout.
+
+Each simulated ingress (`node`) has its own Brain; they share no state.
+"""
 
 from __future__ import annotations
 
@@ -22,37 +25,41 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Answer each batch of events by a reply with the actions, until the input ends.
+
+    Raises:
+        WireError: The input breaks the protocol.
+    """
     brains: dict[int, Brain] = {}
     lists: dict[int, list[Server]] = {}
     while head := read_exactly(source, HEAD.size):
         if len(head) < HEAD.size:
             raise WireError("input ends within a batch header")
-        size, now, count = HEAD.unpack(head)
+        size, now_ns, count = HEAD.unpack(head)
         body = read_exactly(source, size) if size else b""
         if len(body) < size:
             raise WireError("input ends within a batch")
         reply = ReplyWriter()
-        for node, what, value in read_batch(body, count):
-            if what == "list":
+        for node, record_type, value in read_batch(body, count):
+            if record_type == "list":
                 lists[value[0]] = value[1]
                 continue
             try:
-                if what == "start":
+                if record_type == "start":
                     brains[node] = Brain(parse_settings(*value))
                     actions = []
-                elif what == "stop":
+                elif record_type == "stop":
                     brains.pop(node, None)
                     continue
                 elif node not in brains:
                     continue
-                elif what == "news":
-                    actions = brains[node].handle(now, ServerNews(value[0], lists.get(value[1], [])))
+                elif record_type == "news":
+                    actions = brains[node].handle(now_ns, ServerNews(value[0], lists.get(value[1], [])))
                 else:
-                    actions = brains[node].handle(now, value)
+                    actions = brains[node].handle(now_ns, value)
                 for action in actions:
                     if type(action) is Refuse and not brains[node].settings.may_advise:
-                        action.retry_in_ns = 0  # this wire takes advice only where the settings allow it
+                        action.retry_in_ns = 0  # the protocol accepts it only where the settings allow it
                     reply.add(node, action)
             except WireError:
                 raise
@@ -64,7 +71,7 @@
 
 
 def main() -> int:
-    """Entry point; returns the exit code."""
+    """Serve stdin and stdout; return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as err:
