--- a/mapleline/balancer/proxy/attempts.py
+++ b/mapleline/balancer/proxy/attempts.py
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ...policy.placing import too_late
+from ...policy.placing import would_miss_target_latency
 from . import counters, outcome
 from .admission import RETRY_AFTER_S, authorized_tenant
 from .attempt_limits import (
@@ -86,7 +86,7 @@
             self._counters.increment(counters.NO_SERVER)
             self._give_up_unless_in_flight(context)
             return
-        wait = target.wait(now)
+        wait = target.wait_latencies(now)
         if self._is_overloaded(context, wait):
             self._reject_overloaded(context, wait)
             return
@@ -101,7 +101,7 @@
         if context.attempt_count > 0 or admitted.is_client_retry:
             return False
         latency_s = self._statistics.latency_s(admitted.statistics_key)
-        return too_late(wait, latency_s, admitted.route.target_latency)
+        return would_miss_target_latency(wait, latency_s, admitted.route.target_latency)
 
     def _reject_overloaded(self, context: RequestContext, wait: float) -> None:
         self._counters.increment(counters.OVERLOADED)
@@ -111,7 +111,7 @@
     def _send(self, context: RequestContext, target: Target, wait: float, now: float) -> None:
         instance = self._selection.instance_of(target)
         if self._slow_start.is_warming_up(instance, now):
-            target.cold_store -= 1.0
+            target.slow_start_tokens -= 1.0
         context.attempted_ids.append(target.id)
         attempt = Attempt(
             request_id=context.admitted.request_id,
@@ -146,7 +146,7 @@
             return
         if self._may_retry(context):
             self._counters.increment(counters.HEDGED)
-            context.attempts[0].target.judged(now, True, HEDGE_FAILURE_WEIGHT)
+            context.attempts[0].target.record_result(now, True, HEDGE_FAILURE_WEIGHT)
             self.dispatch(context)
 
     def _may_retry(self, context: RequestContext) -> bool:
--- a/mapleline/balancer/proxy/endpoint_selection.py
+++ b/mapleline/balancer/proxy/endpoint_selection.py
@@ -47,7 +47,7 @@
             if target is None:
                 target = self._make_target(instance)
                 self.targets[instance_id] = target
-            target.cold_until = max(target.cold_until, instance.warming_until)
+            target.warming_until = max(target.warming_until, instance.warming_until)
         removed_ids = [instance_id for instance_id in self.targets if instance_id not in instances]
         for instance_id in removed_ids:
             self._upstream_pool.close_connections(self.targets.pop(instance_id))
@@ -122,4 +122,4 @@
         """Return whether a server that is warming up may get a request from this node now."""
         if not self._slow_start.has_lease(instance, now):
             return False
-        return target.cold_turn(now, self._slow_start.max_rate_per_s(instance, now, slow_start_rate))
+        return target.has_slow_start_token(now, self._slow_start.max_rate_per_s(instance, now, slow_start_rate))
--- a/mapleline/balancer/proxy/load_reports.py
+++ b/mapleline/balancer/proxy/load_reports.py
@@ -47,7 +47,11 @@
             (server_checksum(target.id), target) for target in self._targets.values() if target.region == self._region
         ]
         in_flight = {checksum: target.out for checksum, target in local if target.out}
-        tenths = ((checksum, int(FAILURE_SHARE_UNITS * target.seen(now))) for checksum, target in local if target.bad)
+        tenths = (
+            (checksum, int(FAILURE_SHARE_UNITS * target.observed_failure_share(now)))
+            for checksum, target in local
+            if target.failure_share
+        )
         unhealthy = {checksum: tenth for checksum, tenth in tenths if tenth > MAX_HEALTHY_TENTHS}
         report = LoadReport(in_flight, unhealthy)
         if report == self._last_report:
@@ -65,8 +69,8 @@
                 _add_report(received.report, in_flight, failure_tenths)
         for target in self._targets.values():
             checksum = server_checksum(target.id)
-            target.near = in_flight.get(checksum, 0)
-            target.bad_near = failure_tenths.get(checksum, 0) / FAILURE_SHARE_UNITS
+            target.peer_in_flight = in_flight.get(checksum, 0)
+            target.peer_failure_share = failure_tenths.get(checksum, 0) / FAILURE_SHARE_UNITS
 
 
 def _add_report(report: LoadReport, in_flight: dict[int, int], failure_tenths: dict[int, int]) -> None:
--- a/mapleline/balancer/proxy/server_feedback.py
+++ b/mapleline/balancer/proxy/server_feedback.py
@@ -46,29 +46,29 @@
 def _record_failure(attempt: Attempt, now: float) -> None:
     target = attempt.target
     if attempt.end_reason is EndReason.UNREACHABLE:
-        target.unreachable(now)
+        target.record_unreachable(now)
     if attempt.end_reason in FAILURES:
-        target.judged(now, True)
+        target.record_result(now, True)
 
 
 def _record_reported_load(target: Target, response: Response, now: float) -> None:
     fields = response.headers.get(b"server-load", b"").split(b",")
     if len(fields) == SERVER_LOAD_FIELDS and all(field.strip().isdigit() for field in fields):
-        target.told = float(fields[0]) + float(fields[1])
-        target.told_at = now
+        target.reported_load = float(fields[0]) + float(fields[1])
+        target.load_reported_at = now
 
 
 def _record_overload(target: Target, now: float) -> None:
-    target.told = max(target.told, target.slots + OVERLOAD_QUEUE)
-    target.told_at = now
+    target.reported_load = max(target.reported_load, target.slots + OVERLOAD_QUEUE)
+    target.load_reported_at = now
 
 
 def _record_response(
     attempt: Attempt, response: Response, statistics: RouteStatistics, key: StatisticsKey, now: float
 ) -> None:
     is_server_error = response.status >= FIRST_SERVER_ERROR
-    attempt.target.judged(now, is_server_error)
+    attempt.target.record_result(now, is_server_error)
     latency_s = now - attempt.sent_at
-    attempt.target.answered(latency_s / statistics.latency_s(key))
+    attempt.target.record_response(latency_s / statistics.latency_s(key))
     if not is_server_error and attempt.had_free_slot:
         statistics.record(key, latency_s, len(response.body))
--- a/mapleline/balancer/proxy/upstream_connection.py
+++ b/mapleline/balancer/proxy/upstream_connection.py
@@ -150,7 +150,7 @@
         keep_alive_s = float(timeout) if timeout.isdigit() else MAX_IDLE_S / KEEP_ALIVE_SHARE
         self.idle_since = self._clock.seconds()
         self.keep_until = self.idle_since + min(MAX_IDLE_S, keep_alive_s * KEEP_ALIVE_SHARE)
-        self._target.links.append(self)
+        self._target.idle_connections.append(self)
 
     # -- streaming -----------------------------------------------------------------------------------------
 
@@ -204,8 +204,8 @@
             attempt.end(EndReason.CONNECTION_CLOSED if is_closed_in_order else EndReason.CONNECTION_LOST)
 
     def _leave_idle_connections(self) -> None:
-        if self in self._target.links:
-            self._target.links.remove(self)
+        if self in self._target.idle_connections:
+            self._target.idle_connections.remove(self)
 
 
 def is_response_to(attempt: Attempt, response: Response) -> bool:
--- a/mapleline/balancer/proxy/upstream_pool.py
+++ b/mapleline/balancer/proxy/upstream_pool.py
@@ -47,11 +47,11 @@
         """Return an idle connection that is good for the attempt; connections that are good for none are aborted."""
         target = attempt.target
         now = self._reactor.seconds()
-        while target.links:
-            connection: UpstreamConnection = target.links[-1]
+        while target.idle_connections:
+            connection: UpstreamConnection = target.idle_connections[-1]
             if not _may_carry(connection, attempt, now):
                 return None
-            target.links.pop()
+            target.idle_connections.pop()
             if connection.is_reusable and now < connection.keep_until and not connection.has_unread:
                 return connection
             connection.abort()
@@ -60,17 +60,17 @@
     def close_idle_connections(self, targets: list[Target], now: float, max_idle: int) -> None:
         """Close connections that were idle for too long, and those beyond `max_idle` for each server."""
         for target in targets:
-            for connection in list(target.links):
+            for connection in list(target.idle_connections):
                 if now >= connection.keep_until or not connection.connected:
-                    target.links.remove(connection)
+                    target.idle_connections.remove(connection)
                     connection.abort()
-            while len(target.links) > max_idle:
-                target.links.pop(0).abort()
+            while len(target.idle_connections) > max_idle:
+                target.idle_connections.pop(0).abort()
 
     def close_connections(self, target: Target) -> None:
         """Close the idle connections to a server that is gone."""
-        while target.links:
-            target.links.pop().abort()
+        while target.idle_connections:
+            target.idle_connections.pop().abort()
 
 
 def _may_carry(connection: UpstreamConnection, attempt: Attempt, now: float) -> bool:
--- a/tests/balancer/proxy/test_upstream_connection.py
+++ b/tests/balancer/proxy/test_upstream_connection.py
@@ -93,7 +93,7 @@
         first = self.attempt(b"q0")
         connection = self.establish()
         connection.dataReceived(response(b"q0"))
-        self.assertEqual((first.end_reason, self.target.links), (EndReason.RESPONSE, [connection]))
+        self.assertEqual((first.end_reason, self.target.idle_connections), (EndReason.RESPONSE, [connection]))
         return connection
 
     def assert_ended(self, attempt, reason, outcome):
@@ -135,7 +135,7 @@
                 self.assert_ended(attempt, EndReason.RESPONSE, Outcome.EXECUTED)
                 self.assertEqual((attempt.response.headers[b"request-id"], attempt.response.body), (b"q1", b"whole"))
                 self.assertTrue(connection.transport.ended)
-                self.assertNotIn(connection, self.target.links)
+                self.assertNotIn(connection, self.target.idle_connections)
 
     def test_two_foreign_responses_or_a_long_one_end_the_connection_and_leave_execution_unknown(self):
         for surplus in (
@@ -158,7 +158,7 @@
         attempt = self.attempt()
         self.establish().dataReceived(nobody)
         self.assert_ended(attempt, EndReason.RESPONSE, Outcome.NOT_EXECUTED)
-        self.target.links.clear()
+        self.target.idle_connections.clear()
         connection, attempt = self.make_idle_connection(), self.attempt()
         connection.dataReceived(nobody)  # perhaps a late one of the request before
         self.assertIsNone(attempt.end_reason)
@@ -170,7 +170,7 @@
         connection = self.establish()
         connection.dataReceived(response(b"q1", 503, lines=b"Not-Executed: 1\r\n"))
         self.assert_ended(first, EndReason.RESPONSE, Outcome.NOT_EXECUTED)
-        self.assertEqual(self.target.links, [connection])
+        self.assertEqual(self.target.idle_connections, [connection])
         again = self.attempt()
         self.assertIsNone(connection.attempt)  # a second copy of that answer would free what runs
         self.establish().dataReceived(response())
@@ -183,14 +183,14 @@
         self.assertTrue(connection.transport.ended and connection.attempt is None)
         self.establish().dataReceived(response())
         self.assert_ended(attempt, EndReason.RESPONSE, Outcome.EXECUTED)
-        self.target.links.clear()
+        self.target.idle_connections.clear()
         connection = self.make_idle_connection()
         connection.dataReceived(response(b"q0"))  # read, in the turn in which the next request is sent
         attempt = self.attempt()
         self.assertTrue(connection.transport.ended and connection.attempt is None)
         self.establish().dataReceived(response())
         self.assert_ended(attempt, EndReason.RESPONSE, Outcome.EXECUTED)
-        self.target.links.clear()
+        self.target.idle_connections.clear()
         attempt = self.attempt()
         connection = self.establish()
         connection.dataReceived(response() + b"more")
