--- a/mapleline/balancer/proxy/admission.py
+++ b/mapleline/balancer/proxy/admission.py
@@ -1,4 +1,4 @@
-"""Admission of a request by its route, its key and its deadline, before any server or quota is looked at."""
+"""Admission of a request by its route, its key and its deadline; quota and servers are considered afterwards."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     from .routing_state import RoutingState
 
 RETRY_AFTER_S = 0.3
-"""When to come back where nothing better is known."""
+"""Default of `Retry-After` where no better estimate is available."""
 
 CLIENT_RETRY_SHARE = 0.97
-"""Of a route's longest timeout: a request that has less is taken for a retry by the client."""
+"""A request with less than this share of its route's longest timeout is taken for a retry by the client."""
 
 NOT_READY = Rejection(503, b"not ready", RETRY_AFTER_S)
 NO_ROUTE = Rejection(404, b"no route")
@@ -28,7 +28,7 @@
 
 
 def authorized_tenant(table: RoutingTable, request: Request) -> str | None:
-    """Return the tenant whose key the request carries, None for an unknown key or none."""
+    """Return the tenant that the request's key belongs to; None if the key is missing or unknown."""
     return table.owner(request.headers.get(b"authorization", b"").decode("latin-1"))
 
 
@@ -39,7 +39,7 @@
 
 
 def _timeout_s(route: Route, request: Request) -> float:
-    """Return the time left by `Deadline-Ms`, the route's timeout at most."""
+    """Return the time that the header `Deadline-Ms` leaves, but not more than the route's timeout."""
     deadline_ms = request.headers.get(b"deadline-ms", b"")
     if not deadline_ms.isdigit():
         return route.timeout
@@ -47,18 +47,18 @@
 
 
 class Admission:
-    """Decides which requests are served, and what is known of them from the start."""
+    """Decides which requests are admitted, and determines their route, service, tenant and timeout."""
 
     def __init__(self, dependencies: ProxyDependencies, routing: RoutingState, counters: RequestCounters) -> None:
-        """Begin without knowledge of the clients' timeouts."""
+        """Start with no timeouts of earlier requests."""
         self._can_serve = dependencies.can_serve
         self._rng = dependencies.rng
         self._routing = routing
         self._counters = counters
-        self._longest_timeouts_s: dict[str, float] = {}  # by the route's prefix
+        self._longest_timeouts_s: dict[str, float] = {}  # by the route's path prefix
 
     def decide(self, request: Request) -> AdmittedRequest | Rejection:
-        """Return what the request is, or the response that rejects it."""
+        """Return the admitted request, or the response that rejects it."""
         table = self._routing.table
         if table is None or not self._can_serve():
             self._counters.increment(counters.NOT_READY)
@@ -83,13 +83,16 @@
         )
 
     def _is_client_retry(self, route: Route, timeout_s: float) -> bool:
-        """Return whether the timeout is what earlier attempts of the client left of its usual one."""
+        """Return whether the client made an earlier attempt, which used up a part of its usual timeout.
+
+        The longest timeout seen on the route is taken for the usual one.
+        """
         longest_s = max(timeout_s, self._longest_timeouts_s.get(route.path_prefix, 0.0))
         self._longest_timeouts_s[route.path_prefix] = longest_s
         return timeout_s < CLIENT_RETRY_SHARE * longest_s
 
     def _choose_service(self, route: Route) -> str:
-        """Return the route's service, of a split a random one by its weights."""
+        """Return the route's service; of a weighted split, a random one by its weights."""
         shares = route.shares
         if len(shares) == 1:
             return shares[0][0]
--- a/mapleline/balancer/proxy/attempt_limits.py
+++ b/mapleline/balancer/proxy/attempt_limits.py
@@ -1,23 +1,24 @@
-"""Times and numbers that bound the attempts of one request."""
+"""Limits on the attempts of one request, in number and in time."""
 
 from __future__ import annotations
 
 DEADLINE_MARGIN_S = 0.03
-"""Before the client's deadline, for the response's way to it."""
+"""Time before the client's deadline at which the proxy responds at the latest, for the transmission to the client."""
 
 MIN_ATTEMPT_S = 0.02
-"""With less left until the deadline no attempt is made."""
+"""No attempt is made with less time left until the deadline."""
 
 MIN_RETRY_S = 2 * MIN_ATTEMPT_S
-"""With less left until the deadline no retry is made."""
+"""No retry is made with less time left until the deadline."""
 
 MAX_UNREACHABLE = 4
-"""Servers that could not be reached do not count as attempts, up to this number."""
+"""Unreachable servers do not count as attempts, up to this number for each request."""
 
 MAX_OVERLOAD_RETRY_AFTER_S = 0.5
+"""Upper bound of `Retry-After` in the response to a request that is rejected as the servers are overloaded."""
 
 HEDGE_LATENCIES = 4.0
-"""Expected latencies without a response after which a second server is asked (2.5 cost more than they gave)."""
+"""Expected latencies without a response after which a second server is asked; 2.5 cost more than it gained."""
 
 HEDGE_FAILURE_WEIGHT = 0.2
-"""Weight of a hedged attempt among the failures of its server."""
+"""Weight in a server's failure share of a request that was hedged, as it had no response for long."""
--- a/mapleline/balancer/proxy/attempts.py
+++ b/mapleline/balancer/proxy/attempts.py
@@ -1,6 +1,6 @@
-"""The attempts of a request: sending, retrying, hedging, and what their ends mean for the client.
+"""The attempts of a request: sending, retrying and hedging them, and the final response to the client.
 
-docs/design/attempt-outcomes.md has the cases one by one.
+docs/design/attempt-outcomes.md lists the cases.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 class AttemptDispatcher:
-    """Sends requests to servers until each has its one final response."""
+    """Sends requests to servers until each request has exactly one final response."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         statistics: RouteStatistics,
         counters: RequestCounters,
     ) -> None:
-        """Join the parts that an attempt needs."""
+        """Keep references to the components that attempts need."""
         self._clock = dependencies.clock
         self._upstream_pool = dependencies.upstream_pool
         self._can_serve = dependencies.can_serve
@@ -73,7 +73,7 @@
     # -- sending -------------------------------------------------------------------------------------------
 
     def dispatch(self, context: RequestContext) -> None:
-        """Send the request to the best server now, or end it if there is none."""
+        """Send the request to the best eligible server, or reject it if there is none and no attempt is in flight."""
         if context.is_finished:
             return
         now = self._clock.seconds()
@@ -86,29 +86,30 @@
             self._counters.increment(counters.NO_SERVER)
             self._give_up_unless_in_flight(context)
             return
-        wait = target.wait_latencies(now)
-        if self._is_overloaded(context, wait):
-            self._reject_overloaded(context, wait)
+        wait_latencies = target.wait_latencies(now)
+        if self._is_overloaded(context, wait_latencies):
+            self._reject_overloaded(context, wait_latencies)
             return
-        self._send(context, target, wait, now)
+        self._send(context, target, wait_latencies, now)
 
-    def _is_overloaded(self, context: RequestContext, wait: float) -> bool:
-        """Return whether a first attempt would miss the route's latency target, and delay all behind it.
+    def _is_overloaded(self, context: RequestContext, wait_latencies: float) -> bool:
+        """Return whether a first attempt would miss the route's latency target, and delay all requests behind it.
 
-        `wait` is in expected latencies.  A client's retry has less time than that, and is sent.
+        `wait_latencies` is the time in the queue in expected latencies.  Further attempts are sent in any case, and so
+        is a client's retry, which has less time left than the target.
         """
         admitted = context.admitted
         if context.attempt_count > 0 or admitted.is_client_retry:
             return False
         latency_s = self._statistics.latency_s(admitted.statistics_key)
-        return would_miss_target_latency(wait, latency_s, admitted.route.target_latency)
+        return would_miss_target_latency(wait_latencies, latency_s, admitted.route.target_latency)
 
-    def _reject_overloaded(self, context: RequestContext, wait: float) -> None:
+    def _reject_overloaded(self, context: RequestContext, wait_latencies: float) -> None:
         self._counters.increment(counters.OVERLOADED)
-        wait_s = wait * self._statistics.latency_s(context.admitted.statistics_key)
+        wait_s = wait_latencies * self._statistics.latency_s(context.admitted.statistics_key)
         context.reject(Rejection(SERVICE_UNAVAILABLE, b"full", min(MAX_OVERLOAD_RETRY_AFTER_S, wait_s)))
 
-    def _send(self, context: RequestContext, target: Target, wait: float, now: float) -> None:
+    def _send(self, context: RequestContext, target: Target, wait_latencies: float, now: float) -> None:
         instance = self._selection.instance_of(target)
         if self._slow_start.is_warming_up(instance, now):
             target.slow_start_tokens -= 1.0
@@ -121,7 +122,7 @@
             is_idempotent=context.is_idempotent,
             on_response_start=partial(self._on_response_start, context),
             upload=context.upload,
-            had_free_slot=wait == 0.0,
+            had_free_slot=wait_latencies == 0.0,
         )
         context.attempts.append(attempt)
         context.attempt_count += 1
@@ -137,9 +138,9 @@
             context.hedge_timer = self._clock.callLater(delay_s, self._hedge, context)
 
     def _hedge(self, context: RequestContext) -> None:
-        """Ask a second server as well: the first response counts.
+        """Send the request to a second server; the first response counts.
 
-        The first attempt goes on, for to cancel it would gain nothing: the server works on it already.
+        The first attempt is not cancelled: its server is executing it already, so cancelling would save nothing.
         """
         now = self._clock.seconds()
         if context.is_finished or context.streaming_attempt is not None or not context.attempts:
@@ -150,7 +151,7 @@
             self.dispatch(context)
 
     def _may_retry(self, context: RequestContext) -> bool:
-        """Return whether a further attempt is allowed; it is then taken off the retry budget."""
+        """Return whether a further attempt is allowed; if so, spend it from the retry budget."""
         route = context.admitted.route
         if context.is_body_discarded or not outcome.may_retry(route.route_kind, context.worst_outcome):
             return False
@@ -165,10 +166,10 @@
     def _on_response_start(
         self, context: RequestContext, attempt: Attempt, response: Response, connection: UpstreamConnection
     ) -> ClientConnection | None:
-        """Begin to stream a long response to the client, if it is the request's final one.
+        """Start streaming a long response to the client, if it is the request's final one.
 
         Returns:
-            The connection that takes its parts; None if the response is to be read whole.
+            The client connection that its parts are sent to; None if the response is to be read whole.
         """
         if context.is_finished or context.streaming_attempt is not None:
             return None
@@ -182,7 +183,7 @@
         return context.client_conn
 
     def _on_attempt_end(self, context: RequestContext, attempt: Attempt) -> None:
-        """Learn from an attempt's end, and answer the client or try again."""
+        """Record an attempt's result, and answer the client or make a further attempt."""
         if attempt in context.attempts:
             context.attempts.remove(attempt)
         self._quota_attempts.on_ended(context, attempt.outcome)
@@ -204,7 +205,7 @@
         context.client_conn.end_reply(attempt.end_reason is EndReason.RESPONSE)
 
     def _conclude(self, context: RequestContext, attempt: Attempt) -> None:
-        """Forward the response, make a further attempt, wait for another one, or give up."""
+        """Forward the response, make a further attempt, wait for one in flight, or send an error to the client."""
         response = attempt.response
         final = self._final_response(context, attempt)
         if final is not None and final.status < FIRST_SERVER_ERROR:
@@ -230,7 +231,10 @@
         return response if outcome.may_forward(context.admitted.route.route_kind, response) else None
 
     def _may_attempt_again(self, context: RequestContext, attempt: Attempt) -> bool:
-        """Return whether another server is to be asked; one that was not reached is free of the retry budget."""
+        """Return whether to send the request to another server.
+
+        An attempt whose server was unreachable is not counted, and needs no retry budget.
+        """
         if attempt.end_reason is not EndReason.UNREACHABLE:
             return self._may_retry(context)
         context.attempt_count -= 1
@@ -242,14 +246,14 @@
         self._counters.increment_forwarded(response.status)
         context.reply(response.status, response.body, response_header_lines(response))
 
-    # -- without a response --------------------------------------------------------------------------------
+    # -- errors --------------------------------------------------------------------------------------------
 
     def _give_up_unless_in_flight(self, context: RequestContext) -> None:
         if not context.attempts:
             self._give_up(context, is_timeout=False)
 
     def _give_up(self, context: RequestContext, is_timeout: bool) -> None:
-        """Answer at once: no server has, and none will be asked."""
+        """Send the proxy's own final response: there is no server response to forward, and no further attempt."""
         status = outcome.final_status(context.worst_outcome, is_timeout)
         self._counters.increment_own(status)
         if status == SERVICE_UNAVAILABLE:
@@ -258,12 +262,12 @@
             context.reply(status, b"gone" if status == BAD_GATEWAY else b"late")
 
     def on_deadline(self, context: RequestContext) -> None:
-        """End the request at its deadline: an attempt in flight may have been executed."""
+        """End the request at its deadline; an attempt in flight may have been executed."""
         if context.is_finished:
             return
         if context.streaming_attempt is not None:
             context.finish()
-            context.client_conn.end_reply(False)  # the client sees a part, and no end
+            context.client_conn.end_reply(False)  # the client can tell that the response is truncated
             context.cancel_attempts()
             return
         if any(attempt.is_written for attempt in context.attempts):
@@ -273,5 +277,5 @@
 
 
 def _is_still_authorized(context: RequestContext, table: RoutingTable) -> bool:
-    """Return False if the request's key was revoked while it waited."""
+    """Return whether the request's key still identifies the same tenant; it may be revoked between attempts."""
     return authorized_tenant(table, context.request) == context.admitted.tenant_id
--- a/mapleline/balancer/proxy/endpoint_selection.py
+++ b/mapleline/balancer/proxy/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""The servers that a request may go to, and the choice of one of them."""
+"""Selection of a server for an attempt: eligibility, then the least expected latency."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EndpointSelection:
-    """Keeps a `Target` a server of the endpoint list, and chooses among them."""
+    """Keeps one `Target` for each server of the endpoint list, and chooses among them."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         slow_start: SlowStart,
         statistics: RouteStatistics,
     ) -> None:
-        """Begin without servers."""
+        """Start with no servers."""
         self.targets: dict[str, Target] = {}  #: by the server's id
         self._settings = dependencies.settings
         self._endpoints = dependencies.endpoints
@@ -40,7 +40,7 @@
         self._statistics = statistics
 
     def update(self) -> None:
-        """Follow the endpoint list, which has changed."""
+        """Add and remove targets after a change of the endpoint list."""
         instances = self._endpoints.instances
         for instance_id, instance in instances.items():
             target = self.targets.get(instance_id)
@@ -58,21 +58,21 @@
         return Target(instance.id, instance.service, instance.zone, region, instance.slots)
 
     def remove(self, target: Target) -> None:
-        """Send nothing more to a server that is not the one of the list any more."""
+        """Stop sending to a target: the server at its address is no longer the one that the endpoint list names."""
         self.targets.pop(target.id, None)
 
     def instance_of(self, target: Target) -> Instance:
-        """Return the entry of the endpoint list for a target that was chosen just now."""
+        """Return the endpoint list's entry for a target that `choose_target` returned just now."""
         return self._endpoints.instances[target.id]
 
     def choose_target(self, context: RequestContext, table: RoutingTable, now: float) -> Target | None:
-        """Return the server with the least expected latency, None if no server is eligible."""
+        """Return the eligible server with the least expected latency; None if there is none or too little time."""
         admitted = context.admitted
         regions = self._allowed_regions(context, table)
         has_time = context.deadline - now > MIN_ATTEMPT_S
         targets = self._eligible_targets(table, admitted.service, regions, now) if has_time else []
         transfer_bytes = context.body_bytes + self._statistics.response_bytes(admitted.statistics_key)
-        # the last slots of a region are left to requests that may not leave it
+        # the last slots of these regions are left to requests that may not leave them
         reserved_regions = table.homes.get(admitted.service, ()) if regions is None else ()
         return choose(
             now,
@@ -86,7 +86,7 @@
         )
 
     def _allowed_regions(self, context: RequestContext, table: RoutingTable) -> set[str] | None:
-        """Return the regions that both route and tenant allow (rule HOME), None for all."""
+        """Return the regions that both the route and the tenant allow (rule HOME); None if all are allowed."""
         admitted = context.admitted
         regions = set(admitted.route.home_regions) or None
         tenant = table.tenants.get(admitted.tenant_id) if admitted.tenant_id else None
@@ -99,8 +99,11 @@
     def _eligible_targets(
         self, table: RoutingTable, service: str, regions: set[str] | None, now: float
     ) -> list[Target]:
-        """Return the servers of a service that a request may go to now."""
-        slow_start_rate = table.services[service].cold_rate_s if service in table.services else 0.0
+        """Return the servers of a service to which a request may be sent now.
+
+        `regions` are the allowed ones; None if all are allowed.
+        """
+        slow_start_rate_per_s = table.services[service].cold_rate_s if service in table.services else 0.0
         evacuated_zones = self._routing.evacuated_zones
         eligible = []
         for instance in self._endpoints.instances.values():
@@ -112,14 +115,14 @@
             if regions is not None and target.region not in regions:
                 continue
             if self._slow_start.is_warming_up(instance, now) and not self._may_warm_up(
-                instance, target, slow_start_rate, now
+                instance, target, slow_start_rate_per_s, now
             ):
                 continue
             eligible.append(target)
         return eligible
 
-    def _may_warm_up(self, instance: Instance, target: Target, slow_start_rate: float, now: float) -> bool:
-        """Return whether a server that is warming up may get a request from this node now."""
+    def _may_warm_up(self, instance: Instance, target: Target, slow_start_rate_per_s: float, now: float) -> bool:
+        """Return whether this node may send a request now to a server that is warming up."""
         if not self._slow_start.has_lease(instance, now):
             return False
-        return target.has_slow_start_token(now, self._slow_start.max_rate_per_s(instance, now, slow_start_rate))
+        return target.has_slow_start_token(now, self._slow_start.max_rate_per_s(instance, now, slow_start_rate_per_s))
--- a/mapleline/balancer/proxy/outcome.py
+++ b/mapleline/balancer/proxy/outcome.py
@@ -1,7 +1,7 @@
-"""Whether a request may have been executed by a server: the one place that decides it for every end of an attempt.
+"""Whether a server may have executed a request; only this module decides it, for each way an attempt can end.
 
-The rules are those of docs/design/attempt-outcomes.md: a request that is not idempotent may be executed once at most,
-and the statuses 408, 421, 429 and 503 promise a client that it was not executed.
+A request that is not idempotent may be executed at most once, and the statuses 408, 421, 429 and 503 promise a client
+that its request was not executed.  docs/design/attempt-outcomes.md lists the cases.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 
 class Outcome(IntEnum):
-    """What is known of the execution of a request; of several attempts the largest value counts."""
+    """What is known of a request's execution; of several attempts the largest value counts."""
 
-    NOT_EXECUTED = 0  #: and never will be: nothing was written, or the server said so
+    NOT_EXECUTED = 0  #: it never will be executed: nothing was written, or the server said so
     UNKNOWN = 1  #: it was written, and there is no response
-    EXECUTED = 2  #: the server's own response says that it worked on it
+    EXECUTED = 2  #: the server sent a response that doesn't deny execution
 
 
 class EndReason(Enum):
@@ -34,10 +34,10 @@
 
     RESPONSE = auto()  #: the server's response is complete
     UNREACHABLE = auto()  #: the connection was never established
-    CONNECTION_LOST = auto()  #: reset or timed out before the end of a response
-    CONNECTION_CLOSED = auto()  #: closed in order before the end of a response
-    PROTOCOL_ERROR = auto()  #: the server sent what is no response to this request
-    CANCELLED = auto()  #: nobody waits for the response any more
+    CONNECTION_LOST = auto()  #: the connection was reset or timed out before the end of a response
+    CONNECTION_CLOSED = auto()  #: the server closed the connection in order before the end of a response
+    PROTOCOL_ERROR = auto()  #: the server sent data that is not a response to this request
+    CANCELLED = auto()  #: the response is no longer needed
 
 
 def classify_status(status: int, is_marked_not_executed: bool) -> Outcome:
@@ -48,12 +48,12 @@
 
 
 def classify_response(response: Response) -> Outcome:
-    """Return the outcome by a response as it was read."""
+    """Return the outcome by a server's response."""
     return classify_status(response.status, b"not-executed" in response.headers)
 
 
 def classify_loss(is_written: bool) -> Outcome:
-    """Return the outcome where a connection ended, or was given up, without a response."""
+    """Return the outcome of an attempt whose connection ended, or was given up, without a response."""
     return Outcome.UNKNOWN if is_written else Outcome.NOT_EXECUTED
 
 
@@ -70,10 +70,10 @@
 
 
 def may_forward(route_kind: str, response: Response) -> bool:
-    """Return whether a server's response may go to the client as it is.
+    """Return whether a server's response may be sent to the client unchanged.
 
-    Some statuses promise a client that its request was not executed, which a server says by `Not-Executed` and 421
-    alone.
+    Some statuses promise a client that its request was not executed.  From a server only `Not-Executed` and 421 say
+    so, so a response with such a status and without either is not forwarded, unless the request is idempotent.
     """
     if route_kind == IDEMPOTENT or response.status not in PROMISES_NOT_EXECUTED:
         return True
--- a/mapleline/balancer/proxy/quota_admission.py
+++ b/mapleline/balancer/proxy/quota_admission.py
@@ -1,4 +1,4 @@
-"""Admission of a request by its tenant's quota, which the holders of its counters know."""
+"""Admission of a request by its tenant's quota, whose counters are kept by the quota replicas."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class QuotaAdmission:
-    """Passes requests within their tenant's quota on to `dispatch`, and rejects the others."""
+    """Dispatches requests within their tenant's quota, and rejects the others."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         counters: RequestCounters,
         dispatch: Callable[[RequestContext], None],
     ) -> None:
-        """Begin without knowledge of any tenant."""
+        """Start with no tenants; `dispatch` sends an admitted request to a server."""
         self._clock = dependencies.clock
         self._bounds = dependencies.settings.protocol_bounds
         self._consult_quota = dependencies.consult_quota
@@ -40,7 +40,7 @@
         self._tenancies: dict[str, Tenancy] = {}
 
     def admit(self, context: RequestContext, table: RoutingTable) -> None:
-        """Dispatch the request, at once or when the counters have answered, or reject it."""
+        """Dispatch or reject the request: at once if its tenant has no quota, else when the counters have answered."""
         tenant_id = context.admitted.tenant_id
         tenant = table.tenants.get(tenant_id) if tenant_id else None
         if tenant_id is None or tenant is None or tenant.rate_per_s <= 0:
@@ -51,7 +51,7 @@
         self._consult_quota(Ask(tenancy, tenant.home_regions, on_answer))
 
     def _tenancy(self, tenant_id: str, tenant: Tenant) -> Tenancy:
-        """Return the tenant's limit as the configuration has it now."""
+        """Return the tenant's limit; it is created anew when the configured rate or burst has changed."""
         limits = (tenant.rate_per_s, tenant.burst_size)
         tenancy = self._tenancies.get(tenant_id)
         if tenancy is None or tenancy.limits != limits:
@@ -65,11 +65,11 @@
 
         Args:
             context: the request.
-            quota: what it uses of its tenant's quota if it is dispatched.
-            usage: what the counters say; None if no counter answered in time.
+            quota: the quota use that the request gets if it is dispatched.
+            usage: the tenant's usage by the counters; None if no counter answered in time.
 
         Returns:
-            Whether the request was sent, so that its unit stays counted.
+            Whether the request was sent to a server, so that its unit stays counted.
         """
         if context.is_finished:
             return False
--- a/mapleline/balancer/proxy/quota_attempts.py
+++ b/mapleline/balancer/proxy/quota_attempts.py
@@ -1,7 +1,7 @@
-"""Counts attempts beyond a request's first one in its tenant's quota: a request that runs twice is two units of work.
+"""Counting of a request's further attempts in its tenant's quota: a request that is executed twice takes two units.
 
-Such an attempt is not asked for: the retry budget has allowed it.  It is counted so that later requests are decided by
-what has run (rule QUOTA).  An attempt that was surely not executed leaves its unit to the next one.
+The quota doesn't decide on further attempts; the retry budget does.  They are counted so that later requests are
+admitted by what was executed (rule QUOTA).  An attempt known not to have been executed leaves its unit to the next one.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 class QuotaAttemptCounter:
-    """Keeps the units of a request level with the attempts that may have been executed."""
+    """Keeps at least as many units counted for a request as attempts of it may have been executed."""
 
     def __init__(self, consult_quota: Callable[[Ask], None]) -> None:
         """`consult_quota` adds a unit at the tenant's counters."""
         self._consult_quota = consult_quota
 
     def on_sent(self, context: RequestContext) -> None:
-        """Count an attempt that was sent just now, unless a unit is there for it."""
+        """Count an attempt that was just sent, unless an unused unit is left for it."""
         quota = context.quota
         if quota is None:
             return
@@ -36,7 +36,7 @@
             self._consult_quota(Ask(quota.tenancy, quota.home_regions, _keep_unit))
 
     def on_ended(self, context: RequestContext, outcome: Outcome) -> None:
-        """Free the unit of an attempt that was not executed, for the next one."""
+        """Free the unit of an attempt that was not executed, for the next attempt."""
         if context.quota is not None and outcome is Outcome.NOT_EXECUTED:
             context.quota.attempts -= 1
 
--- a/mapleline/balancer/proxy/request_context.py
+++ b/mapleline/balancer/proxy/request_context.py
@@ -1,4 +1,4 @@
-"""One request in flight: what was decided at its admission, and its attempts so far."""
+"""The state of one request in flight: its admission, its quota use and its attempts."""
 
 from __future__ import annotations
 
@@ -18,22 +18,26 @@
     from .upstream_attempt import Attempt
 
 MIN_RETRY_AFTER_S = 0.05
+"""Lower bound of the `Retry-After` that is sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A response of the proxy's own to a request that no server gets."""
+    """The proxy's own response to a request that is not forwarded to a server."""
 
     status: int
     body: bytes
     retry_after_s: float | None = None
 
     def send(self, client_conn: ClientConnection) -> None:
-        """Answer the connection's request with it."""
+        """Send this response to the client."""
         client_conn.reply(self.status, self.body, self.header_lines())
 
     def header_lines(self) -> bytes:
-        """Return `Retry-After` in seconds with two decimals (finer than RFC 9110 section 10.2.3), if there is one."""
+        """Return the `Retry-After` header line, or nothing if no time is set.
+
+        It is in seconds with two decimals, which is finer than RFC 9110 section 10.2.3 has it.
+        """
         if self.retry_after_s is None:
             return b""
         return b"Retry-After: %.2f\r\n" % max(MIN_RETRY_AFTER_S, self.retry_after_s)
@@ -41,50 +45,53 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmittedRequest:
-    """What the configuration and the request's header say of a request that may be served."""
+    """Properties of an admitted request, by the configuration and its headers."""
 
     request_id: bytes
     route: Route
     service: str
     tenant_id: str | None
     timeout_s: float
-    is_client_retry: bool  #: by its deadline, an earlier attempt of the client used a part of it
+    is_client_retry: bool  #: its deadline is shorter than usual: the client made an earlier attempt
 
     @property
     def statistics_key(self) -> tuple[str, str]:
-        """What latencies and sizes are known by: the service and the route's prefix."""
+        """The key of the statistics of latencies and sizes: the service and the route's path prefix."""
         return self.service, self.route.path_prefix
 
 
 @dataclass(slots=True)
 class QuotaUse:
-    """What a request has used of its tenant's quota so far."""
+    """The share of its tenant's quota that a request has used so far."""
 
     tenancy: Tenancy
     home_regions: list[str]
-    units: int = 1  #: counted for it
-    attempts: int = 0  #: sent, and not known to have gone unexecuted
+    units: int = 1  #: units counted for the request
+    attempts: int = 0  #: attempts sent, without those known not to have been executed
 
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """One request in flight.  `on_finished` is called once, when it has its response or nobody waits for it."""
+    """One request in flight.
+
+    `on_finished` is called once, when the final response has been sent or the client has disconnected.
+    """
 
     client_conn: ClientConnection
     request: Request
     admitted: AdmittedRequest
-    deadline: float  #: when the response has to be out, on the node's clock
+    deadline: float  #: when the response must have been sent, in seconds on the node's clock
     on_finished: Callable[[RequestContext], None]
-    upload: Upload | None = None  #: the rest of the body, while it is still coming
+    upload: Upload | None = None  #: the rest of the body while it is being received
     attempts: list[Attempt] = field(default_factory=list)  #: those in flight
-    quota: QuotaUse | None = None  #: None where the tenant has none, or the request is not admitted by it
-    attempt_count: int = 0  #: of the attempts that reached a server
-    unreachable_count: int = 0
-    attempted_ids: list[str] = field(default_factory=list)  #: of the servers that were chosen so far
+    quota: QuotaUse | None = None  #: None if the tenant has no quota, or while the request is not yet admitted by it
+    attempt_count: int = 0  #: attempts made, without those whose server was unreachable
+    unreachable_count: int = 0  #: attempts whose server was unreachable
+    attempted_ids: list[str] = field(default_factory=list)  #: ids of the servers chosen so far
     worst_outcome: Outcome = Outcome.NOT_EXECUTED
     is_finished: bool = False
-    is_body_discarded: bool = False  #: a part of the body has gone out and is not held for another server
-    streaming_attempt: Attempt | None = None  #: the one whose response is on its way to the client in parts
+    is_body_discarded: bool = False  #: a part of the body was sent and is no longer buffered for another server
+    streaming_attempt: Attempt | None = None  #: the attempt whose response is being streamed to the client
     deadline_timer: DelayedCall | None = None
     hedge_timer: DelayedCall | None = None
 
@@ -95,35 +102,35 @@
 
     @property
     def body_bytes(self) -> int:
-        """The length of the request's body, as far as it is known."""
+        """The length of the request's body, or of the part received so far if the length is unknown."""
         return self.request.length or len(self.request.body)
 
     def on_client_disconnected(self) -> None:
-        """Give the request up: nobody waits for its response."""
+        """Abort the request: its response is no longer needed."""
         self.finish()
         self.cancel_attempts()
 
     def on_body_discarded(self) -> None:
-        """Note that a part of the body is gone, so that no other server can get the request."""
+        """Record that a part of the body is no longer buffered: no other server can get the request."""
         self.is_body_discarded = True
 
     def cancel_attempts(self) -> None:
-        """End the attempts that are still in flight."""
+        """Cancel the attempts that are still in flight."""
         for attempt in list(self.attempts):
             attempt.cancel()
 
     def reply(self, status: int, body: bytes = b"", header_lines: bytes = b"") -> None:
-        """Answer the client, unless the request is finished."""
+        """Finish the request and send the response to the client, unless it is finished already."""
         if not self.is_finished:
             self.finish()
             self.client_conn.reply(status, body, header_lines)
 
     def reject(self, rejection: Rejection) -> None:
-        """Answer the client without a server's response."""
+        """Send a rejection to the client, unless the request is finished already."""
         self.reply(rejection.status, rejection.body, rejection.header_lines())
 
     def finish(self) -> None:
-        """End the request: its response is out, or nobody waits for it."""
+        """End the request: its response has been sent, or is no longer needed."""
         if self.is_finished:
             return
         self.is_finished = True
--- a/mapleline/balancer/proxy/server_feedback.py
+++ b/mapleline/balancer/proxy/server_feedback.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of its server: load, latency and health."""
+"""Updates of a server's load, latency and health from the ends of attempts."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 FIRST_SERVER_ERROR = 500
 SERVER_LOAD_FIELDS = 3
-"""`Server-Load`: requests running, requests queued, slots."""
+"""Fields of the header `Server-Load`: requests running, requests queued, slots."""
 
 OVERLOAD_QUEUE = 6.0
-"""A server that rejects requests as overloaded is taken to have this many queued, at least."""
+"""Queued requests assumed, at least, at a server that has rejected a request as overloaded."""
 
 FAILURES = frozenset(
     {
@@ -27,10 +27,11 @@
         EndReason.PROTOCOL_ERROR,
     }
 )
+"""Ends without a response that count as failures of the server; a cancelled attempt does not."""
 
 
 def record_attempt_end(attempt: Attempt, statistics: RouteStatistics, key: StatisticsKey, now: float) -> None:
-    """Take the attempt's end into what is known of its server and of its route."""
+    """Update the state of the attempt's server, and the statistics of its route (`key`)."""
     response = attempt.response
     if response is None:
         _record_failure(attempt, now)
--- a/mapleline/balancer/proxy/slow_start.py
+++ b/mapleline/balancer/proxy/slow_start.py
@@ -1,4 +1,7 @@
-"""Slow start: which servers are warming up, who alone sends to them, and at which rate (docs/design/slow-start.md)."""
+"""Slow start: which servers are warming up, which node may send to them, and at which rate.
+
+See docs/design/slow-start.md.
+"""
 
 from __future__ import annotations
 
@@ -15,25 +18,27 @@
     from .slow_start_leases import SlowStartLeases
 
 WARM_UP_MARGIN_S = 1.05
-"""After the warm-up: the second of the rule FAILBACK, and what clocks and transmission times differ by."""
+"""How long a server counts as warming up after its warm-up: the window of the rule FAILBACK, 1 s, and a margin for
+differences of clocks and transmission times."""
 
 HOLDER_BURST = 2.5
-"""Requests of two successive holders in one second beside those by rate, with 0.5 to spare."""
+"""Requests that two successive lease holders can send in one second beyond the rate, with a margin of 0.5."""
 
-HOLDER_SECONDS = 1.35
-"""Seconds of sending by two successive holders that can arrive within one second."""
+HOLDER_SENDING_S = 1.35
+"""Time of sending by two successive lease holders whose requests can arrive within one second."""
 
 LONG_AGO = -1e9
 
 
 class SlowStart:
-    """Knows the servers that are warming up.  Without `leases` the node sends to none of them."""
+    """Tracks the servers that are warming up.  While `leases` is None, the node sends to none of them."""
 
     def __init__(self, dependencies: ProxyDependencies, routing: RoutingState) -> None:
-        """Begin without leases and without a zone whose evacuation has ended."""
+        """Start without leases and without a zone whose evacuation has ended."""
         self.leases: SlowStartLeases | None = None
         self.required_fetch_time: dict[str, float] = {}
-        """By zone whose evacuation has ended: its servers count as warming up until the endpoint list is as new."""
+        """By zone whose evacuation has ended, in seconds on the node's clock: its servers count as warming up until the
+        endpoint list was fetched at this time or later."""
         self._clock = dependencies.clock
         self._settings = dependencies.settings
         self._membership = dependencies.membership
@@ -41,22 +46,23 @@
         self._routing = routing
 
     def on_evacuation_ended(self, zone: str) -> None:
-        """Count the zone's servers as warming up until a list is known that shows whether they are.
+        """Count the zone's servers as warming up until the endpoint list shows whether they are.
 
-        They may have begun to warm up shortly before; only a list that is fetched `max_lag` later shows it.
+        They may have started to warm up shortly before the evacuation ended.  The platform's list lags by up to
+        `max_lag`, so only a list that is fetched that much later is certain to show it.
         """
         self.required_fetch_time[zone] = self._clock.seconds() + self._settings.cloud_api.max_lag
         self.request_leases()
 
     def request_leases(self) -> None:
-        """Ask the voters now for the leases that are wanted."""
+        """Request the wanted leases from the voters now."""
         if self.leases is not None:
             self.leases.request_leases()
 
     def is_warming_up(self, instance: Instance, now: float) -> bool:
-        """Return whether the server is warming up, or was within the margin.
+        """Return whether the server is warming up, or was within the last `WARM_UP_MARGIN_S`.
 
-        The margin is there because a second that begins while a server warms up counts whole.
+        The margin is needed because the rule FAILBACK counts a whole second if it starts while a server is warming up.
         """
         warm_at = max(instance.warming_until, instance.warm_up_ended_at + WARM_UP_MARGIN_S)
         return now < warm_at or self._is_list_outdated(instance)
@@ -65,26 +71,26 @@
         return self._endpoints.fetched_at < self.required_fetch_time.get(instance.zone, LONG_AGO)
 
     def max_rate_per_s(self, instance: Instance, now: float, configured_rate_per_s: float) -> float:
-        """Return the requests a second that the lease holder may send to a server that is warming up.
+        """Return the requests per second that the lease holder may send to a server that is warming up.
 
-        Within the margin after the warm-up it is what the rule FAILBACK leaves: two holders send
-        2 + 1.35 x rate in a second at most.
+        During the warm-up it is the configured rate.  Within the margin after it, it is the highest rate that the rule
+        FAILBACK allows: two successive holders send at most 2 + 1.35 x rate requests in one second.
         """
         if now < instance.warming_until or self._is_list_outdated(instance):
             return configured_rate_per_s
         bounds = self._settings.protocol_bounds
         allowed = configured_rate_per_s * bounds.cold_overshoot + bounds.cold_slack
-        return max(configured_rate_per_s, (allowed - HOLDER_BURST) / HOLDER_SECONDS)
+        return max(configured_rate_per_s, (allowed - HOLDER_BURST) / HOLDER_SENDING_S)
 
     def has_lease(self, instance: Instance, now: float) -> bool:
-        """Return whether this node alone may send to a server that is warming up."""
+        """Return whether this node holds the exclusive lease for sending to a server that is warming up."""
         return self.leases is not None and self.leases.is_held(server_checksum(instance.id), now)
 
     def wanted_leases(self, now: float) -> list[int]:
-        """Return the checksums of the servers for which this node should ask for the lease.
+        """Return the checksums of the servers whose leases this node should request.
 
-        For each server it is one ready node of its zone, chosen by a hash.  Nodes may differ in their view of the
-        membership; the lease itself is exclusive.
+        Each server's lease is requested by one ready node of its zone, chosen by a hash.  Nodes that differ in their
+        view of the membership may request the same lease; at most one of them holds it.
         """
         warming_up = [
             instance
@@ -105,7 +111,7 @@
         return instance.ready and instance.zone not in self._routing.evacuated_zones
 
     def _ready_nodes(self, now: float) -> tuple[dict[str, list[int]], list[int]]:
-        """Return the addresses of the ready nodes by zone, and all of them."""
+        """Return the addresses of the ready nodes, first by zone and then of all zones."""
         members = self._membership.alive(now, MemberFlags.READY)
         ips_by_zone = {
             zone: [member.ip for member in members if member.zone == index]
@@ -115,6 +121,6 @@
 
 
 def _preferred_holder(ips: list[int], instance_id: str) -> int:
-    """Return the node with the least hash for this server (rendezvous hashing), 0 if there is none."""
+    """Return the address of the node with the least hash for this server (rendezvous hashing); 0 if there is none."""
     encoded_id = instance_id.encode()
     return min(ips, key=lambda ip: crc32(b"%d %s" % (ip, encoded_id)), default=0)
--- a/mapleline/balancer/proxy/slow_start_leases.py
+++ b/mapleline/balancer/proxy/slow_start_leases.py
@@ -1,10 +1,10 @@
 """Leases on servers that are warming up: at most one node sends to such a server at any time.
 
-A lease is granted by a majority of the control replicas (the voters), each for `LEASE_S` on its own clock from when it
-received the request; the holder counts from when it sent the request, which is earlier.  Two majorities have a voter
-in common, so no two nodes hold one lease at once, whatever they believe of each other, and at least `LEASE_S` lies
-between the beginnings of two holders.  A voter that has restarted has forgotten its grants, and grants nothing until
-they have expired.  Derivation of the bounds: docs/design/slow-start.md.
+A lease is granted by a majority of the control replicas (the voters).  Each voter grants it for `LEASE_S` on its own
+clock from when it received the request; the holder counts from when it sent the request, which is earlier.  Any two
+majorities have a voter in common, so no two nodes hold the same lease at once, whatever their views of the membership,
+and the terms of two holders begin at least `LEASE_S` apart.  A voter keeps its grants in memory only: after a restart
+it grants nothing until its earlier grants have expired.  Derivation of the bounds: docs/design/slow-start.md.
 
 A lease's id is the CRC-32 of the server's id.
 """
@@ -21,13 +21,13 @@
 
     from ..clock import Clock
 
-#: Longer than a second, the span of the rule, and `CONNECT_TIMEOUT_S`: that span meets two holders at most.
+#: Longer than the window of the rule FAILBACK, 1 s, plus `CONNECT_TIMEOUT_S`: a window then has two holders at most.
 LEASE_S = 1.5
 
-#: Between two requests of a holder: one lost request, and the round trip of the next, cost no lease.
+#: Time between two requests of a holder.  A lease survives one lost request and the round trip of the next.
 RENEW_INTERVAL_S = 0.4
 
-#: So much earlier than its voters the holder takes a lease for expired: clocks drift apart by less in `LEASE_S`.
+#: The holder treats a lease as expired this much before its voters do; clocks drift apart by less in `LEASE_S`.
 EXPIRY_MARGIN_S = 0.05
 
 #: Nonces and incarnations are 31 bits wide.
@@ -45,7 +45,7 @@
 
 
 class Grant(NamedTuple):
-    """A lease as its voter knows it."""
+    """A lease as one voter has granted it; `expires_at` is on the voter's clock."""
 
     owner: LeaseOwner
     expires_at: float
@@ -55,7 +55,7 @@
     """The leases that one control replica has granted; `now` is on its own clock."""
 
     def __init__(self, started_at: float) -> None:
-        """`started_at`: when this process started; what an earlier one granted is not known."""
+        """`started_at`: when this process started; grants of an earlier process are not known."""
         self.started_at = started_at
         self.grants: dict[int, Grant] = {}
 
@@ -63,7 +63,7 @@
         """Grant or renew leases for `LEASE_S`.
 
         Returns:
-            Those of the leases that no other owner has; none within `LEASE_S` of the start.
+            The leases that no other owner holds; none within `LEASE_S` of the start.
         """
         if now - self.started_at < LEASE_S:
             return []
@@ -82,13 +82,13 @@
     """The leases that one node has requested and been granted; `now` is on its own clock.
 
     Attributes:
-        requested_at: When each open request was sent, by nonce.
-        granted_at: By lease and voter, when the request was sent that the voter granted last.
-        voter_counts: How many voters there are, as each voter reported it.
+        requested_at: The time at which each open request was sent, by nonce.
+        granted_at: By lease and voter, the time at which the last request that the voter granted was sent.
+        voter_counts: The number of voters, as each voter reported it.
     """
 
     def __init__(self, incarnation: int) -> None:
-        """`incarnation`: of this process; another run of it is another owner."""
+        """`incarnation` identifies this process; after a restart the node is another owner."""
         self.incarnation = incarnation
         self.nonce = 0
         self.requested_at: dict[int, float] = {}
@@ -103,7 +103,7 @@
         return LeaseRequest(self.nonce, self.incarnation, lease_ids)
 
     def record_grant(self, voter: int, grant: LeaseGrant) -> None:
-        """Take in a voter's answer; one to a request that is not open any more is ignored."""
+        """Record a voter's grant; a grant for a request that is no longer open is ignored."""
         requested_at = self.requested_at.get(grant.nonce)
         if requested_at is None:
             return
@@ -113,7 +113,10 @@
             by_voter[voter] = max(requested_at, by_voter.get(voter, requested_at))
 
     def is_held(self, lease_id: int, now: float, voters: list[int]) -> bool:
-        """Return whether a majority granted the lease, of the largest number of voters that any of them reported."""
+        """Return whether a majority granted the lease.
+
+        The majority is of the largest number of voters that this node or any voter knows of.
+        """
         voter_count = max([len(voters), *(self.voter_counts.get(voter, 0) for voter in voters)])
         by_voter = self.granted_at.get(lease_id, {})
         valid = [voter for voter in voters if now - by_voter.get(voter, NEVER) < LEASE_S - EXPIRY_MARGIN_S]
@@ -125,11 +128,11 @@
             for lease_id, by_voter in self.granted_at.items()
             if any(now - requested_at < LEASE_S for requested_at in by_voter.values())
         }
-        self.requested_at = {nonce: at for nonce, at in self.requested_at.items() if now - at < LEASE_S}
+        self.requested_at = {nonce: sent_at for nonce, sent_at in self.requested_at.items() if now - sent_at < LEASE_S}
 
 
 class SlowStartLeases:
-    """Both sides of one node: its requests to the voters and, on a control replica, its answers to others."""
+    """The lease protocol of one node: its requests as a holder and, on a control replica, its grants as a voter."""
 
     def __init__(
         self,
@@ -141,7 +144,7 @@
         wanted: Callable[[float], list[int]],
         is_voter: bool,
     ) -> None:
-        """Set up without a request yet.
+        """Start with no leases; `start` begins to request them.
 
         Args:
             clock: Time and timers.
@@ -149,7 +152,7 @@
             rng: Draws the incarnation.
             send: Sends a datagram to an address.
             voters: Returns the addresses of the control replicas.
-            wanted: Returns the leases that this node should hold at a time.
+            wanted: Returns the leases that this node should hold at a given time.
             is_voter: Whether this node is a control replica.
         """
         self.clock = clock
@@ -179,7 +182,7 @@
                 self.handle_grant(voter, grant)
 
     def handle_request(self, ip: int, request: LeaseRequest) -> LeaseGrant | None:
-        """Return the grant for a node's request; None where this node is no voter."""
+        """Return the grant for a node's request; None if this node is not a voter."""
         if self.voter is None:
             return None
         owner = LeaseOwner(ip, request.incarnation)
@@ -187,9 +190,9 @@
         return LeaseGrant(request.nonce, len(self.voters()), granted)
 
     def handle_grant(self, ip: int, grant: LeaseGrant) -> None:
-        """Take in a voter's grant."""
+        """Record a voter's grant."""
         self.holder.record_grant(ip, grant)
 
     def is_held(self, lease_id: int, now: float) -> bool:
-        """Return whether this node alone holds the lease now."""
+        """Return whether this node holds the lease now; then no other node does."""
         return self.holder.is_held(lease_id, now, self.voters())
