--- a/mapleline/balancer/proxy/__init__.py
+++ b/mapleline/balancer/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: clients' requests, and their way to servers and back."""
+"""The data plane: receives clients' requests and forwards them to servers."""
--- a/mapleline/balancer/proxy/client_connection.py
+++ b/mapleline/balancer/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client, over which requests come one at a time."""
+"""A connection of a client; its requests are handled one at a time."""
 
 from __future__ import annotations
 
@@ -19,57 +19,61 @@
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 BODY_COPIES = 2
-"""A held body counts twice in memory: held to be sent again, and once more on its way out."""
+"""Copies of a buffered body that are counted in memory: one for retries, and one that is being sent."""
 
 MIN_KEEP_ALIVE_S = 1
+"""The smallest timeout that is announced in `Keep-Alive`, which has whole seconds."""
 
 LINGER_S = 6.0
-"""For a client that still sends a body that nobody wants, to read the response that says why."""
+"""How long the connection stays open for a client that is still sending a rejected body, so that it can read the
+response.
+"""
 
 MAX_DRAINING_IDLE_S = 1.0
-"""While the node drains, an idle connection is closed after this."""
+"""Idle timeout while the node is draining."""
 
 IDLE_GRACE_S = 2.0
-"""Beyond the idle timeout that was announced to the client, for a request on its way."""
+"""Time added to the idle timeout that was announced to the client, for a request that is in transit."""
 
 DEFAULT_IDLE_TIMEOUT_S = 15.0
 
 HEADER_TIMEOUT_FACTOR = 3
-"""Header timeouts that a request may take until it is complete."""
+"""A request must be complete within this many header timeouts."""
 
 
 class RequestInFlight(Protocol):
-    """What a handler returns for a request that it has not answered yet."""
+    """A request that its handler has not answered yet."""
 
     def on_client_disconnected(self) -> None:
-        """Give the request up: nobody waits for its response."""
+        """Abort the request: its response is no longer needed."""
 
     def on_body_discarded(self) -> None:
-        """Note that a part of the body has gone out and is not held any more."""
+        """Record that a part of the body was sent and is no longer buffered."""
 
 
 class ResponseSource(Protocol):
-    """Where the parts of a streamed response come from."""
+    """The connection that a streamed response is read from."""
 
     def pause(self) -> None:
-        """Send no more parts for now."""
+        """Stop sending parts."""
 
     def resume(self) -> None:
-        """Send parts again."""
+        """Resume sending parts."""
 
 
 class ClientConnection(Stream):
-    """A connection whose requests go to the listener's handler.
+    """A connection whose requests are passed to the listener's handler.
 
-    A body beyond the listener's `stream_threshold_bytes`, or one of some size while memory is tight, is streamed: its
-    request has an `upload`, and is read no faster than a server takes it.
+    A body longer than the listener's `stream_threshold_bytes` is streamed, and so is one longer than
+    `MAX_BUFFERED_BODY_BYTES` while the buffer pool is short.  A streamed body has an `upload`, and is read no faster
+    than a server accepts it.
     """
 
     transport: Any  # Twisted's TCP transport, beyond what ITransport has
 
     def __init__(self, listener: Listener) -> None:
-        """`listener` has the limits and the handler."""
-        self.upload: Upload | None = None  #: takes the rest of the body of the request in flight
+        """`listener` provides the limits and the handler."""
+        self.upload: Upload | None = None  #: forwards the rest of the body of the request in flight
         self._listener = listener
         self._http1 = Http1Server(
             listener.buffer_pool,
@@ -77,16 +81,16 @@
             listener.max_header_bytes,
             listener.max_body_bytes,
         )
-        self._active_at = listener.clock.seconds()  # of the last response, or of the first byte of a request
+        self._active_at = listener.clock.seconds()  # time of the last response, or of the first byte of a request
         self._request_in_flight: RequestInFlight | None = None
-        self._source: ResponseSource | None = None  # of the response that is being streamed
-        self._has_unwanted_bytes = False  # a body that nobody wants follows the request in flight
-        self._reserved_bytes = 0  # of the buffer pool's bound, for the request in flight
+        self._source: ResponseSource | None = None  # source of the response that is being streamed
+        self._has_unread_body = False  # the streamed response began before the request's body was received
+        self._reserved_bytes = 0  # counted in the buffer pool for the request in flight
 
     # -- requests ------------------------------------------------------------------------------------------
 
     def connectionMade(self) -> None:
-        """Join the listener's connections."""
+        """Register the connection with the listener."""
         super().connectionMade()
         self._listener.connections.add(self)
 
@@ -116,7 +120,7 @@
             self.pause_reading()
 
     def _handle_next_requests(self) -> None:
-        """Hand over the requests that have come, as long as each is answered at once."""
+        """Handle the received requests, until one is not answered at once."""
         while not self._http1.busy and self.connected:
             try:
                 request = self._http1.next_request()
@@ -132,17 +136,17 @@
     def _handle_request(self, request: Request) -> None:
         if request.is_streamed:
             self.upload = Upload(request.length, self.resume_reading, partial(self._on_body_discarded, request))
-            self.pause_reading()  # until a server takes what there is
+            self.pause_reading()  # until a server has received the buffered part
         self._reserve_memory(BODY_COPIES * len(request.body))
         self._request_in_flight = self._listener.handle_request(self, request)
 
     def _reserve_memory(self, size_bytes: int) -> None:
-        """Count the body of the request in flight in the bound of the buffer pool."""
+        """Count `size_bytes` for the request in flight against the limit of the buffer pool."""
         self._listener.buffer_pool.reserved_bytes += size_bytes - self._reserved_bytes
         self._reserved_bytes = size_bytes
 
     def _on_body_discarded(self, request: Request) -> None:
-        """Release the held part of a streamed body: without what has gone out since it is of no use."""
+        """Release the buffered part of a streamed body: a later part was sent unbuffered, so no retry can use it."""
         request.body = b""
         self._reserve_memory(0)
         if self._request_in_flight is not None:
@@ -151,27 +155,27 @@
     # -- responses -----------------------------------------------------------------------------------------
 
     def reply(self, status: int, body: bytes = b"", header_lines: bytes = b"") -> None:
-        """Send the one response to the request in flight."""
+        """Send the response to the request in flight; without one, nothing is sent."""
         if not self.connected or not self._http1.busy:
             return
-        has_unwanted_bytes = self._http1.is_streaming
-        if has_unwanted_bytes:
+        has_unread_body = self._http1.is_streaming
+        if has_unread_body:
             self._http1.closing = True
         header_lines += self._connection_header_lines()
         self.send(self._http1.answer(status, body, header_lines))
-        self._finish_request(has_unwanted_bytes)
+        self._finish_request(has_unread_body)
 
     def begin_reply(self, status: int, header_lines: bytes, length: int | None, source: ResponseSource) -> None:
-        """Send the head of a response that is streamed: calls of `send_part` and `end_reply` follow.
+        """Send the head of a streamed response; calls of `send_part` and `end_reply` follow.
 
         Args:
             status: the status code.
-            header_lines: whole header lines, without those of connection and framing.
-            length: the length of the body, None if it is not known.
-            source: paused while the client takes no more.
+            header_lines: complete header lines, without those for connection and framing.
+            length: the length of the body in bytes; None if it is unknown.
+            source: paused while the client does not read the response.
         """
         self._source = source
-        self._has_unwanted_bytes = self._http1.is_streaming
+        self._has_unread_body = self._http1.is_streaming
         if self.connected:
             header_lines += self._connection_header_lines()
             self.send(self._http1.begin(status, header_lines, length))
@@ -184,18 +188,18 @@
             self._source.pause()
 
     def end_reply(self, is_complete: bool) -> None:
-        """End a streamed response; if it is not complete, in a way that the client notices."""
+        """End a streamed response; if it is incomplete, close the connection so that the client can tell."""
         if not self.connected or not self._http1.busy:
             return
         end = self._http1.end()
         if is_complete:
             self.send(end)
-            self._finish_request(self._has_unwanted_bytes)
+            self._finish_request(self._has_unread_body)
             return
         self._http1.closing = True
         self._reserve_memory(0)
         if self._http1.ends_by_close:
-            self.transport.abortConnection()  # an orderly end would say that the response is complete
+            self.transport.abortConnection()  # an orderly close would mark the response as complete
         else:
             self.transport.loseConnection()
 
@@ -208,16 +212,16 @@
         return b""
 
     def on_flushed(self) -> None:
-        """Let the streamed response go on."""
+        """Resume the streamed response."""
         if self._source is not None:
             self._source.resume()
 
-    def _finish_request(self, has_unwanted_bytes: bool) -> None:
-        """Make ready for the next request, or close."""
+    def _finish_request(self, has_unread_body: bool) -> None:
+        """Prepare for the next request, or close the connection."""
         self._forget_request()
         self._active_at = self._listener.clock.seconds()
         if self._http1.closing:
-            self._close(has_unwanted_bytes)
+            self._close(has_unread_body)
         else:
             self._listener.clock.callLater(0, self._handle_next_requests)
 
@@ -229,15 +233,15 @@
 
     # -- the end -------------------------------------------------------------------------------------------
 
-    def _close(self, has_unwanted_bytes: bool) -> None:
-        if has_unwanted_bytes:  # a close with bytes unread resets, and the client may never read the response
+    def _close(self, has_unread_body: bool) -> None:
+        if has_unread_body:  # closing with unread bytes sends a reset, which may discard the response at the client
             self.transport.loseWriteConnection()
             self.resume_reading()
         else:
             self.transport.loseConnection()
 
     def close_if_idle(self, now: float) -> None:
-        """Close the connection if it was idle, or its request incomplete, for too long."""
+        """Close the connection if it was idle, or its request was incomplete, for too long."""
         if self._http1.busy:
             return
         idle_s = now - self._active_at
@@ -256,7 +260,7 @@
         return idle_s > (self._listener.idle_timeout_s or DEFAULT_IDLE_TIMEOUT_S) + IDLE_GRACE_S
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Give up the request in flight."""
+        """Abort the request in flight."""
         super().connectionLost(reason)
         self._listener.connections.discard(self)
         self._http1.clear()
--- a/mapleline/balancer/proxy/dependencies.py
+++ b/mapleline/balancer/proxy/dependencies.py
@@ -1,4 +1,4 @@
-"""What the data plane needs of its node."""
+"""The interface between the data plane and its node."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyDependencies:
-    """Parts of the node that the data plane reads or calls."""
+    """Components of the node that the data plane uses."""
 
     clock: Clock
     settings: Settings
@@ -27,5 +27,5 @@
     endpoints: EndpointList
     upstream_pool: UpstreamPool
     can_serve: Callable[[], bool]  #: a configuration is in force, and the read lease holds
-    consult_quota: Callable[[Ask], None]
+    consult_quota: Callable[[Ask], None]  #: counts a unit and reports the tenant's usage
     rng: random.Random
--- a/mapleline/balancer/proxy/forwarded_request.py
+++ b/mapleline/balancer/proxy/forwarded_request.py
@@ -1,4 +1,4 @@
-"""The messages that are forwarded: the request as a server gets it, the response's header as a client gets it."""
+"""Forwarded messages: the request sent to a server, and the response headers sent to the client."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
         b"expect",
     }
 )
-"""Headers of one connection or one framing (RFC 9110 sections 7.6.1 and 10.1.1): never forwarded."""
+"""Headers that apply to one connection or its framing (RFC 9110 sections 7.6.1 and 10.1.1): never forwarded."""
 
 REPLACED_HEADERS = HOP_BY_HOP_HEADERS | {b"authorization", b"tenant", b"deadline-ms", b"expect-instance", b"host"}
-"""Headers of a request that the proxy keeps for itself or writes anew."""
+"""Request headers that the proxy removes or replaces."""
 
 BODYLESS_METHODS = (b"GET", b"HEAD")
 
 
 def build_request(context: RequestContext, instance_id: str, time_left_s: float) -> bytes:
-    """Return the request for a server: the head, and the body as far as it is held."""
+    """Return the request for a server: the head, and the buffered part of the body."""
     request = context.request
     host = request.headers.get(b"host", b"")
     lines = [b"%b %b HTTP/1.1\r\nHost: %b\r\n" % (request.method, request.target, host)]
@@ -47,7 +47,7 @@
 
 
 def _frame_body(context: RequestContext) -> tuple[bytes, bytes]:
-    """Return the header line that says how long the body is, and the part of the body that is held."""
+    """Return the header line for the body's length or framing, and the buffered part of the body."""
     request, upload = context.request, context.upload
     length = len(request.body) if upload is None else upload.length
     if length is None:
@@ -58,5 +58,5 @@
 
 
 def response_header_lines(response: Response) -> bytes:
-    """Return the response's header lines that go to the client."""
+    """Return the response's header lines that are forwarded to the client."""
     return b"".join(b"%b: %b\r\n" % item for item in response.headers.items() if item[0] not in HOP_BY_HOP_HEADERS)
--- a/mapleline/balancer/proxy/listener.py
+++ b/mapleline/balancer/proxy/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket for clients or operators: its limits and its open connections."""
+"""A listener for clients or operators: its limits and its open connections."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
     from ..clock import Clock
 
 NEVER_STREAM = 1 << 30
-"""A threshold for handlers that read every body whole."""
+"""A stream threshold in bytes, 1 GiB, for handlers that need every body whole."""
 
 DEFAULT_HEADER_TIMEOUT_S = 10.0
 DEFAULT_MAX_HEADER_BYTES = 16 * 1024
 DEFAULT_MAX_BODY_BYTES = 64 << 20
 
 RequestHandler = Callable[[ClientConnection, "Request"], RequestInFlight | None]
-"""Takes a request; returns it where it was not answered at once and wants to know of the connection's end."""
+"""Handles a request; returns it if it was not answered at once and must be informed of the connection's end."""
 
 
 class Listener(ServerFactory):
-    """The connections at one address.  Limits of sizes apply to connections made later."""
+    """The connections at one address.  A change of the size limits applies to later connections only."""
 
-    noisy = False  # of Twisted: no log of its own
+    noisy = False  # Twisted logs nothing for this factory
 
     def __init__(
         self,
@@ -38,21 +38,21 @@
         handle_request: RequestHandler,
         stream_threshold_bytes: int = NEVER_STREAM,
     ) -> None:
-        """Begin without connections.
+        """Start with no connections.
 
         Args:
             clock: time and timers.
-            buffer_pool: lends the buffers for requests, and bounds the memory for bodies.
-            handle_request: called with each request, and the connection that wants the response.
-            stream_threshold_bytes: a longer body is streamed.
+            buffer_pool: provides the buffers for requests, and limits the memory for bodies.
+            handle_request: called with the connection and the request, for each request.
+            stream_threshold_bytes: longer bodies are streamed.
         """
         self.clock = clock
         self.buffer_pool = buffer_pool
         self.handle_request = handle_request
         self.stream_threshold_bytes = stream_threshold_bytes
         self.connections: set[ClientConnection] = set()
-        self.is_draining = False  #: each connection closes with its next response
-        self.idle_timeout_s = 0.0  #: announced to clients if not 0
+        self.is_draining = False  #: while draining, each connection is closed after its next response
+        self.idle_timeout_s = 0.0  #: announced to clients in `Keep-Alive` if not 0
         self.header_timeout_s = DEFAULT_HEADER_TIMEOUT_S
         self.max_header_bytes = DEFAULT_MAX_HEADER_BYTES
         self.max_body_bytes = DEFAULT_MAX_BODY_BYTES
--- a/mapleline/balancer/proxy/proxy.py
+++ b/mapleline/balancer/proxy/proxy.py
@@ -1,4 +1,4 @@
-"""The data plane of one node: joins admission, quota, choice of a server and attempts for each client request."""
+"""The data plane of one node: connects admission, quota, server selection and attempts for each client request."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class Proxy:
-    """Takes clients' requests; its node tells it of the configuration, the servers and the other nodes."""
+    """Handles clients' requests; its node updates the configuration, the servers and the other nodes' load."""
 
     def __init__(self, dependencies: ProxyDependencies) -> None:
-        """Begin without a configuration: every request is rejected until there is one."""
+        """Start without a configuration: every request is rejected until there is one."""
         settings = dependencies.settings
         self.requests_in_flight: set[RequestContext] = set()
         self._clock = dependencies.clock
@@ -66,7 +66,7 @@
 
     @property
     def evacuated_zones(self) -> set[str]:
-        """Zones whose servers get no requests."""
+        """Evacuated zones, whose servers get no requests."""
         return self._routing.evacuated_zones
 
     @evacuated_zones.setter
@@ -75,37 +75,37 @@
 
     @property
     def targets(self) -> dict[str, Target]:
-        """What is known of each server, by its id."""
+        """The state of each server, by its id."""
         return self._selection.targets
 
     @property
     def counters(self) -> dict[str, int]:
-        """Counts of what became of requests, for operators."""
+        """Counts of requests by their result, for operators."""
         return self._counters.counts
 
     def update_endpoints(self) -> None:
-        """Follow the endpoint list, which has changed."""
+        """Apply a change of the endpoint list."""
         self._selection.update()
 
     def on_evacuation_ended(self, zone: str) -> None:
-        """Begin to serve from a zone again, as from one whose servers are warming up."""
+        """Send requests to a zone's servers again, at first as if they were warming up."""
         self.slow_start.on_evacuation_ended(zone)
 
     def next_load_report(self) -> LoadReport | None:
-        """Return the report for the other nodes of the region, None if nothing has changed."""
+        """Return the report for the other nodes of the region; None if the load has not changed."""
         return self.load_reports.next_report(self._clock.seconds())
 
     def receive_load_report(self, sender_ip: int, report: LoadReport, now: float) -> None:
-        """Take the report of another node of the region."""
+        """Apply the load report of another node of the region."""
         self.load_reports.receive(sender_ip, report, now)
 
     # -- requests ------------------------------------------------------------------------------------------
 
     def handle_request(self, client_conn: ClientConnection, request: Request) -> RequestContext | None:
-        """Serve a client's request.
+        """Handle a client's request.
 
         Returns:
-            The request in flight, for the connection to say when the client has gone; None if it was rejected.
+            The request in flight, which the connection informs if the client disconnects; None if it was rejected.
         """
         arrived_at = self._clock.seconds()
         decision = self._admission.decide(request)
--- a/mapleline/balancer/proxy/route_statistics.py
+++ b/mapleline/balancer/proxy/route_statistics.py
@@ -1,20 +1,22 @@
-"""What responses were like lately, by service and route: their latency and their size."""
+"""Moving averages of the latency and size of responses, by service and route."""
 
 from __future__ import annotations
 
 INITIAL_LATENCY_S = 0.25
+"""Expected latency before the first response."""
+
 GAIN = 0.05
 """Weight of the newest response in the moving averages."""
 
 StatisticsKey = tuple[str, str]
-"""Service and prefix of the route."""
+"""The service and the route's path prefix."""
 
 
 class RouteStatistics:
     """Exponentially weighted moving averages."""
 
     def __init__(self) -> None:
-        """Begin without a response."""
+        """Start with no responses."""
         self._latency_s: dict[StatisticsKey, float] = {}
         self._response_bytes: dict[StatisticsKey, float] = {}
 
@@ -23,11 +25,11 @@
         return self._latency_s.get(key, INITIAL_LATENCY_S)
 
     def response_bytes(self, key: StatisticsKey) -> float:
-        """Return the expected size of a response's body, 0 where none is known."""
+        """Return the expected size of a response's body in bytes; 0 before the first response."""
         return self._response_bytes.get(key, 0.0)
 
     def record(self, key: StatisticsKey, latency_s: float, size_bytes: int) -> None:
-        """Take one response into the averages."""
+        """Update the averages by one response."""
         average_s = self.latency_s(key)
         self._latency_s[key] = average_s + GAIN * (latency_s - average_s)
         average_bytes = self._response_bytes.get(key, size_bytes)
--- a/mapleline/balancer/proxy/routing_state.py
+++ b/mapleline/balancer/proxy/routing_state.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as far as it is in force in the data plane."""
+"""The operator's configuration in force in the data plane."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class RoutingState:
-    """Shared by the parts of the data plane; the node replaces its members."""
+    """Routing state shared by the components of the data plane; the node replaces its attributes."""
 
-    table: RoutingTable | None = None  #: routes, services and tenants
+    table: RoutingTable | None = None  #: routes, services and tenants; None until there is a configuration
     evacuated_zones: set[str] = field(default_factory=set)
--- a/mapleline/balancer/proxy/server_checksum.py
+++ b/mapleline/balancer/proxy/server_checksum.py
@@ -1,4 +1,4 @@
-"""The number that names a server between nodes, in load reports and slow start leases."""
+"""The checksum that identifies a server in messages between nodes: load reports and slow-start leases."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from zlib import crc32
 
 CACHED_IDS = 1024
-"""Load reports need the numbers of all servers many times a second."""
+"""Size of the cache; load reports need the checksums of all servers many times a second."""
 
 
 @lru_cache(maxsize=CACHED_IDS)
--- a/mapleline/balancer/proxy/upstream_attempt.py
+++ b/mapleline/balancer/proxy/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: one sending of one request to one server, and how it ended."""
+"""An attempt: one transmission of a request to one server, and its result."""
 
 from __future__ import annotations
 
@@ -16,39 +16,39 @@
 
 
 class ResponseSink(Protocol):
-    """Takes a response that is streamed."""
+    """The receiver of a response that is streamed."""
 
     def send_part(self, data: bytes) -> None:
-        """Take the next part of the body; may be empty."""
+        """Receive the next part of the body, which may be empty."""
 
 
 def read_whole(_attempt: Attempt, _response: Response, _connection: UpstreamConnection) -> ResponseSink | None:
-    """Stream no response: the default of `Attempt.on_response_start`."""
+    """Have every response read whole: the default of `Attempt.on_response_start`."""
     return None
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt.  `on_end` is called once."""
+    """One attempt; `on_end` is called exactly once, when it has ended."""
 
     request_id: bytes
     target: Target
-    data: bytes  #: the head and the part of the body that is held
+    data: bytes  #: the head, and the part of the body that is buffered
     on_end: Callable[[Attempt], None]
     is_idempotent: bool = True
     on_response_start: Callable[[Attempt, Response, UpstreamConnection], ResponseSink | None] = read_whole
-    """Called with the head of a long response; returns what takes its parts, None to have it read whole."""
-    upload: Upload | None = None  #: the rest of the request's body, while it is still coming
-    had_free_slot: bool = True  #: a slot of the server was likely free when it was sent
+    """Called with the head of a long response; returns the receiver of its parts, or None to have it read whole."""
+    upload: Upload | None = None  #: the rest of the request's body while it is being received
+    had_free_slot: bool = True  #: the server probably had a free slot when the attempt was sent
     connection: UpstreamConnection | None = None
-    is_written: bool = False  #: a byte of it may have gone out
-    sent_at: float = 0.0  #: with an upload, when its last byte went out
+    is_written: bool = False  #: at least one byte may have been sent
+    sent_at: float = 0.0  #: when it was sent; for a streamed body, when the last byte was sent
     response: Response | None = None
     outcome: Outcome = Outcome.NOT_EXECUTED
     end_reason: EndReason | None = None  #: None while it is in flight
 
     def end(self, reason: EndReason, response: Response | None = None) -> None:
-        """End the attempt; of several calls the first counts."""
+        """End the attempt; only the first call has an effect."""
         if self.end_reason is not None:
             return
         self.end_reason = reason
@@ -63,7 +63,7 @@
         self.on_end(self)
 
     def cancel(self) -> None:
-        """End the attempt and its connection: nobody waits for the response any more."""
+        """End the attempt and reset its connection: the response is no longer needed."""
         if self.end_reason is not None:
             return
         connection = self.connection
--- a/mapleline/balancer/proxy/upstream_connection.py
+++ b/mapleline/balancer/proxy/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to one server: one request at a time."""
+"""A connection to a server; it carries one request at a time."""
 
 from __future__ import annotations
 
@@ -23,46 +23,49 @@
     from .upstream_attempt import Attempt, ResponseSink
 
 MAX_IDLE_S = 8.0
-"""An idle connection is kept so long at most, also where the server says nothing."""
+"""The longest time for which an idle connection is kept, also if the server sends no `Keep-Alive` timeout."""
 
 KEEP_ALIVE_SHARE = 0.75
-"""Of the server's `Keep-Alive` timeout: a request must not cross its close on the way."""
+"""Share of the server's `Keep-Alive` timeout after which an idle connection is no longer used.
+
+The rest keeps a request from arriving just after the server has closed the connection.
+"""
 
 USER_TIMEOUT_MS = 4000
-"""Sent bytes that stay unacknowledged so long end the connection (RFC 5482)."""
+"""The connection is lost if sent bytes stay unacknowledged for this long (RFC 5482)."""
 
 STREAM_THRESHOLD_BYTES = 1 << 20
-"""A body up to this length is held, so that another server can get it; a larger one is streamed."""
+"""A body up to this length is buffered, so that a request can be retried; a longer one is streamed."""
 
 STREAM_READ_BYTES = 64 * 1024
-"""Bytes of one read of a response that is streamed."""
+"""Size of one read of a response that is streamed."""
 
 
 class UpstreamConnection(Stream):
-    """A connection to a server, kept for further requests while the server keeps it."""
+    """A connection to a server, reused for further requests while the server keeps it open."""
 
     transport: Any  # Twisted's TCP transport, beyond what ITransport has
 
     def __init__(self, clock: Clock, buffer_pool: BufferPool, target: Target) -> None:
-        """`target` is the server, whose `links` keep the idle connections."""
+        """`target` is the server; its `idle_connections` hold the connection between requests."""
         self.attempt: Attempt | None = None
         self.idle_since = 0.0
         self.keep_until = 0.0
-        self.recent_ids: list[bytes] = []  #: of the last two requests that were sent here, the newest last
+        self.recent_ids: list[bytes] = []  #: ids of the last two requests sent over the connection, the newest last
         self._clock = clock
         self._target = target
         self._http1 = Http1Client(buffer_pool, STREAM_THRESHOLD_BYTES, is_response_to)
-        self._sink: ResponseSink | None = None  # takes the response that is being streamed
+        self._sink: ResponseSink | None = None  # receives the response that is being streamed
         self._streamed_response: Response | None = None  # the head of that response
 
     @property
     def is_reused(self) -> bool:
-        """Whether an earlier request was sent here: a response may be to that one."""
+        """Whether an earlier request was sent over the connection: a response may belong to that one."""
         return len(self.recent_ids) > 1
 
     @property
     def is_reusable(self) -> bool:
-        """Whether a further request may be sent here."""
+        """Whether a further request may be sent over the connection."""
         return bool(self.connected) and self._http1.reusable
 
     def abort(self) -> None:
@@ -70,7 +73,7 @@
         self.transport.abortConnection()
 
     def abandon(self) -> None:
-        """Reset the connection; its attempt has ended already."""
+        """Reset the connection of an attempt that has ended already."""
         self.attempt = None
         self._sink = None
         self.abort()
@@ -78,7 +81,7 @@
     # -- the request ---------------------------------------------------------------------------------------
 
     def connectionMade(self) -> None:
-        """Bound the time of unacknowledged bytes."""
+        """Set the timeout of unacknowledged bytes."""
         handle = self.transport.getHandle()
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
         super().connectionMade()
@@ -88,7 +91,7 @@
         self.attempt = attempt
         attempt.connection = self
         self.recent_ids = [*self.recent_ids[-1:], attempt.request_id]
-        attempt.is_written = True  # before the first byte: the kernel may take a part and fail
+        attempt.is_written = True  # set before sending: a send that fails may have written a part
         attempt.sent_at = self._clock.seconds()
         self._http1.add_request(attempt)
         self.send(attempt.data)
@@ -96,18 +99,18 @@
             attempt.upload.attach(self, partial(self._on_uploaded, attempt))
 
     def _on_uploaded(self, attempt: Attempt) -> None:
-        """Measure latency from here: the server begins once it has the last byte."""
+        """Measure the latency from now: the server begins to execute the request once it has the last byte."""
         attempt.sent_at = self._clock.seconds()
 
     def on_flushed(self) -> None:
-        """Let more of a streamed body come."""
+        """Resume a streamed request body."""
         if self.attempt is not None and self.attempt.upload is not None:
             self.attempt.upload.flushed()
 
     # -- the response --------------------------------------------------------------------------------------
 
     def dataReceived(self, data: bytes) -> None:
-        """Read a response, or stream the next part of one."""
+        """Read a response, or forward the next part of a streamed one."""
         if self._sink is not None:
             self._stream_part(self._sink, data)
             return
@@ -123,7 +126,7 @@
     def _end_after_protocol_error(self) -> None:
         attempt = self.attempt
         self.attempt = None
-        self._leave_idle_connections()  # at once: `connectionLost` comes a turn of the reactor later
+        self._remove_from_idle()  # now: `connectionLost` is called in a later turn of the reactor
         self.abort()
         if attempt is not None:
             attempt.end(EndReason.PROTOCOL_ERROR)
@@ -137,13 +140,13 @@
         attempt.end(reason, response)
 
     def _can_be_kept(self, attempt: Attempt) -> bool:
-        """Return whether request and response have ended and nothing lies behind them."""
+        """Return whether the connection can be reused: request and response are complete, with no bytes after them."""
         if not self._http1.reusable or self._http1.is_streaming or not self.is_flushed:
             return False
         return attempt.upload is None or attempt.upload.is_complete
 
     def _keep(self, response: Response) -> None:
-        """Keep the connection for as long as the server's `Keep-Alive` says, `MAX_IDLE_S` at most."""
+        """Keep the connection for `KEEP_ALIVE_SHARE` of the server's `Keep-Alive` timeout, at most `MAX_IDLE_S`."""
         header = response.headers.get(b"keep-alive", b"")
         _, _, timeout = header.partition(b"timeout=")
         timeout = timeout.partition(b",")[0].strip()
@@ -155,7 +158,7 @@
     # -- streaming -----------------------------------------------------------------------------------------
 
     def _start_streaming(self, attempt: Attempt, response: Response) -> bool:
-        """Stream a response from its first part on; return False if nobody takes its parts."""
+        """Start to stream a response; return False if it is not to be streamed."""
         sink = attempt.on_response_start(attempt, response, self)
         self._sink = sink
         if sink is None:
@@ -170,7 +173,7 @@
         if part:
             sink.send_part(part)
         if self._http1.is_streaming or self._sink is None:
-            return  # more is to come, or the client has gone meanwhile
+            return  # the response is not complete, or the client has disconnected meanwhile
         self._finish_streaming(EndReason.PROTOCOL_ERROR if self._http1.is_truncated else EndReason.RESPONSE)
 
     def _finish_streaming(self, reason: EndReason) -> None:
@@ -180,19 +183,19 @@
             self._finish(self.attempt, self._streamed_response, reason)
 
     def pause(self) -> None:
-        """Read nothing more: what takes the response has enough for now."""
+        """Stop reading: the receiver of the streamed response is full."""
         self.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         self.resume_reading()
 
     # -- the end -------------------------------------------------------------------------------------------
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """End the attempt that is in flight here."""
+        """End the attempt that is in flight on the connection."""
         super().connectionLost(reason)
-        self._leave_idle_connections()
+        self._remove_from_idle()
         is_closed_in_order = isinstance(reason.value, ConnectionDone)
         if self._sink is not None:
             is_complete = self._http1.on_closed_while_streaming(is_closed_in_order)
@@ -203,16 +206,17 @@
         if attempt is not None:
             attempt.end(EndReason.CONNECTION_CLOSED if is_closed_in_order else EndReason.CONNECTION_LOST)
 
-    def _leave_idle_connections(self) -> None:
+    def _remove_from_idle(self) -> None:
         if self in self._target.idle_connections:
             self._target.idle_connections.remove(self)
 
 
 def is_response_to(attempt: Attempt, response: Response) -> bool:
-    """Return whether a response is the attempt's own, and not a surplus one to an earlier request.
+    """Return whether a response belongs to the attempt, and not to an earlier request.
 
-    `Request-Id` decides.  A response without one says by `Not-Executed` that a request was not executed; which one,
-    is certain only if no other was sent over the connection, and matters only if it may be executed only once.
+    The header `Request-Id` decides.  A response without it, but with `Not-Executed`, says that some request was not
+    executed.  For a request that may be executed only once, it is accepted only if no other request was sent over the
+    connection, as it may otherwise belong to that one.
     """
     request_id = response.headers.get(b"request-id")
     if request_id is None and b"not-executed" in response.headers:
--- a/mapleline/balancer/proxy/upstream_pool.py
+++ b/mapleline/balancer/proxy/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The connections to servers: idle ones are kept with their target and used again."""
+"""The connections to servers; idle ones are kept in their target and reused."""
 
 from __future__ import annotations
 
@@ -18,17 +18,20 @@
     from .upstream_attempt import Attempt
 
 CONNECT_TIMEOUT_S = 0.35
-"""A dropped first packet is sent again after a second (RFC 6298): later than that is too late."""
+"""Timeout for establishing a connection.
+
+A lost SYN is retransmitted after 1 s (RFC 6298), and waiting for that would take too long.
+"""
 
 MAX_IDLE_NON_IDEMPOTENT_S = 2.0
-"""A connection that was idle for longer gets no request that may be executed only once."""
+"""A connection that was idle for longer is not used for a request that may be executed only once."""
 
 
 class UpstreamPool:
     """Sends attempts over idle connections or new ones."""
 
     def __init__(self, reactor: Reactor, buffer_pool: BufferPool) -> None:
-        """`buffer_pool` lends the buffers for responses."""
+        """`buffer_pool` provides the buffers for responses."""
         self._reactor = reactor
         self._buffer_pool = buffer_pool
 
@@ -44,7 +47,7 @@
         connecting.addCallbacks(partial(_on_connected, attempt), partial(_on_connect_failed, attempt))
 
     def _take_idle_connection(self, attempt: Attempt) -> UpstreamConnection | None:
-        """Return an idle connection that is good for the attempt; connections that are good for none are aborted."""
+        """Return an idle connection that is suitable for the attempt; unusable connections are aborted."""
         target = attempt.target
         now = self._reactor.seconds()
         while target.idle_connections:
@@ -58,7 +61,7 @@
         return None
 
     def close_idle_connections(self, targets: list[Target], now: float, max_idle: int) -> None:
-        """Close connections that were idle for too long, and those beyond `max_idle` for each server."""
+        """Close connections that were idle for too long, and the oldest of each server beyond `max_idle`."""
         for target in targets:
             for connection in list(target.idle_connections):
                 if now >= connection.keep_until or not connection.connected:
@@ -68,16 +71,16 @@
                 target.idle_connections.pop(0).abort()
 
     def close_connections(self, target: Target) -> None:
-        """Close the idle connections to a server that is gone."""
+        """Close the idle connections to a server that has been removed."""
         while target.idle_connections:
             target.idle_connections.pop().abort()
 
 
 def _may_carry(connection: UpstreamConnection, attempt: Attempt, now: float) -> bool:
-    """Return whether the attempt's outcome would be certain enough over this idle connection."""
+    """Return whether the attempt's outcome would be known reliably if it used this idle connection."""
     if connection.recent_ids[-1:] == [attempt.request_id]:
-        return False  # a second copy of the first response would pass for the response to this attempt
-    # the server may have forgotten an idle connection silently, and a reset would then say nothing of execution
+        return False  # a duplicate of the response to the first attempt would be taken for the response to this one
+    # the server may have dropped an idle connection silently; a reset doesn't tell whether the request was executed
     return attempt.is_idempotent or now - connection.idle_since <= MAX_IDLE_NON_IDEMPOTENT_S
 
 
