--- a/mapleline/policy/placing.py
+++ b/mapleline/policy/placing.py
@@ -61,11 +61,11 @@
 
         The server's own report counts less with its age, and not at all after 10 s.
         """
-        known = self.out + self.peer_in_flight
+        total_in_flight = self.out + self.peer_in_flight
         weight = (
             0.33 ** ((now - self.load_reported_at) / REPORTED_LOAD_DECAY_S) if now - self.load_reported_at < 10 else 0.0
         )
-        return max(known, known + (self.reported_load - known) * weight)
+        return max(total_in_flight, total_in_flight + (self.reported_load - total_in_flight) * weight)
 
     def wait_latencies(self, now: float) -> float:
         """Return how long one more request would be queued, in expected latencies."""
@@ -83,20 +83,23 @@
         return max(self.observed_failure_share(now), 0.7 * self.peer_failure_share)
 
     def record_result(self, now: float, is_failure: bool, weight: float = FAILURE_GAIN) -> None:
-        """Update the failure share by the end of a request, or by one that has had no response for long.
+        """Update the failure share when a request has ended, or has had no response for long.
 
-        Only results of requests are recorded, never those of health checks.
+        Only requests are counted, never health checks.  `weight` is the weight of this result, between 0 and 1.
         """
         observed = self.observed_failure_share(now)
         self.failure_share, self.failure_share_at = observed + weight * (is_failure - observed), now
 
     def record_unreachable(self, now: float) -> None:
-        """Start a backoff, twice as long as the one before if that failed to connect too."""
+        """Start a backoff, which doubles with each consecutive failure to connect, up to `MAX_BACKOFF_S`."""
         self.backoff_until = now + min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**self.unreachable_count)
         self.unreachable_count += 1
 
     def record_response(self, latency_ratio: float) -> None:
-        """Update the latency ratio; `latency_ratio` is the response's latency over the expected one, capped at 4."""
+        """Update the latency ratio, and reset the count of failures to connect.
+
+        `latency_ratio` is the response's latency over the expected one, capped at 4.
+        """
         self.unreachable_count = 0
         self.latency_ratio += LATENCY_RATIO_GAIN * (min(latency_ratio, 4.0) - self.latency_ratio)
 
--- a/tests/balancer/proxy/lease_cluster.py
+++ b/tests/balancer/proxy/lease_cluster.py
@@ -1,4 +1,4 @@
-"""Voters and holders of slow-start leases on one clock: messages are lost or late, nodes restart and freeze."""
+"""A simulated cluster of voters and holders of slow-start leases, with lost and late messages, restarts and freezes."""
 
 import random
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass
 class LeaseHistory:
-    """What was seen of one lease: most holders at once, least time between two terms' beginnings, number of terms."""
+    """Observations of one lease: most concurrent holders, least time between starts of two terms, number of terms."""
 
     max_holders: int
     min_gap_s: float
@@ -21,7 +21,10 @@
 
 
 class LeaseCluster:
-    """Three or four voters and some nodes that are none; nodes 1 and up request `LEASE_ID` by turns."""
+    """Three or four voters and some other nodes on one virtual clock; changing nodes request `LEASE_ID`.
+
+    Nodes are identified by number, from 1; the voters come first.
+    """
 
     def __init__(self, seed, other_nodes=3):
         self.rng = random.Random(seed)
@@ -54,8 +57,8 @@
 
     def deliver(self, source, target, message):
         if self.clock.now < self.frozen_until[target]:
-            thaws_in = self.frozen_until[target] - self.clock.now
-            self.clock.callLater(thaws_in, self.deliver, source, target, message)
+            thaws_in_s = self.frozen_until[target] - self.clock.now
+            self.clock.callLater(thaws_in_s, self.deliver, source, target, message)
         elif isinstance(message, LeaseRequest):
             grant = self.nodes[target].handle_request(source, message)
             if grant is not None:
@@ -64,7 +67,7 @@
             self.nodes[target].handle_grant(source, message)
 
     def run(self, rounds=200):
-        """Let faults happen by lot, and watch who holds the lease."""
+        """Inject random faults, and record which nodes hold the lease."""
         max_holders, last_holder, term_starts = 0, None, []
         for _ in range(rounds):
             self.inject_fault()
@@ -81,20 +84,20 @@
         return LeaseHistory(max_holders, min(gaps, default=LEASE_S), len(term_starts))
 
     def inject_fault(self):
-        lot = self.rng.random()
+        draw = self.rng.random()
         ip = self.rng.choice(list(self.nodes))
-        if lot < 0.04:
+        if draw < 0.04:
             self.restart(ip)
-        elif lot < 0.08:  # all voters of a zone and more: all but one
+        elif draw < 0.08:  # all voters but one: more than are in one zone
             for voter in range(1, self.voter_count):
                 self.restart(voter)
-        elif lot < 0.12:
+        elif draw < 0.12:
             self.frozen_until[ip] = self.clock.now + self.rng.uniform(0.2, 3.0)
-        elif lot < 0.16:
+        elif draw < 0.16:
             self.cut_links = {(ip, target) for target in self.rng.sample(list(self.nodes), 4)}
-        elif lot < 0.20:
+        elif draw < 0.20:
             self.cut_links = set()
-        elif lot < 0.32:
+        elif draw < 0.32:
             self.requesting = set(self.rng.sample(list(self.nodes), self.rng.choice([1, 1, 1, 2])))
 
     def request_leases(self):
--- a/tests/balancer/proxy/proxy_harness.py
+++ b/tests/balancer/proxy/proxy_harness.py
@@ -1,4 +1,4 @@
-"""A proxy among stubs, on a virtual clock: what clients and servers receive becomes a transcript."""
+"""A proxy with stub clients, servers and quota counters on a virtual clock; it records a transcript of all messages."""
 
 import random
 from pathlib import Path
@@ -18,8 +18,8 @@
 from mapleline.policy.window import WindowUsage
 
 APPROVED = Path(__file__).parent / "approved"
-START_S = 100.0  # on the virtual clock; transcripts count from it
-END_REASON_TEXTS = {  # as the approved transcripts have them
+START_S = 100.0  # start of the test on the virtual clock; times in transcripts are relative to it
+END_REASON_TEXTS = {  # the texts in the approved transcripts
     EndReason.CONNECTION_LOST: "lost",
     EndReason.PROTOCOL_ERROR: "spoilt",
     EndReason.UNREACHABLE: "unreachable",
@@ -27,7 +27,7 @@
 
 
 def approve(case, name, lines):
-    """Compare a transcript with the approved one, byte for byte; a different one is written beside it."""
+    """Compare a transcript with the approved one byte for byte; if it differs, write it beside that as `.received`."""
     text, path = "\n".join(lines) + "\n", APPROVED / f"{name}.txt"
     if not path.exists() or path.read_text() != text:
         path.with_suffix(".received").write_text(text)
@@ -35,12 +35,12 @@
 
 
 def header_fields(fields):
-    """Keyword arguments as header fields: `_` stands for `-`."""
+    """Return keyword arguments as header fields, with `-` in place of `_`."""
     return {name.encode().replace(b"_", b"-"): value for name, value in fields.items()}
 
 
 class StubClientConnection:
-    """A client's connection that records what it is sent."""
+    """A client's connection that records the responses sent to it."""
 
     def __init__(self, harness, name):
         self.harness = harness
@@ -59,7 +59,7 @@
 
 
 class StubUpstreamPool(UpstreamPool):
-    """Servers that respond only when a test lets them; `in_flight` has their attempts, by the server's id."""
+    """A pool whose servers respond only when a test tells them to; `in_flight` lists the attempts by server id."""
 
     def __init__(self, harness):
         super().__init__(harness.clock, None)
@@ -80,7 +80,7 @@
 
 
 class ProxyHarness:
-    """The proxy of one node in zone z1 of region r1, and what a test makes clients, servers and quotas do."""
+    """The proxy of one node in zone z1 of region r1, with methods for the actions of clients, servers and quotas."""
 
     def __init__(self, settings_text, configuration_text, servers):
         self.clock = Clock()
@@ -124,7 +124,7 @@
         self.proxy.table = routing_table.RoutingTable(configuration.parse_configuration(text))
 
     def set_endpoints(self, servers):
-        """`servers`: id, service, zone and further fields of each in the platform's list."""
+        """Set the endpoint list; `servers` has tuples of id, service, zone and further fields of the list."""
         listed = [
             ListedInstance(instance_id, service, f"10.9.0.{number}:80", zone, **fields)
             for number, (instance_id, service, zone, fields) in enumerate(servers, 1)
@@ -136,7 +136,7 @@
     # -- clients -------------------------------------------------------------------------------------------
 
     def request(self, name, method=b"GET", path=b"/one/x", key=b"k1", upload_bytes=0, **fields):
-        """Send a client's request, whose body is streamed if `upload_bytes` is not 0; return its context."""
+        """Send a client's request, with a streamed body if `upload_bytes` is not 0; return its context."""
         headers = {b"host": b"a.example", b"request-id": name.encode(), b"deadline-ms": b"3000"}
         if key:
             headers[b"authorization"] = b"Bearer " + key
@@ -157,7 +157,7 @@
         self._record_quota(current, is_counted)
 
     def time_out_quota(self):
-        """Let the oldest quota request end without an answer."""
+        """End the oldest quota request without an answer."""
         is_counted = self.quota_requests.pop(0).done(None)
         self._record_quota("silent", is_counted)
 
@@ -167,11 +167,11 @@
     # -- servers -------------------------------------------------------------------------------------------
 
     def last_server(self):
-        """The server that was sent to last, of those with an attempt in flight."""
+        """Return the server that got the newest attempt, of those with an attempt in flight."""
         return [instance_id for instance_id, attempts in self.upstream_pool.in_flight.items() if attempts][-1]
 
     def respond(self, status=200, **fields):
-        """Let the last server respond to its oldest attempt."""
+        """Have the last server respond to its oldest attempt."""
         instance_id = self.last_server()
         attempt = self.upstream_pool.in_flight[instance_id].pop(0)
         headers = {
@@ -184,9 +184,10 @@
         attempt.end(EndReason.RESPONSE, Response(status, headers, b"bytes", True))
 
     def start_response(self, status=200, **fields):
-        """Let the last server begin a long response.
+        """Have the last server begin a long response.
 
-        Returns a function that ends it, None if the proxy does not stream it: then it has ended whole.
+        Returns a function that ends the response; None if the proxy does not stream it, in which case the attempt has
+        ended with the whole response.
         """
         attempts = self.upstream_pool.in_flight[self.last_server()]
         attempt = attempts[0]
@@ -204,7 +205,7 @@
         return end_response
 
     def end_without_response(self, reason=EndReason.CONNECTION_LOST, is_written=True):
-        """Let the last server's oldest attempt end without a response."""
+        """End the last server's oldest attempt without a response."""
         instance_id = self.last_server()
         attempt = self.upstream_pool.in_flight[instance_id].pop(0)
         attempt.is_written = is_written
--- a/tests/balancer/proxy/test_client_connection.py
+++ b/tests/balancer/proxy/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Client connections on a stub transport: requests in pieces, streamed bodies and responses, and limits."""
+"""Client connections on a stub transport: split requests, streamed bodies and responses, and limits."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class StubTransport:
-    """Takes what is sent, and knows how it ended."""
+    """A transport that records what is sent, and how the connection was closed."""
 
     bufferSize = 0
 
@@ -77,7 +77,7 @@
         )
         self.assertEqual(client_conn.transport.ended, "closed")
 
-    def test_a_long_body_is_streamed_no_faster_than_a_server_takes_it(self):
+    def test_a_long_body_is_streamed_no_faster_than_a_server_accepts_it(self):
         self.listener.stream_threshold_bytes = 4 * BUFFER_SIZE
         client_conn = self.client_conn()
         client_conn.dataReceived(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n")
@@ -99,7 +99,7 @@
         client_conn.reply(200, b"kept")
         self.assertEqual((client_conn.transport.ended, self.listener.buffer_pool.reserved_bytes), ("", 0))
 
-    def test_a_client_rejected_amid_its_body_can_read_the_response_before_the_close(self):
+    def test_a_client_rejected_while_sending_its_body_can_read_the_response_before_the_close(self):
         self.listener.stream_threshold_bytes = 4 * BUFFER_SIZE
         client_conn = self.client_conn()
         client_conn.dataReceived(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n" + bytes(70000))
@@ -111,26 +111,26 @@
         self.listener.close_idle_connections(self.clock.seconds() + 7.0)
         self.assertEqual(client_conn.transport.ended, "aborted")
 
-    def test_a_streamed_response_that_is_cut_off_never_looks_complete(self):
-        for length, whole, end in ((9, True, b"part"), (None, True, b"\r\n0\r\n\r\n"), (9, False, b"part")):
+    def test_a_truncated_streamed_response_never_looks_complete(self):
+        for length, is_complete, end in ((9, True, b"part"), (None, True, b"\r\n0\r\n\r\n"), (9, False, b"part")):
             client_conn, source = self.client_conn(), StubTransport()
             client_conn.dataReceived(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
             client_conn.begin_reply(200, b"Server-Stamp: s\r\n", length, source)
             client_conn.send_part(b"first")
             client_conn.send_part(b"part")
-            client_conn.end_reply(whole)
+            client_conn.end_reply(is_complete)
             self.assertTrue(client_conn.transport.sent.endswith(end))
-            self.assertEqual(client_conn.transport.ended, "" if whole else "closed")
+            self.assertEqual(client_conn.transport.ended, "" if is_complete else "closed")
 
-    def test_bodies_beyond_their_share_of_memory_are_streamed_at_once(self):
+    def test_bodies_are_streamed_while_the_buffer_pool_is_short(self):
         self.listener.buffer_pool.limit_bytes, self.listener.stream_threshold_bytes = 20 * BUFFER_SIZE, 1 << 20
         for _ in range(5):
             head = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000\r\n\r\n"
             self.client_conn().dataReceived(head + bytes(8 * BUFFER_SIZE))
-        self.assertEqual([r.is_streamed for _, r in self.handled], [True] * 3)  # the first two have what room there was
+        self.assertEqual([r.is_streamed for _, r in self.handled], [True] * 3)  # the first two use up the buffers
         self.assertLessEqual(self.listener.buffer_pool.buffers_in_use, 20)
 
-    def test_a_head_or_body_beyond_the_limits_is_rejected(self):
+    def test_an_invalid_request_or_one_beyond_the_size_limits_is_rejected(self):
         self.listener.max_header_bytes, self.listener.max_body_bytes = 200, 10
         for data, status in (
             (b"GET /a HTTP/1.1\r\nHost: x\r\nA: " + b"b" * 300 + b"\r\n\r\n", b"431"),
--- a/tests/balancer/proxy/test_outcome.py
+++ b/tests/balancer/proxy/test_outcome.py
@@ -1,4 +1,4 @@
-"""Whether a request may have been executed, by what is known of its attempts."""
+"""The rules for whether a request may have been executed, by the results of its attempts."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class TestOutcome(unittest.TestCase):
-    def test_only_the_servers_statement_or_an_unwritten_request_rules_execution_out(self):
+    def test_execution_is_ruled_out_only_by_the_server_or_if_nothing_was_written(self):
         self.assertEqual(outcome.classify_status(503, True), Outcome.NOT_EXECUTED)
         self.assertEqual(outcome.classify_status(421, False), Outcome.NOT_EXECUTED)
         self.assertEqual(outcome.classify_status(503, False), Outcome.EXECUTED)
@@ -28,7 +28,7 @@
             [503, 504, 502],
         )
 
-    def test_statuses_that_promise_no_execution_are_forwarded_only_where_the_promise_is_true(self):
+    def test_statuses_that_promise_no_execution_are_forwarded_only_if_that_is_certain(self):
         for status in (200, 404, 408, 429, 500, 503, 504):
             for kind in ("idempotent", "non_idempotent", "upload"):
                 is_forwarded = outcome.may_forward(kind, Response(status, {}, b"", True))
--- a/tests/balancer/proxy/test_proxy.py
+++ b/tests/balancer/proxy/test_proxy.py
@@ -1,4 +1,4 @@
-"""The data plane by whole exchanges: what a client and a server receive, compared with approved transcripts."""
+"""The data plane in whole exchanges: all messages to clients and servers, compared with approved transcripts."""
 
 import json
 import unittest
@@ -95,7 +95,7 @@
         for n, status in enumerate((503, 429, 408)):
             harness.request(f"book{n}", b"POST", b"/book/7")
             harness.respond(status)
-        harness.request("long", b"POST", b"/book/7", expect=b"100-continue")  # which is ours to answer
+        harness.request("long", b"POST", b"/book/7", expect=b"100-continue")  # answered by the proxy
         harness.start_response(503)
         harness.request("read")
         harness.respond(429)
@@ -116,7 +116,7 @@
         harness.end_without_response()
         self.approve("may_have_run")
 
-    def test_servers_out_of_reach_do_not_count_as_attempts_up_to_a_limit(self):
+    def test_unreachable_servers_do_not_count_as_attempts_up_to_a_limit(self):
         harness = self.harness
         harness.request("book", b"POST", b"/book/7")
         harness.end_without_response(EndReason.UNREACHABLE, is_written=False)
@@ -173,20 +173,20 @@
         harness.answer_quota(current=0.0)
         self.approve("key_taken_away")
 
-    def test_servers_draining_evacuated_or_warming_up_get_no_more_than_they_may(self):
+    def test_draining_and_evacuated_servers_get_no_requests_and_warming_ones_a_limited_rate(self):
         harness = self.harness
         harness.set_endpoints([("i-a", "s1", "z1", {"state": "draining"}), *SERVERS[1:]])
         harness.proxy.evacuated_zones = {"z2"}
         harness.request("q1")
         harness.respond()
         harness.set_endpoints([("i-d", "s1", "z1", {"cold_left": "3s"}), ("i-e", "s1", "z2", {})])
-        for n in range(2, 5):  # one turn of the cold one, by its owner; the other is in the evacuated zone
+        for n in range(2, 5):  # the lease holder may send one to i-d, which warms up; i-e is in the evacuated zone
             harness.request(f"q{n}")
         harness.advance(0.5)
         harness.request("q5")
         self.approve("who_gets_nothing")
 
-    def test_streamed_bodies_have_one_server_and_an_honest_end(self):
+    def test_a_streamed_body_goes_to_one_server_and_a_truncated_response_is_marked_as_such(self):
         harness = self.harness
         harness.request("up", b"POST", b"/book/7", upload_bytes=2 << 20)
         harness.respond(503, not_executed=b"1")
@@ -194,12 +194,12 @@
         harness.advance(3.0)
         harness.request(
             "spent", b"POST", b"/book/8", upload_bytes=2 << 20
-        ).on_body_discarded()  # more has gone out than is held
+        ).on_body_discarded()  # a part was sent that is no longer buffered
         harness.respond(503, not_executed=b"1")
         harness.advance(3.0)
         harness.request("down")
         end = harness.start_response()
-        harness.advance(1.5)  # no second server is asked
+        harness.advance(1.5)  # a streamed response is not hedged
         end(EndReason.RESPONSE)
         harness.request("cut")
         harness.start_response()(EndReason.CONNECTION_LOST)
--- a/tests/balancer/proxy/test_upstream_connection.py
+++ b/tests/balancer/proxy/test_upstream_connection.py
@@ -1,4 +1,7 @@
-"""Upstream connections on stub transports: what is known of the execution of a request at each end of an attempt."""
+"""Upstream connections on stub transports: the outcome of an attempt for each way in which it can end.
+
+A wrong outcome would execute a request twice, or report an executed one as not executed.
+"""
 
 import unittest
 from functools import partial
@@ -20,31 +23,31 @@
 
 
 def response(id=b"q1", status=200, body=b"whole", lines=b""):
-    said = b"Request-Id: %b\r\n" % id if id else b""
-    return b"HTTP/1.1 %d x\r\n%b%bContent-Length: %d\r\n\r\n%b" % (status, said, lines, len(body), body)
+    id_line = b"Request-Id: %b\r\n" % id if id else b""
+    return b"HTTP/1.1 %d x\r\n%b%bContent-Length: %d\r\n\r\n%b" % (status, id_line, lines, len(body), body)
 
 
 class StubTransport:
-    """Takes `room` bytes at once, and the rest when it is let; `waits` is what has come and nobody has read."""
+    """A transport that accepts `room_bytes` bytes and no more; `unread` has bytes received but not yet read."""
 
     bufferSize = 0
 
-    def __init__(self, room=1 << 30):
-        self.sent, self.ended, self.room, self.waits, self.producer = b"", False, room, b"", None
+    def __init__(self, room_bytes=1 << 30):
+        self.sent, self.ended, self.room_bytes, self.unread, self.producer = b"", False, room_bytes, b"", None
         self.socket = self
 
     def send(self, data):
-        taken = data[: self.room]
-        self.sent, self.room = self.sent + taken, self.room - len(taken)
+        taken = data[: self.room_bytes]
+        self.sent, self.room_bytes = self.sent + taken, self.room_bytes - len(taken)
         return len(taken)
 
     def write(self, data):
-        self.sent += b""  # what the kernel has not taken
+        self.sent += b""  # bytes that the kernel has not accepted
 
     def recv(self, size, flags):
-        if not self.waits:
+        if not self.unread:
             raise BlockingIOError
-        return self.waits[:size]
+        return self.unread[:size]
 
     def getHandle(self):
         return self
@@ -62,7 +65,7 @@
         self.producer = None
 
     def abortConnection(self):
-        self.ended = True  # Twisted tells of it in its next turn
+        self.ended = True  # Twisted calls connectionLost in its next turn
 
 
 class TestUpstreamConnection(unittest.TestCase):
@@ -78,10 +81,10 @@
         self.pool.send(attempt, ("10.0.0.1", 80))
         return attempt
 
-    def establish(self, room=1 << 30):
-        """The connection that is being made comes up."""
+    def establish(self, room_bytes=1 << 30):
+        """Establish the connection that is being opened, and return it."""
         connection = self.connecting.pop(0).buildProtocol(None)
-        connection.transport, connection.connected = StubTransport(room), 1
+        connection.transport, connection.connected = StubTransport(room_bytes), 1
         connection.connectionMade()
         return connection
 
@@ -89,7 +92,7 @@
         connection.connectionLost(Failure(ConnectionDone() if clean else ConnectionLost()))
 
     def make_idle_connection(self):
-        """A connection over which one request was answered."""
+        """Return an idle connection over which one request was answered."""
         first = self.attempt(b"q0")
         connection = self.establish()
         connection.dataReceived(response(b"q0"))
@@ -101,10 +104,10 @@
 
     def test_a_connection_lost_or_closed_without_a_response_leaves_execution_unknown(self):
         for clean in (False, True):
-            for room in (1 << 30, 7, 0):  # written whole, half a head, not a byte that is known of
+            for room_bytes in (1 << 30, 7, 0):  # bytes accepted by the kernel: all, a part of the head, none
                 for part in (b"", response()[:20], response()[:-1]):
                     attempt = self.attempt()
-                    connection = self.establish(room)
+                    connection = self.establish(room_bytes)
                     if part:
                         connection.dataReceived(part)
                     self.lose(connection, clean)
@@ -112,7 +115,7 @@
                         attempt, EndReason.CONNECTION_CLOSED if clean else EndReason.CONNECTION_LOST, Outcome.UNKNOWN
                     )
 
-    def test_a_connection_never_established_rules_execution_out(self):
+    def test_an_attempt_whose_connection_was_never_established_was_not_executed(self):
         attempt = self.attempt()
         self.connecting.pop().clientConnectionFailed(None, Failure(ConnectionLost()))
         self.assert_ended(attempt, EndReason.UNREACHABLE, Outcome.NOT_EXECUTED)
@@ -124,9 +127,9 @@
             response(b"q9", 421),
             response(b""),
         ]
-        for make in (None, self.make_idle_connection):
+        for make_connection in (None, self.make_idle_connection):
             for other in others:
-                connection = make() if make else None
+                connection = make_connection() if make_connection else None
                 attempt = self.attempt()
                 connection = connection or self.establish()
                 connection.dataReceived(other)
@@ -150,17 +153,17 @@
             if not attempt.end_reason:
                 self.lose(connection, True)
             self.assertEqual((attempt.outcome, attempt.response), (Outcome.UNKNOWN, None))
-            connection.dataReceived(response())  # behind what cannot be told apart
+            connection.dataReceived(response())  # after bytes that cannot be assigned to a request
             self.assertEqual((attempt.outcome, attempt.response, connection.attempt), (Outcome.UNKNOWN, None, None))
 
     def test_a_response_without_an_id_counts_only_for_the_first_request_of_a_connection(self):
-        nobody = response(b"", 503, lines=b"Not-Executed: 1\r\n")
+        without_id = response(b"", 503, lines=b"Not-Executed: 1\r\n")
         attempt = self.attempt()
-        self.establish().dataReceived(nobody)
+        self.establish().dataReceived(without_id)
         self.assert_ended(attempt, EndReason.RESPONSE, Outcome.NOT_EXECUTED)
         self.target.idle_connections.clear()
         connection, attempt = self.make_idle_connection(), self.attempt()
-        connection.dataReceived(nobody)  # perhaps a late one of the request before
+        connection.dataReceived(without_id)  # it may be a late response to the request before
         self.assertIsNone(attempt.end_reason)
         self.lose(connection)
         self.assert_ended(attempt, EndReason.CONNECTION_LOST, Outcome.UNKNOWN)
@@ -172,20 +175,21 @@
         self.assert_ended(first, EndReason.RESPONSE, Outcome.NOT_EXECUTED)
         self.assertEqual(self.target.idle_connections, [connection])
         again = self.attempt()
-        self.assertIsNone(connection.attempt)  # a second copy of that answer would free what runs
+        # a duplicate of the first response would pass for the response to the second attempt
+        self.assertIsNone(connection.attempt)
         self.establish().dataReceived(response())
         self.assert_ended(again, EndReason.RESPONSE, Outcome.EXECUTED)
 
     def test_a_connection_with_surplus_bytes_is_not_reused(self):
         connection = self.make_idle_connection()
-        connection.transport.waits = b"H"  # not yet read here
+        connection.transport.unread = b"H"  # not yet read by the reactor
         attempt = self.attempt()
         self.assertTrue(connection.transport.ended and connection.attempt is None)
         self.establish().dataReceived(response())
         self.assert_ended(attempt, EndReason.RESPONSE, Outcome.EXECUTED)
         self.target.idle_connections.clear()
         connection = self.make_idle_connection()
-        connection.dataReceived(response(b"q0"))  # read, in the turn in which the next request is sent
+        connection.dataReceived(response(b"q0"))  # read in the turn in which the next request is sent
         attempt = self.attempt()
         self.assertTrue(connection.transport.ended and connection.attempt is None)
         self.establish().dataReceived(response())
@@ -206,25 +210,25 @@
         self.assertIs(connection.attempt, idempotent)
 
     def test_a_response_before_the_end_of_the_request_counts_and_the_connection_is_not_kept(self):
-        for status, lines, said in (
+        for status, lines, outcome in (
             (200, b"", Outcome.EXECUTED),
             (503, b"Not-Executed: 1\r\n", Outcome.NOT_EXECUTED),
             (421, b"", Outcome.NOT_EXECUTED),
             (503, b"", Outcome.EXECUTED),
         ):
             attempt = self.attempt()
-            connection = self.establish(room=9)  # the kernel has taken a part
+            connection = self.establish(room_bytes=9)  # the kernel has accepted a part
             connection.dataReceived(response(b"q1", status, lines=lines))
-            self.assert_ended(attempt, EndReason.RESPONSE, said)
+            self.assert_ended(attempt, EndReason.RESPONSE, outcome)
             self.assertTrue(connection.transport.ended)
-            spent = []
-            upload = Upload(1 << 21, lambda: None, partial(spent.append, True))
+            discarded = []
+            upload = Upload(1 << 21, lambda: None, partial(discarded.append, True))
             attempt = self.attempt(upload=upload)
             connection = self.establish()
             upload.put(b"x" * 100, False)
             connection.dataReceived(response(b"q1", status, lines=lines))
-            self.assert_ended(attempt, EndReason.RESPONSE, said)
-            self.assertTrue(connection.transport.ended and spent)  # what is gone is not there for another server
+            self.assert_ended(attempt, EndReason.RESPONSE, outcome)
+            self.assertTrue(connection.transport.ended and discarded)  # the sent part cannot be sent to another server
             upload.put(b"y" * 100, False)
             self.assertNotIn(b"y", connection.transport.sent)
 
@@ -237,10 +241,10 @@
         self.assert_ended(attempt, EndReason.RESPONSE, Outcome.EXECUTED)
 
     def test_each_defence_is_needed(self):
-        """Each defence taken out lets one of the tests above find the fault."""
+        """Removing any one of the defences makes one of the tests above fail."""
         cases = [
             (
-                mock.patch.object(upstream_connection, "is_response_to", lambda a, r: True),
+                mock.patch.object(upstream_connection, "is_response_to", lambda attempt, response: True),
                 self.test_one_response_to_another_request_is_skipped,
             ),
             (
