--- a/mapleline/balancer/proxy/server_feedback.py
+++ b/mapleline/balancer/proxy/server_feedback.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of its server: load, latency and health."""
+"""Updates of a server's load, latency and health from the ends of attempts."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 FIRST_SERVER_ERROR = 500
 SERVER_LOAD_FIELDS = 3
-"""`Server-Load`: requests running, requests queued, slots."""
+"""Fields of the header `Server-Load`: requests running, requests queued, slots."""
 
 OVERLOAD_QUEUE = 6.0
-"""A server that rejects requests as overloaded is taken to have this many queued, at least."""
+"""Queued requests assumed, at least, at a server that has rejected a request as overloaded."""
 
 FAILURES = frozenset(
     {
@@ -27,10 +27,11 @@
         EndReason.PROTOCOL_ERROR,
     }
 )
+"""Ends without a response that count as failures of the server; a cancelled attempt does not."""
 
 
 def record_attempt_end(attempt: Attempt, statistics: RouteStatistics, key: StatisticsKey, now: float) -> None:
-    """Take the attempt's end into what is known of its server and of its route."""
+    """Update the state of the attempt's server, and the statistics of its route (`key`)."""
     response = attempt.response
     if response is None:
         _record_failure(attempt, now)
@@ -46,29 +47,29 @@
 def _record_failure(attempt: Attempt, now: float) -> None:
     target = attempt.target
     if attempt.end_reason is EndReason.UNREACHABLE:
-        target.unreachable(now)
+        target.record_unreachable(now)
     if attempt.end_reason in FAILURES:
-        target.judged(now, True)
+        target.record_result(now, True)
 
 
 def _record_reported_load(target: Target, response: Response, now: float) -> None:
     fields = response.headers.get(b"server-load", b"").split(b",")
     if len(fields) == SERVER_LOAD_FIELDS and all(field.strip().isdigit() for field in fields):
-        target.told = float(fields[0]) + float(fields[1])
-        target.told_at = now
+        target.reported_load = float(fields[0]) + float(fields[1])
+        target.load_reported_at = now
 
 
 def _record_overload(target: Target, now: float) -> None:
-    target.told = max(target.told, target.slots + OVERLOAD_QUEUE)
-    target.told_at = now
+    target.reported_load = max(target.reported_load, target.slots + OVERLOAD_QUEUE)
+    target.load_reported_at = now
 
 
 def _record_response(
     attempt: Attempt, response: Response, statistics: RouteStatistics, key: StatisticsKey, now: float
 ) -> None:
     is_server_error = response.status >= FIRST_SERVER_ERROR
-    attempt.target.judged(now, is_server_error)
+    attempt.target.record_result(now, is_server_error)
     latency_s = now - attempt.sent_at
-    attempt.target.answered(latency_s / statistics.latency_s(key))
+    attempt.target.record_response(latency_s / statistics.latency_s(key))
     if not is_server_error and attempt.had_free_slot:
         statistics.record(key, latency_s, len(response.body))
