--- a/mapleline/balancer/control/api.py
+++ b/mapleline/balancer/control/api.py
@@ -1,7 +1,7 @@
 """The operators' HTTP calls: one dispatch on method and path segments.
 
-Nothing is said for the system without a fresh read lease: 200 and 409 come out of a ballot, what is read is known to be
-the newest, and all else is 503 (docs/design/control.md).
+No call answers for the system without a fresh read lease: 200 and 409 are results of a ballot, a read returns the
+newest state, and everything else is answered with 503 (docs/design/control.md).
 """
 
 from __future__ import annotations
@@ -31,22 +31,22 @@
 
 JSON_HEADER = b"Content-Type: application/json\r\n"
 RETRY_HEADER = b"Retry-After: 0.3\r\n"
-DISCONNECT_GRACE_S = 0.01  # one tick of the reactor: then it has seen a connection's end that came behind a request
-COMMAND_SHARE = 0.75  # of `ack_timeout`: after that an operator had better ask another node
+DISCONNECT_GRACE_S = 0.01  # one reactor tick, in which it notices a connection close that follows the request
+COMMAND_TIMEOUT_SHARE = 0.75  # fraction of `ack_timeout`, which leaves the operator time to ask another node
 OUTCOMES: dict[int, str] = {CommandStatus.DONE: "acknowledged", CommandStatus.CONFLICT: "refused"}
 
 
 @dataclass(frozen=True, slots=True)
 class CommandLabel:
-    """What the log and the audit log call a command."""
+    """Identifies a command in the log and in the audit log."""
 
     key: str
-    version: int | str  #: of a configuration; else what is to be done
+    version: int | str  #: the version of a configuration; for other commands, the action
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorCommand:
-    """A command as an operator's request gives it."""
+    """A command from an operator's request, with the body of its configuration if it has one."""
 
     command: Command
     body: bytes | None
@@ -54,16 +54,16 @@
 
 
 class ControlApi:
-    """Answers the operators' requests at one node."""
+    """Handles the operators' requests at one node."""
 
     def __init__(self, control_plane: ControlPlane, node_status: Callable[[], dict[str, object]]) -> None:
-        """Create the API; `node_status` returns what `GET /status` shows beside the control state."""
+        """Create the API; `node_status` returns the fields that `GET /status` shows beside the control state."""
         self._control_plane = control_plane
         self._context = control_plane.context
         self._node_status = node_status
 
     def handle_request(self, client_conn: ClientConnection, request: Request) -> None:
-        """Answer one request, at once or when the replicas have decided."""
+        """Answer one request, either at once or after the replicas have decided."""
         path = request.target.partition(b"?")[0].decode("latin-1")
         match request.method.decode(), path.strip("/").split("/"):
             case "POST", ["config", "replace"]:
@@ -84,10 +84,10 @@
             case _:
                 client_conn.reply(404, b"no such call")
 
-    # -- what every call needs ---------------------------------------------------------------------------------
+    # -- common parts of the calls -----------------------------------------------------------------------------
 
     def with_read_lease(self, client_conn: ClientConnection, handle: Callable[[], None]) -> None:
-        """Call `handle` once the read lease is younger than the request; answer 503 where it can't be had."""
+        """Call `handle` once the read lease is newer than the request; reply 503 if it cannot be acquired."""
 
         def proceed(is_acquired: bool) -> None:
             if is_acquired:
@@ -98,9 +98,10 @@
         self._control_plane.acquire_read_lease().addCallback(proceed)
 
     def submit(self, client_conn: ClientConnection, request: OperatorCommand) -> None:
-        """Submit a command, unless its caller hangs up.
+        """Submit a command, unless its caller closes the connection within `DISCONNECT_GRACE_S`.
 
-        A process that was frozen finds requests in its sockets that were sent to other nodes, and overtaken, since.
+        A process that was suspended finds old requests in its sockets, which callers have since sent to other nodes and
+        which later commands may have superseded.
         """
         self._context.reactor.callLater(DISCONNECT_GRACE_S, self._submit_if_connected, client_conn, request)
 
@@ -114,13 +115,13 @@
 
     @property
     def command_timeout_s(self) -> float:
-        """Seconds after which a command that is not decided is answered with 503."""
-        return COMMAND_SHARE * self._context.settings.protocol_bounds.ack_timeout
+        """Seconds after which an undecided command is answered with 503."""
+        return COMMAND_TIMEOUT_SHARE * self._context.settings.protocol_bounds.ack_timeout
 
     def reply_when_decided(
         self, client_conn: ClientConnection, decided: Deferred[CommandResult], label: CommandLabel
     ) -> None:
-        """Answer with a command's result, and record it."""
+        """Reply with a command's result once it is decided, and record the result."""
         submitted_at = self._context.now()
 
         def reply(result: CommandResult) -> None:
@@ -193,7 +194,7 @@
         self.with_read_lease(client_conn, remove)
 
     def _read_audit_log(self, client_conn: ClientConnection, path: str, query: Callable[[AuditLog], object]) -> None:
-        """Answer from this node's audit log; a node without a disk redirects to one that has one."""
+        """Reply from this node's audit log; a node without a disk redirects the caller to a node with one."""
         if not self._control_plane.audit.has_audit_log:
             self._redirect_to_replica(client_conn, path)
             return
--- a/mapleline/balancer/control/audit_log.py
+++ b/mapleline/balancer/control/audit_log.py
@@ -1,7 +1,7 @@
 """The audit log: a machine's own history of configurations, evacuations and commands, in `sqlite3`.
 
-It is bounded, and never needed to serve.  It is no part of the replicated state: a history that cannot be read is moved
-away, and a new one begun.
+It is bounded, and serving does not depend on it.  It is not part of the replicated state: an unreadable history is
+moved away and a new one is created.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 FILE_NAME = "history.sqlite"
 UNREADABLE_SUFFIX = ".bad"
 
-#: Rows that stay in each table; of the changes, those without a body count too.
+#: Maximum rows of each table; changes whose body was dropped count as well.
 MAX_COMMANDS = 1000
 MAX_CHANGES = 2000
 
-#: Rows of each table that a reading shows.
-ROWS_SHOWN = 100
+#: Default number of rows of each table in a reply.
+DEFAULT_ROW_LIMIT = 100
 
 PRAGMAS = "PRAGMA synchronous=NORMAL; PRAGMA cache_size=-128;"
 TABLES = """
@@ -39,13 +39,13 @@
 
 
 class ChangeRow(TypedDict):
-    """A change that came into force, as the operator reads it.
+    """A change that came into force, as shown to the operator.
 
     Attributes:
-        at: seconds of Unix time.
-        key: "config", or "evacuation/" and a zone.
-        version: of the configuration; of an evacuation, the number of the state.
-        bytes: size of the body.
+        at: Unix time in seconds.
+        key: "config", or "evacuation/" followed by a zone.
+        version: the version of the configuration; for an evacuation, the number of the state.
+        bytes: size of the body in bytes.
         kept: whether the body is still in the log.
     """
 
@@ -57,14 +57,14 @@
 
 
 class CommandRow(TypedDict):
-    """A command that was answered here, as the operator reads it.
+    """A command that this node answered, as shown to the operator.
 
     Attributes:
-        at: seconds of Unix time.
-        key: as of `ChangeRow`.
-        version: of a configuration; 0 else.
+        at: Unix time in seconds.
+        key: as in `ChangeRow`; for the removal of a replica, "core/" followed by its address.
+        version: the version of a configuration; 0 for other commands.
         acknowledged: whether it was done.
-        took_s: seconds until the answer.
+        took_s: seconds until the reply.
     """
 
     at: float
@@ -75,7 +75,7 @@
 
 
 class History(TypedDict):
-    """What `GET /config/history` answers; the newest rows first."""
+    """The reply to `GET /config/history`, newest rows first: changes in `word`, commands in `orders`."""
 
     word: list[ChangeRow]
     orders: list[CommandRow]
@@ -84,40 +84,48 @@
 class AuditLog:
     """One machine's audit log.
 
-    Every method waits on the disk, and raises OSError where that refuses; threads may call them at once.
+    Every method blocks on the disk, and raises OSError on a disk error; the class is thread-safe.
 
     Attributes:
-        path: the database.
-        max_bytes: of all bodies together, compressed; the oldest are dropped first.
+        path: the database file.
+        max_bytes: bound of the total compressed size of the bodies; the oldest bodies are dropped first.
     """
 
     def __init__(self, folder: str, max_bytes: int) -> None:
-        """Use the database in a folder; it is opened and, where it is missing, created at each use."""
+        """Use the database in a folder; each use opens it, and creates it if it is missing."""
         self.path = Path(folder) / FILE_NAME
         self.max_bytes = max_bytes
         self._lock = threading.Lock()
 
-    def record_change(self, at: float, key: str, version: int, tie: str, content: bytes) -> None:
-        """Add what came into force here, once for each (key, version, tie); `at` in seconds of Unix time."""
+    def record_change(self, unix_time_s: float, key: str, version: int, content_id: str, content: bytes) -> None:
+        """Record a change that came into force here, once for each (key, version, content_id).
+
+        Args:
+            unix_time_s: when the change came into force.
+            key: as in `ChangeRow`.
+            version: as in `ChangeRow`.
+            content_id: the digest of a configuration as 16 hexadecimal digits; empty for an evacuation.
+            content: the body of the configuration, or the action on the zone.
+        """
         body = zlib.compress(content)
 
         def insert(database: Connection) -> None:
-            row = (at, key, version, tie, len(content), body)
+            row = (unix_time_s, key, version, content_id, len(content), body)
             database.execute("INSERT OR IGNORE INTO word VALUES (?, ?, ?, ?, ?, ?)", row)
             self._prune_changes(database)
 
         self._transact(insert)
 
-    def record_command(self, at: float, key: str, version: int, is_done: bool, took_s: float) -> None:
-        """Add an operator's command that was answered here; `at` in seconds of Unix time."""
+    def record_command(self, unix_time_s: float, key: str, version: int, is_done: bool, took_s: float) -> None:
+        """Record an operator's command that this node answered; `key` and `version` as in `CommandRow`."""
 
         def insert(database: Connection) -> None:
-            database.execute("INSERT INTO orders VALUES (?, ?, ?, ?, ?)", (at, key, version, is_done, took_s))
+            database.execute("INSERT INTO orders VALUES (?, ?, ?, ?, ?)", (unix_time_s, key, version, is_done, took_s))
             database.execute("DELETE FROM orders WHERE rowid <= (SELECT max(rowid) FROM orders) - ?", (MAX_COMMANDS,))
 
         self._transact(insert)
 
-    def history(self, limit: int = ROWS_SHOWN) -> History:
+    def history(self, limit: int = DEFAULT_ROW_LIMIT) -> History:
         """Return the newest rows of each table, at most `limit` of each."""
 
         def select(database: Connection) -> History:
@@ -126,7 +134,7 @@
         return self._transact(select)
 
     def configuration(self, version: int) -> bytes | None:
-        """Return the configuration of that version, as it was sent, if it is still in the log."""
+        """Return the body of the configuration with that version; None if it is not in the log any more."""
 
         def select(database: Connection) -> bytes | None:
             row = database.execute(
@@ -136,31 +144,31 @@
 
         return self._transact(select)
 
-    def _transact(self, work: Callable[[Connection], Result]) -> Result:
-        """Run one transaction; where the database can't be read, move it away and run that on a new one."""
-        import sqlite3  # only where there is something to record: a process starts faster without
+    def _transact(self, transaction: Callable[[Connection], Result]) -> Result:
+        """Run one transaction; if the database is unreadable, move it away and retry on a new one."""
+        import sqlite3  # imported on first use, which makes the start of a process faster
 
         with self._lock:
             try:
-                return self._transact_once(work)
-            except sqlite3.OperationalError as err:  # the disk is full, or hangs
+                return self._transact_once(transaction)
+            except sqlite3.OperationalError as err:  # the disk is full or does not respond
                 raise OSError(str(err)) from err
             except sqlite3.DatabaseError:
                 os.replace(self.path, self.path.with_suffix(UNREADABLE_SUFFIX))
             try:
-                return self._transact_once(work)
+                return self._transact_once(transaction)
             except sqlite3.DatabaseError as err:
                 raise OSError(str(err)) from err
 
-    def _transact_once(self, work: Callable[[Connection], Result]) -> Result:
+    def _transact_once(self, transaction: Callable[[Connection], Result]) -> Result:
         import sqlite3
 
         with closing(sqlite3.connect(self.path)) as database, database:
             database.executescript(PRAGMAS + TABLES)
-            return work(database)
+            return transaction(database)
 
     def _prune_changes(self, database: Connection) -> None:
-        """Drop the oldest rows, and the oldest bodies of the rest."""
+        """Drop the oldest rows beyond the row limit, and the oldest bodies beyond the size limit."""
         database.execute(
             "DELETE FROM word WHERE rowid IN (SELECT rowid FROM word ORDER BY at DESC, rowid DESC LIMIT -1 OFFSET ?)",
             (MAX_CHANGES,),
--- a/mapleline/balancer/control/bootstrap_policy.py
+++ b/mapleline/balancer/control/bootstrap_policy.py
@@ -1,4 +1,4 @@
-"""When the system's first state is due, and which replicas it names (docs/design/control.md, Bootstrap)."""
+"""Decides when the system's first state is due, and which voters it has (docs/design/control.md, Bootstrap)."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     from .replica import LocalReplica
 
 MIN_UPTIME_S = 1.5
-STABLE_S = 1.0  # for which no further machine with a disk has come
-MAX_WAIT_S = 5.0  # after which a zone without a replica, or a coordinator that does nothing, is waited for no longer
+STABLE_S = 1.0  # time for which the number of machines with a disk must stay the same
+MAX_WAIT_S = 5.0  # limit of the wait for a zone without a replica, or for the first machine to propose
 
 
 class BootstrapPolicy:
-    """Waits until every zone has shown a machine with a disk and no other comes."""
+    """Delays the bootstrap until each zone has a machine with a disk and the number of these is stable."""
 
     def __init__(
         self, context: NodeContext, replica: LocalReplica, reports: Mapping[int, ReplicaReport], started_at: float
     ) -> None:
-        """Create the policy; `reports` has what each machine with a disk has said of itself, by address."""
+        """Create the policy; `reports` has the newest report of each machine with a disk, by address."""
         self._context = context
         self._replica = replica
         self._reports = reports
@@ -33,9 +33,9 @@
         self._disk_count_since = started_at
 
     def is_due(self, now: float) -> bool:
-        """Whether this node is to propose the first state.
+        """Return whether this node must propose the first state now.
 
-        The first of the machines with a disk does; the others too, if that takes too long.
+        The first machine with a disk, by ring position, proposes it; after `MAX_WAIT_S`, the other ones do so as well.
         """
         local_ip = self._context.local_ip
         settings = self._context.settings
@@ -56,7 +56,7 @@
         return has_waited and is_stable and has_every_report
 
     def initial_voters(self, now: float) -> list[Replica]:
-        """Return the replicas that the first state names."""
+        """Return the voters of the first state."""
         voters = []
         for member in self._context.membership.alive(now, MemberFlags.HAS_DISK):
             if member.ip == self._context.local_ip:
--- a/mapleline/balancer/control/command_router.py
+++ b/mapleline/balancer/control/command_router.py
@@ -1,6 +1,6 @@
-"""Brings operators' commands to the replica that proposes, and takes in those that other nodes forward.
+"""Routes operators' commands to the replica that proposes, and accepts commands that other nodes forward.
 
-Commands go to one coordinator so that ballots do not collide; nothing that is decided hangs on it.
+Commands go to one coordinator so that ballots do not collide; correctness does not depend on it.
 """
 
 from __future__ import annotations
@@ -21,11 +21,12 @@
     from .replica import LocalReplica
     from .replica_monitor import ReplicaMonitor
 
-HEDGE_DELAY_S = 0.6  # without an answer, the command is forwarded to the next replica as well
+HEDGE_DELAY_S = 0.6  # without a reply by then, the command is forwarded to the next replica as well
 FORWARD_TIMEOUT_S = 1.2
 FORWARDED_COMMAND_TIMEOUT_S = 3 * FORWARD_TIMEOUT_S
-SLOW_LINK_BYTES_PER_S = 100_000  # both times above are longer by what a body takes on such a link
-RETRY_DELAY_S = 0.05  # after an answer that decides nothing
+# HEDGE_DELAY_S and FORWARD_TIMEOUT_S are extended by a body's transfer time at this rate
+SLOW_LINK_BYTES_PER_S = 100_000
+RETRY_DELAY_S = 0.05  # after a reply that leaves the command undecided
 NO_PROPOSER_DELAY_S = 0.2  # before all replicas are tried again
 
 
@@ -35,8 +36,8 @@
 
     pending: PendingCommand
     ip: int
-    attempted_ips: frozenset[int]  #: those that were tried before
-    is_over: bool = False  #: the next replica was tried
+    attempted_ips: frozenset[int]  #: replicas that were tried before
+    is_over: bool = False  #: whether the next replica was tried
 
 
 class CommandRouter:
@@ -45,20 +46,20 @@
     def __init__(
         self, context: NodeContext, replica: LocalReplica, monitor: ReplicaMonitor, proposer: Proposer
     ) -> None:
-        """Create a router without commands."""
+        """Create a router without pending commands."""
         self._context = context
         self._replica = replica
         self._monitor = monitor
         self._proposer = proposer
 
     def submit(self, command: Command, body: bytes | None, timeout_s: float) -> Deferred[CommandResult]:
-        """Fire with the result of an operator's command: UNCERTAIN if no majority decided it in time."""
+        """Fire with the result of an operator's command; UNCERTAIN if no majority decides it in `timeout_s` seconds."""
         pending = self._pending_command(command, body, timeout_s)
         self._route(pending, frozenset())
         return pending.decided
 
     def handle_forwarded(self, call: Propose) -> Reply | Deferred[Reply]:
-        """Propose a command that another node has forwarded, and answer with its result."""
+        """Propose a command that another node has forwarded, and reply with its result."""
         if not self._replica.is_voter or not _has_body(call):
             return Proposed(CommandStatus.UNCERTAIN)
         pending = self._pending_command(call.command, call.configuration_body, FORWARDED_COMMAND_TIMEOUT_S)
@@ -71,7 +72,7 @@
         return pending
 
     def _route(self, pending: PendingCommand, attempted_ips: frozenset[int]) -> None:
-        """Propose the command here, or forward it to the first proposer that was not tried yet."""
+        """Propose the command here, or forward it to the first proposer that has not been tried yet."""
         now = self._context.now()
         if pending.is_resolved or now > pending.deadline:
             return
@@ -110,7 +111,7 @@
 
 
 def _has_body(call: Propose) -> bool:
-    """Whether the body that the command needs came with it."""
+    """Return whether the call contains the body that its command needs."""
     if not isinstance(call.command, ReplaceConfiguration):
         return True
     return call.configuration_body is not None and content_digest(call.configuration_body) == call.command.digest
--- a/mapleline/balancer/control/commands.py
+++ b/mapleline/balancer/control/commands.py
@@ -11,12 +11,12 @@
 from .reconfiguration import FaultTolerance, tolerates_faults
 from .state import State, begin_reconfiguration, replace_configuration, set_evacuation
 
-#: `SetEvacuation.known_number` of a command that overrides every change: no state has such a number.
+#: `SetEvacuation.known_number` of a command that overrides every change; higher than the number of any state.
 ANY_NUMBER = 1 << 62
 
 
 class CommandStatus(IntEnum):
-    """The outcome of a command, as the HTTP status of the operator's call (docs/balancer/control-plane.md)."""
+    """The result of a command, as the HTTP status of the operator's call (docs/balancer/control-plane.md)."""
 
     DONE = 200
     CONFLICT = 409
@@ -24,20 +24,20 @@
 
 
 class ReplaceConfiguration(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Puts a configuration in force; its body travels beside the command."""
+    """Puts a configuration in force; its body is sent beside the command."""
 
     version: int
     digest: int
 
 
 class SetEvacuation(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Evacuates a zone, or lets it serve again.
+    """Evacuates a zone, or ends its evacuation.
 
     Attributes:
         zone: the zone's name.
-        is_evacuated: whether its servers are to get no requests.
-        known_number: the number of the newest state where the command was received.  A late copy of the command
-            changes nothing after a later change of the zone.
+        is_evacuated: whether its servers must get no requests.
+        known_number: the number of the newest state at the node that received the command.  A delayed copy of the
+            command has no effect after a later change of the zone.
     """
 
     zone: str
@@ -46,7 +46,7 @@
 
 
 class RemoveReplica(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Removes a machine that is gone for good from the voters."""
+    """Removes a permanently lost machine from the voters."""
 
     ip: int
 
@@ -55,21 +55,21 @@
 
 
 class CommandResult(NamedTuple):
-    """What the operator gets: a status, one of `CommandStatus`, and a line for people."""
+    """The reply to the operator: a status, one of `CommandStatus`, and a line of text."""
 
     status: int
     text: str = ""
 
 
-class Application(NamedTuple):
-    """A state after one command, and the command's result once that state is chosen."""
+class AppliedCommand(NamedTuple):
+    """The state after one command, and the command's result if that state is chosen."""
 
     state: State
     result: CommandResult
 
 
-def apply_command(state: State, command: Command, tolerance: FaultTolerance) -> Application:
-    """Apply one command; to apply it a second time changes nothing more."""
+def apply_command(state: State, command: Command, tolerance: FaultTolerance) -> AppliedCommand:
+    """Apply one command; applying it again does not change the state further."""
     match command:
         case ReplaceConfiguration():
             return _replace_configuration(state, command)
@@ -83,7 +83,7 @@
 def apply_all(
     state: State, commands: Iterable[Command], tolerance: FaultTolerance
 ) -> tuple[State, list[CommandResult]]:
-    """Apply commands in their order, and return the last state with the result of each."""
+    """Apply commands in order; return the resulting state and the result of each command."""
     results = []
     for command in commands:
         state, result = apply_command(state, command, tolerance)
@@ -91,32 +91,32 @@
     return state, results
 
 
-def _replace_configuration(state: State, command: ReplaceConfiguration) -> Application:
+def _replace_configuration(state: State, command: ReplaceConfiguration) -> AppliedCommand:
     successor, is_confirmed = replace_configuration(state, command.version, command.digest)
     if is_confirmed:
-        return Application(successor, CommandResult(CommandStatus.DONE))
+        return AppliedCommand(successor, CommandResult(CommandStatus.DONE))
     in_force = successor.config.version if successor.config is not None else 0
     text = f"config_version {command.version} stands for another configuration; in force is {in_force}"
-    return Application(successor, CommandResult(CommandStatus.CONFLICT, text))
+    return AppliedCommand(successor, CommandResult(CommandStatus.CONFLICT, text))
 
 
-def _set_evacuation(state: State, command: SetEvacuation) -> Application:
+def _set_evacuation(state: State, command: SetEvacuation) -> AppliedCommand:
     is_change = (command.zone in state.evacuated) != command.is_evacuated
     if is_change and dict(state.changed).get(command.zone, 0) > command.known_number:
         text = f"{command.zone} was changed by another order meanwhile"
-        return Application(state, CommandResult(CommandStatus.UNCERTAIN, text))
+        return AppliedCommand(state, CommandResult(CommandStatus.UNCERTAIN, text))
     successor = set_evacuation(state, command.zone, command.is_evacuated)
-    return Application(successor, CommandResult(CommandStatus.DONE))
+    return AppliedCommand(successor, CommandResult(CommandStatus.DONE))
 
 
-def _remove_replica(state: State, command: RemoveReplica, tolerance: FaultTolerance) -> Application:
-    rest = [voter for voter in state.voters if voter.ip != command.ip]
-    if len(rest) == len(state.voters):
-        return Application(state, CommandResult(CommandStatus.DONE))
+def _remove_replica(state: State, command: RemoveReplica, tolerance: FaultTolerance) -> AppliedCommand:
+    remaining = [voter for voter in state.voters if voter.ip != command.ip]
+    if len(remaining) == len(state.voters):
+        return AppliedCommand(state, CommandResult(CommandStatus.DONE))
     if state.former:
         text = "another change of members is under way"
-        return Application(state, CommandResult(CommandStatus.UNCERTAIN, text))
-    if not tolerates_faults(rest, tolerance):
+        return AppliedCommand(state, CommandResult(CommandStatus.UNCERTAIN, text))
+    if not tolerates_faults(remaining, tolerance):
         text = "too few would be left to bear a loss"
-        return Application(state, CommandResult(CommandStatus.CONFLICT, text))
-    return Application(begin_reconfiguration(state, rest), CommandResult(CommandStatus.DONE))
+        return AppliedCommand(state, CommandResult(CommandStatus.CONFLICT, text))
+    return AppliedCommand(begin_reconfiguration(state, remaining), CommandResult(CommandStatus.DONE))
--- a/mapleline/balancer/control/committed_state.py
+++ b/mapleline/balancer/control/committed_state.py
@@ -1,4 +1,4 @@
-"""The newest state that a node knows to be chosen, and the configurations it has stored (pure)."""
+"""The newest state that a node knows to be chosen, and the configuration bodies in its memory (pure)."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class CommittedState:
-    """The committed state of one process; `state` only climbs.
+    """The committed state of one process; its number never decreases.
 
     Attributes:
         state: the newest state known to be chosen.
-        contents: bodies of configurations by their digest, also of states that are not chosen yet.
+        contents: bodies of configurations by digest, including those of states that are not chosen yet.
     """
 
     def __init__(self) -> None:
@@ -22,21 +22,21 @@
 
     @property
     def number(self) -> int:
-        """The number of the state; 0 for none."""
+        """The number of the committed state; 0 without one."""
         return self.state.number if self.state is not None else 0
 
     @property
     def digest(self) -> int:
-        """The digest of the configuration in force; 0 for none."""
+        """The digest of the configuration in force; 0 without one."""
         return self.state.config.digest if self.state is not None and self.state.config is not None else 0
 
     @property
     def body(self) -> bytes | None:
-        """The configuration in force, as it was sent."""
+        """The body of the configuration in force, as the operator sent it."""
         return self.contents.get(self.digest)
 
     def add_body(self, state: State, body: bytes | None) -> bool:
-        """Store a body that came with a state, if it is the one that the state references.
+        """Store a body received with a state, if it matches the digest that the state references.
 
         Returns:
             Whether the body that the state references is stored now.
@@ -46,14 +46,14 @@
         return has_contents(state, self.contents)
 
     def is_newer(self, state: State) -> bool:
-        """Return whether a chosen state is of this system and newer than the committed one."""
+        """Return whether a chosen state belongs to this system and is newer than the committed one."""
         return self.state is None or state.number > self.state.number and state.system == self.state.system
 
     def prune_contents(self, referenced: Iterable[int]) -> None:
-        """Drop all bodies but the one in force and those of the given digests."""
+        """Drop all bodies except the one in force and those of the given digests."""
         retained = {*referenced, self.digest}
         self.contents = {digest: body for digest, body in self.contents.items() if digest in retained}
 
     def voter_ips(self) -> list[int]:
-        """Return the addresses of all voters, ascending; none where no state is known."""
+        """Return the addresses of all voters, ascending; an empty list if no state is known."""
         return sorted({voter.ip for voter in self.state.all_voters()}) if self.state is not None else []
--- a/mapleline/balancer/control/consensus.py
+++ b/mapleline/balancer/control/consensus.py
@@ -1,8 +1,8 @@
 """Consensus on the next state: single-decree Paxos for each change, on one register (pure).
 
 This is CASPaxos as published by Rystsov ("CASPaxos: Replicated State Machines without logs", 2018), with joint
-consensus for the change of voters.  There is no log and no leader: any replica may propose at any time.
-docs/design/control.md says why this was chosen and why ballots cannot fork the chain of states.
+consensus for changes of the voters.  There is no log and no leader: any replica may propose at any time.
+docs/design/control.md explains why this algorithm was chosen and why ballots cannot fork the chain of states.
 """
 
 from __future__ import annotations
@@ -18,24 +18,25 @@
 # The rules
 # ---------
 #
-# Phase 1.  A proposer draws a ballot that nobody has used, saves it on its own disk, and sends Prepare to all voters it
-# knows.  An acceptor that has promised no higher ballot promises this one: it saves the promise, and answers with the
-# state it accepted last and the ballot of that.
+# Phase 1.  A proposer picks an unused ballot, saves it on its own disk, and sends Prepare to all voters it knows.  An
+# acceptor that has promised no higher ballot promises this one: it saves the promise, and replies with the state that
+# it accepted last and the ballot of that state.
 #
-# Base.  The proposer must build upon the state that was accepted under the highest ballot among the promises, since
-# that one may be chosen.  Where promises show none as new as the state that it knows to be chosen, it waits for more.
-# The base may name voters that the proposer did not know: these are asked as well.  Once a majority of each set of
-# voters of the base has promised, phase 1 is done.
+# Base.  The proposer must build on the state that was accepted under the highest ballot among the promises, since that
+# state may be chosen.  If no promise shows a state as new as the one that the proposer knows to be chosen, it waits for
+# more promises.  The base may name voters that the proposer did not know: it sends Prepare to these as well.  Phase 1
+# ends once a majority of each voter set of the base has promised.
 #
-# Phase 2.  The proposer applies its change to the base, once, and sends Accept with the outcome to the voters of the
-# base and of the outcome.  An acceptor takes it unless it has promised a higher ballot, and saves it before it answers.
+# Phase 2.  The proposer applies its change to the base, once, and sends Accept with the resulting state to the voters
+# of the base and of the result.  An acceptor accepts it unless it has promised a higher ballot, and saves it before it
+# replies.
 #
-# Chosen.  The outcome is chosen once a majority of each set of voters, of the base and of the outcome, has accepted it
-# under this ballot.  The proposer then tells all of them; a state that was accepted and never became known to be chosen
-# is found by the next phase 1, and either accepted anew or passed over.
+# Chosen.  The result is chosen once a majority of each voter set, of the base and of the result, has accepted it under
+# this ballot.  The proposer then notifies all of these voters.  If a state was accepted but never became known to be
+# chosen, the next phase 1 finds it, and it is either accepted again or superseded.
 #
-# Preempted.  An acceptor that has promised a higher ballot answers with it; the proposer gives its ballot up, and may
-# try again with a higher one.
+# Preempted.  An acceptor that has promised a higher ballot replies with that ballot; the proposer abandons its own, and
+# may retry with a higher one.
 #
 #     proposer                         acceptor
 #     --------                         --------
@@ -45,15 +46,15 @@
 #               <- Accepted ---------
 #     CHOSEN    -- Chosen ---------->  mark_chosen()
 #
-# Two rules protect the founding and lost disks.  A proposal from state 0 gets no promise of a replica that knows a
-# chosen state.  A replica is an address and a disk: a disk that was wiped has another identity, and no vote until a
-# change of the voters lets it in.
+# Two rules protect the bootstrap and cover lost disks.  A replica that knows a chosen state does not promise a proposal
+# from state 0.  A replica is identified by an address and a disk: a wiped disk gets a new identity, and has no vote
+# until a change of the voters adds it.
 
 
 class Ballot(NamedTuple):
     """A proposal number: ordered by round, then by its proposer.
 
-    No ballot is used twice: before anybody else hears of one, its proposer has it on its own disk.
+    No ballot is used twice, since a proposer saves it on its own disk before sending it to other replicas.
     """
 
     round: int
@@ -65,17 +66,17 @@
 
 
 class Record(msgspec.Struct, array_like=True):
-    """What one replica keeps on its disk, in one file (docs/design/control.md).
+    """The durable state of one replica, stored in one file (docs/design/control.md).
 
     Attributes:
         ip: the address of the machine.
-        disk_id: the identity of the disk, drawn when it was empty.
+        disk_id: the identity of the disk, generated at random when the disk was empty.
         promised: the highest ballot that was promised.
         accepted_ballot: the ballot under which `accepted_state` was accepted.
         accepted_state: the state that was accepted last.
-        earlier_chosen: the newest state known to be chosen, where that is not `accepted_state`.
+        earlier_chosen: the newest state known to be chosen, if that is not `accepted_state`.
         is_accepted_chosen: whether `accepted_state` is the newest state known to be chosen.
-        version: climbs with each change, so that an older record is never written over a newer one.
+        version: increases with each change, so that an older record never overwrites a newer one.
     """
 
     ip: int
@@ -100,21 +101,21 @@
 
 
 class Acceptor:
-    """A replica's part in a ballot.
+    """The acceptor role of a replica.
 
-    An answer may leave only after the record, as it was when the answer was made, is on the disk.  The driver saves
-    `record` and reports it to `on_record_saved`.
+    A reply may be sent only after the record, as it was when the reply was made, is on the disk.  The driver saves
+    `record` and then passes it to `on_record_saved`.
 
     Attributes:
         record: the state of this acceptor, replaced with each change.
         durable_chosen_number: the number of the chosen state on the disk.
         durable_version: the version of the record on the disk; -1 before the first.
-        durable_accepted_number: the number of the accepted state on the disk.  It may go back, as a higher ballot may
-            bring a lower number.
+        durable_accepted_number: the number of the accepted state on the disk.  It may decrease, since a state accepted
+            under a higher ballot may have a lower number.
     """
 
     def __init__(self, record: Record) -> None:
-        """Continue from a record that is on the disk."""
+        """Create an acceptor from a record that is on the disk."""
         self.record = record
         self.durable_chosen_number = 0
         self.durable_version = -1
@@ -137,13 +138,16 @@
         return self.record.chosen_state
 
     def prepare(self, ballot: Ballot, known_number: int = 1) -> bool:
-        """Promise to accept nothing under a lower ballot; return False if that can't be promised.
+        """Promise to accept nothing under a lower ballot.
 
         Args:
             ballot: the ballot to promise.
-            known_number: the number of the newest state that the proposer knows to be chosen; 0 before the founding.
-                A replica that knows a chosen state takes no part in another founding: it may have another disk
-                since, and nothing is left of what it accepted as a seed.
+            known_number: the number of the newest state that the proposer knows to be chosen; 0 before the bootstrap.
+                A replica that knows a chosen state takes no part in another bootstrap: its disk may have been replaced
+                since, and with it the record of what it accepted as a seed.
+
+        Returns:
+            Whether the promise was made.
         """
         if ballot < self.record.promised:
             return False
@@ -171,10 +175,11 @@
         return True
 
     def mark_chosen(self, ballot: Ballot, number: int) -> bool:
-        """Note that the state accepted under a ballot is chosen.
+        """Record that the state accepted under a ballot is chosen.
 
         Returns:
-            Whether that was new: False for another ballot or number, and where a chosen state as new is known.
+            Whether the record changed: False for another ballot or number, and if a chosen state with this number or a
+            higher one is known already.
         """
         record = self.record
         if record.accepted_state is None or record.accepted_state.number != number:
@@ -187,9 +192,10 @@
         return True
 
     def learn(self, state: State) -> bool:
-        """Take over a state that is known to be chosen; return False if a chosen state as new is known.
+        """Record a state that is known to be chosen; the accepted state stays, as a higher ballot may depend on it.
 
-        What was accepted stays, as a higher ballot may depend on it.
+        Returns:
+            Whether the record changed: False if a chosen state with this number or a higher one is known already.
         """
         chosen = self.chosen_state
         if chosen is not None and chosen.number >= state.number:
@@ -201,7 +207,7 @@
         return True
 
     def on_record_saved(self, record: Record) -> None:
-        """Note that a record is on the disk; records may be reported in any order."""
+        """Update the durable numbers after a record was saved; records may be reported in any order."""
         if record.disk_id != self.disk_id:
             return
         chosen = record.chosen_state
@@ -217,17 +223,17 @@
 
 
 class PrepareReply(Protocol):
-    """An acceptor's answer to Prepare (`transport.messages.Promised`)."""
+    """An acceptor's reply to Prepare (`transport.messages.Promised`)."""
 
     is_granted: bool  #: the ballot is promised, and the promise is on the disk
     disk_id: int  #: the identity of the disk
     promised_ballot: Ballot  #: the highest ballot that was promised
     accepted_ballot: Ballot  #: the ballot of `accepted_state`
-    accepted_state: State | None  #: what was accepted last
+    accepted_state: State | None  #: the state that was accepted last
 
 
 class AcceptReply(Protocol):
-    """An acceptor's answer to Accept (`transport.messages.Accepted`)."""
+    """An acceptor's reply to Accept (`transport.messages.Accepted`)."""
 
     is_granted: bool  #: the state is accepted, and on the disk
     disk_id: int  #: the identity of the disk
@@ -235,36 +241,36 @@
 
 
 class NextStep(Enum):
-    """What the driver of a proposal has to do next."""
+    """The next action of the driver of a proposal."""
 
-    WAIT = 0  #: for more answers
+    WAIT = 0  #: wait for more replies
     PREPARE = 1  #: send Prepare to `take_prepare_targets()`
     ACCEPT = 2  #: send Accept with `proposed_state` to `accept_targets()`
     CHOSEN = 3  #: `proposed_state` is chosen
-    PREEMPTED = 4  #: give up: `highest_ballot` was promised elsewhere
+    PREEMPTED = 4  #: abandon the ballot: an acceptor has promised `highest_ballot`
 
 
 class Proposal:
-    """A proposer's part in one ballot.
+    """The proposer role in one ballot.
 
     Attributes:
-        ballot: the ballot, used by nobody else.
+        ballot: the ballot, unique to this proposal.
         known_state: the newest state that the proposer knows to be chosen, or the initial state.
         highest_accepted_state: the state accepted under the highest ballot among the promises.
-        highest_accepted_ballot: that ballot.
-        proposed_state: what is to be accepted; None during phase 1.
-        highest_ballot: the highest ballot that an acceptor has answered with.
-        is_finished: whether the proposal was chosen or preempted; later answers count for nothing.
+        highest_accepted_ballot: the ballot of `highest_accepted_state`.
+        proposed_state: the state to be accepted; None during phase 1.
+        highest_ballot: the highest ballot in any reply.
+        is_finished: whether the proposal was chosen or preempted; later replies are ignored.
     """
 
     def __init__(self, ballot: Ballot, known_state: State, change: Callable[[State], State]) -> None:
         """Begin a ballot.
 
         Args:
-            ballot: a ballot that nobody has used.
+            ballot: an unused ballot.
             known_state: the newest state that the proposer knows to be chosen, or the initial state.
-            change: called once with the base; returns the state to propose.  To return the base itself is to have it
-                accepted anew, and so confirmed.
+            change: called once with the base; returns the state to propose.  If it returns the base itself, the base is
+                accepted again, which confirms it.
         """
         self.ballot = ballot
         self.known_state = known_state
@@ -280,25 +286,25 @@
 
     @property
     def base(self) -> State:
-        """The state to be changed, as far as the promises show."""
+        """The state to change, according to the promises received so far."""
         accepted = self.highest_accepted_state
         if accepted is not None and accepted.number >= self.known_state.number:
             return accepted
         return self.known_state
 
     def take_prepare_targets(self) -> list[int]:
-        """Return the addresses of voters that were not returned before, ascending."""
+        """Return the addresses of the voters that no earlier call has returned, ascending."""
         targets = sorted({voter.ip for voter in self.base.all_voters()} - self._prepared_ips)
         self._prepared_ips |= set(targets)
         return targets
 
     def accept_targets(self) -> list[int]:
-        """Return the addresses of all whose acceptance counts, ascending."""
+        """Return the addresses of all voters whose acceptance counts, ascending."""
         proposed = self.proposed_state.all_voters() if self.proposed_state is not None else []
         return sorted({voter.ip for voter in (*self.base.all_voters(), *proposed)})
 
     def on_prepare_reply(self, ip: int, reply: PrepareReply) -> NextStep:
-        """Take in the answer to Prepare of the replica at that address."""
+        """Process the reply to Prepare from the replica at `ip`, and return the next step."""
         if self.is_finished or self.proposed_state is not None:
             return NextStep.WAIT
         if not reply.is_granted:
@@ -316,7 +322,7 @@
         return NextStep.ACCEPT
 
     def on_accept_reply(self, ip: int, reply: AcceptReply) -> NextStep:
-        """Take in the answer to Accept of the replica at that address."""
+        """Process the reply to Accept from the replica at `ip`, and return the next step."""
         if self.is_finished or self.proposed_state is None:
             return NextStep.WAIT
         if not reply.is_granted:
@@ -328,9 +334,9 @@
         return NextStep.CHOSEN
 
     def _shows_known_state(self) -> bool:
-        """Return whether a promise shows what is known to be chosen; without one, the promises are no quorum yet."""
-        shown = self.highest_accepted_state.number if self.highest_accepted_state is not None else 0
-        return shown >= self.known_state.number
+        """Return whether a promise shows a state as new as the known chosen one; until then there is no quorum."""
+        highest_number = self.highest_accepted_state.number if self.highest_accepted_state is not None else 0
+        return highest_number >= self.known_state.number
 
     def _preempt(self, promised: Ballot) -> NextStep:
         self.highest_ballot = max(self.highest_ballot, promised)
--- a/mapleline/balancer/control/control_plane.py
+++ b/mapleline/balancer/control/control_plane.py
@@ -1,4 +1,4 @@
-"""One node's control plane: joins its replica, the proposer, the read lease and the fetching of newer state.
+"""One node's control plane: connects its replica, the proposer, the read lease and the fetching of newer state.
 
 Design: docs/design/control.md.
 """
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlPlaneCallbacks:
-    """What the control plane notifies its node of, and asks it for."""
+    """The node's functions that the control plane calls."""
 
-    on_state_committed: Callable[[State | None], None]  #: with the state that was in force before
-    on_state_learned: Callable[[], None]  #: send the new state's number to the nodes that learn of it from this one
+    on_state_committed: Callable[[State | None], None]  #: called with the previous state after a new one is in force
+    on_state_learned: Callable[[], None]  #: advertises the new state's number to the nodes that learn it from this one
     export_endpoints: Callable[[], EndpointListCopy]
     import_endpoints: Callable[[float, bytes], None]
 
@@ -58,7 +58,7 @@
     """The replicated control state as one node sees it, and this node's part in deciding it."""
 
     def __init__(self, context: NodeContext, callbacks: ControlPlaneCallbacks) -> None:
-        """Create the parts; nothing is read or sent before `load` and `start`."""
+        """Create the parts; the disk is read in `load`, and messages are sent from `start` on."""
         self.context = context
         self._callbacks = callbacks
         self.audit = AuditRecorder(context.environment)
@@ -72,13 +72,13 @@
         self._prober = LeaseProber(context, self.committed, self.replica, self.monitor, self._fetcher)
 
     def load(self) -> None:
-        """Read what an earlier incarnation left on the disk."""
+        """Load the state that an earlier incarnation left on the disk."""
         state = self.replica.load()
         if state is not None:
             self._commit(state)
 
     def start(self) -> None:
-        """Begin to query the replicas; on a node with a disk also to propose and to repair its files."""
+        """Start querying the replicas and, on a node with a disk, proposing and repairing its files."""
         self._prober.tick()
         if self.replica.store is not None:
             self._proposer.tick()
@@ -92,15 +92,15 @@
         return self.committed.state
 
     def current_as_of(self) -> float:
-        """Return the moment on this node's clock before which every chosen state is known here."""
+        """Return the time on this node's clock, in seconds, up to which all chosen states are known here."""
         return self._prober.current_as_of()
 
     def acquire_read_lease(self, timeout_s: float = ACQUIRE_TIMEOUT_S) -> Deferred[bool]:
-        """Fire with whether everything that was chosen before this call is known here."""
+        """Fire with whether every state that was chosen before this call is known here; False after the timeout."""
         return self._prober.acquire_read_lease(timeout_s)
 
     def status(self) -> dict[str, object]:
-        """Return what `GET /status` says of the control state."""
+        """Return the control state's part of `GET /status`."""
         state = self.committed.state
         replica = self.replica
         acceptor = replica.acceptor if replica.disk_id else None
@@ -125,28 +125,28 @@
         return self._router.submit(command, body, timeout_s)
 
     def remove_replica(self, ip: int, timeout_s: float) -> Deferred[CommandResult]:
-        """Remove a replica whose machine is gone for good; refused while it is alive."""
+        """Remove a replica whose machine is permanently lost; refused while the machine is alive."""
         alive_ips = {member.ip for member in self.context.membership.alive(self.context.now())}
         if ip in self.committed.voter_ips() and ip in alive_ips:
             return succeed(CommandResult(CommandStatus.CONFLICT, "it is there: stop it first"))
         return self.submit_command(RemoveReplica(ip), None, timeout_s)
 
-    # -- messages of other nodes -------------------------------------------------------------------------------
+    # -- messages from other nodes -----------------------------------------------------------------------------
 
     def handle_advertised_number(self, ip: int, number: int, now: float) -> None:
-        """Take notice of the number of the state that another node's heartbeat names."""
+        """Process the state number in another node's heartbeat."""
         self._fetcher.handle_advertised_number(ip, number, now)
 
     def handle_state_query(self, ip: int, query: StateQuery) -> None:
-        """Answer what is known and accepted here."""
+        """Reply to another node's query with the states known and accepted here."""
         self._prober.handle_query(ip, query)
 
     def handle_state_report(self, ip: int, report: StateReport) -> None:
-        """Take in the answer to a query of this node."""
+        """Process the reply to a query of this node."""
         self._prober.handle_report(ip, report)
 
     def handle_call(self, call: Call) -> Reply | Deferred[Reply]:
-        """Answer a call of another node, where the disk or other replicas are waited for by a Deferred."""
+        """Reply to another node's call; with a Deferred if the reply waits for the disk or for other replicas."""
         match call:
             case Prepare():
                 return self.replica.prepare(call)
@@ -164,12 +164,12 @@
     # -- chosen states -----------------------------------------------------------------------------------------
 
     def _adopt(self, state: State) -> None:
-        """Keep a state that another node, or a ballot from here, has shown to be chosen."""
+        """Save and commit a state that another node, or a ballot of this node, has shown to be chosen."""
         self.replica.learn_state(state)
         self._commit(state)
 
     def _commit(self, state: State) -> None:
-        """Put a chosen state in force, if it is newer than the one that is."""
+        """Put a chosen state in force, if it is newer than the present one."""
         previous = self.committed.state
         if not self.committed.is_newer(state):
             return
@@ -195,7 +195,7 @@
         )
 
     def _repair_disk(self) -> None:
-        """Compare the disk with the committed state, and set the timer of the next comparison."""
+        """Repair this node's files, and schedule the next repair."""
         jitter = self.context.rng.uniform(1 - REPAIR_JITTER, 1 + REPAIR_JITTER)
         self.context.reactor.callLater(REPAIR_INTERVAL_S * jitter, self._repair_disk)
         self.replica.repair()
--- a/mapleline/balancer/control/errors.py
+++ b/mapleline/balancer/control/errors.py
@@ -8,7 +8,7 @@
 
 
 class CorruptFileError(ControlError):
-    """A file of the replica's folder is torn, empty or foreign; the text says which of these."""
+    """A file of the replica's folder is torn, empty or foreign, or has the wrong content; the text names the fault."""
 
 
 class LegacyFormatError(ControlError):
@@ -16,8 +16,8 @@
 
 
 class MissingContentError(ControlError, KeyError):
-    """A record was to be saved without a configuration that it references; the text names its file."""
+    """A save lacks a configuration that its record references; the text names the configuration's file."""
 
 
 class ReplacedReplicaError(ControlError, OSError):
-    """A record was to be saved under an identity that the folder has given up."""
+    """A save has a disk identity that the folder has abandoned."""
--- a/mapleline/balancer/control/lease_prober.py
+++ b/mapleline/balancer/control/lease_prober.py
@@ -1,6 +1,6 @@
-"""Keeps the read lease fresh: asks the control replicas, at intervals, what they have accepted.
+"""Keeps the read lease fresh: queries the control replicas, at intervals, for the states that they have accepted.
 
-The rule that turns the answers into a lease is in `read_lease`; this is its driver.
+The rule that derives a lease from the reports is in `read_lease`; this module sends the queries and their replies.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
     from .state_fetcher import StateFetcher
 
 QUERY_INTERVAL_S = 1.0
-JITTER = 0.1  # share of the interval
-FAST_QUERY_INTERVAL_S = 0.15  # while the read lease is stale, or a new replica waits for its vote
+QUERY_JITTER = 0.1  # share of the interval
+FAST_QUERY_INTERVAL_S = 0.15  # used while the read lease is stale, or a new replica waits for its vote
 STALE_LEASE_S = 2 * QUERY_INTERVAL_S
-QUERY_TIMEOUT_S = 5.0  # a report that comes later than this counts for nothing
-MAX_RELAYS = 2  # nodes without a disk that are asked while the lease is stale
+QUERY_TIMEOUT_S = 5.0  # later reports are ignored
+MAX_RELAYS = 2  # nodes without a disk that are queried while the lease is stale
 
 ACQUIRE_TIMEOUT_S = 1.5
-REPEAT_AT = (0.15, 0.4, 0.7)  # shares of the time-out after which the replicas are asked again
+REPEAT_SHARES = (0.15, 0.4, 0.7)  # fractions of the timeout after which the replicas are queried again
 
 NONCE_BITS = 30
 NONCE_MASK = 0x7FFFFFFF
@@ -50,14 +50,14 @@
 
 @dataclass(eq=False, slots=True)
 class _Waiter:
-    """Someone who waits for a read lease that is younger than its request."""
+    """A request that waits for a read lease newer than the request itself."""
 
     requested_at: float
     acquired: Deferred[bool]
 
 
 class LeaseProber:
-    """Holds the read lease: sends state queries, answers those of others, notifies who waits for a fresh lease."""
+    """Maintains the read lease: sends state queries, replies to those of others, and notifies waiting requests."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         monitor: ReplicaMonitor,
         fetcher: StateFetcher,
     ) -> None:
-        """Create a prober that has asked nobody yet."""
+        """Create a prober; queries are sent from the first `tick` on."""
         self._context = context
         self._committed = committed
         self._read_lease = ReadLease()
@@ -79,26 +79,26 @@
         self._nonce = context.rng.getrandbits(NONCE_BITS)
 
     def current_as_of(self) -> float:
-        """Return the moment on this node's clock before which every chosen state is known here."""
+        """Return the time on this node's clock, in seconds, up to which all chosen states are known here."""
         return self._read_lease.valid_since(self._committed.state)
 
     def retain_voters(self, state: State) -> None:
-        """Forget the answers of replicas that do not vote any more."""
+        """Drop the reports of replicas that are not voters any more."""
         self._read_lease.retain_voters(state)
 
     def tick(self) -> None:
-        """Query the replicas, and set the timer of the next round: soon while the lease is stale."""
+        """Query the replicas, and schedule the next round, at the fast interval while the lease is stale."""
         now = self._context.now()
-        is_hurried = self._is_stale(now) or self._monitor.has_new_learners(now)
-        if is_hurried:
-            interval = FAST_QUERY_INTERVAL_S
+        is_fast_interval = self._is_stale(now) or self._monitor.has_new_learners(now)
+        if is_fast_interval:
+            interval_s = FAST_QUERY_INTERVAL_S
         else:
-            interval = QUERY_INTERVAL_S * self._context.rng.uniform(1 - JITTER, 1 + JITTER)
-        self._context.reactor.callLater(interval, self.tick)
+            interval_s = QUERY_INTERVAL_S * self._context.rng.uniform(1 - QUERY_JITTER, 1 + QUERY_JITTER)
+        self._context.reactor.callLater(interval_s, self.tick)
         self.send_queries()
 
     def send_queries(self) -> None:
-        """Ask each replica what it has accepted; while the lease is stale, some other nodes as well."""
+        """Query each replica for its accepted state and, while the lease is stale, some nodes without a disk."""
         now = self._context.now()
         targets = self._targets(now)
         self._queries = {
@@ -111,21 +111,21 @@
                 self._send_query(ip, now)
 
     def acquire_read_lease(self, timeout_s: float = ACQUIRE_TIMEOUT_S) -> Deferred[bool]:
-        """Fire with whether everything that was chosen before this call is known here.
+        """Fire with True once every state that was chosen before this call is known here.
 
-        It fires with False after `timeout_s` without a majority of the voters.
+        It fires with False if no majority of the voters has replied after `timeout_s` seconds.
         """
         reactor = self._context.reactor
         waiter = _Waiter(self._context.now(), Deferred())
         self._waiters.append(waiter)
-        for share in REPEAT_AT:
+        for share in REPEAT_SHARES:
             reactor.callLater(timeout_s * share, self._repeat_queries, waiter)
         reactor.callLater(timeout_s, self._time_out, waiter)
         self.send_queries()
         return waiter.acquired
 
     def handle_query(self, ip: int, query: StateQuery) -> None:
-        """Answer another node's query; it says what that node last knew of this disk."""
+        """Reply to another node's query, which contains that node's latest knowledge of this disk."""
         self._replica.check_rollback(ip, query.receiver_disk_id, query.receiver_record_version)
         number = self._committed.number
         staleness_ms = self._staleness_ms()
@@ -149,7 +149,7 @@
         self._context.send(ip, report)
 
     def handle_report(self, ip: int, report: StateReport) -> None:
-        """Take in the answer to a query; if that node has a newer state, it is fetched first."""
+        """Process the reply to a query; if that node has a newer state, that state is fetched first."""
         query = self._queries.pop(report.nonce, None)
         if query is None or query.ip != ip:
             return
@@ -194,14 +194,14 @@
                 self._read_lease.on_agreement(ReplicaId(self._context.local_ip, replica.disk_id), now)
         self._notify_waiters()
 
-    # -- answers -----------------------------------------------------------------------------------------------
+    # -- reports -----------------------------------------------------------------------------------------------
 
     def _staleness_ms(self) -> int:
         staleness_s = self._context.now() - self.current_as_of()
         return int(staleness_s * 1000) + 1 if staleness_s < MAX_REPORTED_STALENESS_S else UNKNOWN_STALENESS_MS
 
     def _is_trusted(self, ip: int, report: StateReport, sent_at: float) -> bool:
-        """Whether a replica's report counts: its disk was not rolled back, as far as it and this node know."""
+        """Return whether a replica's report counts: neither it nor this node knows of a rollback of its disk."""
         if not report.is_verified:
             return False
         reported = ReplicaReport(report.disk_id, report.durable_number, sent_at)
@@ -215,13 +215,13 @@
             self._read_lease.on_relayed_lease(sent_at, report.staleness_ms / 1000)
         self._notify_waiters()
 
-    # -- who waits ---------------------------------------------------------------------------------------------
+    # -- waiting requests --------------------------------------------------------------------------------------
 
     def _notify_waiters(self) -> None:
         current_as_of = self.current_as_of()
-        served = [waiter for waiter in self._waiters if current_as_of >= waiter.requested_at]
+        satisfied = [waiter for waiter in self._waiters if current_as_of >= waiter.requested_at]
         self._waiters = [waiter for waiter in self._waiters if current_as_of < waiter.requested_at]
-        for waiter in served:
+        for waiter in satisfied:
             waiter.acquired.callback(True)
 
     def _repeat_queries(self, waiter: _Waiter) -> None:
--- a/mapleline/balancer/control/migration.py
+++ b/mapleline/balancer/control/migration.py
@@ -1,7 +1,7 @@
 """Reads the folder of the earlier format, in which each register had a file; nothing is written.
 
-What lies there was confirmed by other rules than those of today, so it is no state of a replica: the operator sends
-the configuration anew (docs/balancer/control-plane.md).
+Its content was confirmed under a different protocol, so it is not used as the state of a replica: the operator sends
+the configuration again (docs/balancer/control-plane.md).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 MAGIC = b"mapleline word 1\n"
 
-#: Folder of the data directory that both formats use, and the one that files of the earlier format are moved to.
+#: Folder of the data directory that both formats use, and the folder to which files of the earlier format are moved.
 SHARED_FOLDER = "word"
 LEGACY_FOLDER = "word-1"
 
@@ -31,11 +31,11 @@
 
 
 class LegacyRegister(msgspec.Struct, array_like=True, frozen=True):
-    """One register; of two stamps (version, tie) the higher one won."""
+    """One register; the value with the higher (version, tie) replaced the other."""
 
     key: str
     version: int
-    tie: str
+    tie: str  #: tie-breaker between two values of one version
     body: bytes
 
 
@@ -45,7 +45,7 @@
 
     Attributes:
         entries: all registers, by file name.
-        config: the register of the configuration.
+        config: the register of the configuration; None if there is none.
         evacuated: the evacuated zones, by file name.
     """
 
@@ -55,12 +55,15 @@
 
 
 def is_legacy_file(name: str) -> bool:
-    """Return whether a file of that name is of the earlier format."""
+    """Return whether a file name belongs to the earlier format."""
     return name == CORE_FILE or name.startswith(REGISTER_PREFIX)
 
 
 def load_legacy(data_folder: Path) -> LegacyFolder | None:
-    """Read the registers of a data folder, in use or moved away; None if there are none.
+    """Read the registers of a data folder, from their original place or from where they were moved.
+
+    Returns:
+        The registers; None if there are none.
 
     Raises:
         LegacyFormatError: a file is torn, empty or foreign.
@@ -74,8 +77,8 @@
 
 
 def _read_registers(folder: Path, names: list[str]) -> LegacyFolder:
-    registers = [name for name in names if name != CORE_FILE and not name.endswith(TEMPORARY_SUFFIX)]
-    entries = [_read_register(folder / name) for name in registers]
+    register_files = [name for name in names if name != CORE_FILE and not name.endswith(TEMPORARY_SUFFIX)]
+    entries = [_read_register(folder / name) for name in register_files]
     config = next((entry for entry in entries if entry.key == CONFIG_KEY), None)
     evacuated = [
         entry.key.removeprefix(EVACUATION_KEY_PREFIX)
--- a/mapleline/balancer/control/pending_commands.py
+++ b/mapleline/balancer/control/pending_commands.py
@@ -1,4 +1,4 @@
-"""An operator's command between its arrival and its result."""
+"""An operator's command that is waiting for its result."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 @dataclass(eq=False, slots=True)
 class PendingCommand:
-    """A command that is not decided yet; it may come twice, and is then decided as one."""
+    """A command that is not decided yet; it may arrive twice, which has the effect of one arrival."""
 
     command: Command
-    body: bytes | None  #: of the configuration, for a command that replaces it
-    deadline: float  #: on this node's clock
+    body: bytes | None  #: the configuration's body, for a command that replaces the configuration
+    deadline: float  #: on this node's clock, in seconds
     decided: Deferred[CommandResult] = field(default_factory=Deferred)
 
     @property
     def is_resolved(self) -> bool:
-        """Whether the result is known, or was given up."""
+        """Whether the result is known, or the command has timed out."""
         return self.decided.called
 
     def resolve(self, result: CommandResult) -> None:
-        """Give the result to who waits for it; only the first one counts."""
+        """Fire `decided` with the result; later results are ignored."""
         if not self.is_resolved:
             self.decided.callback(result)
--- a/mapleline/balancer/control/proposer.py
+++ b/mapleline/balancer/control/proposer.py
@@ -1,6 +1,6 @@
 """Proposes commands and changes of the voters to the replicas, one ballot at a time.
 
-The rules of a ballot are in `consensus`; this is their driver: timers, calls, retries and the backoff after a lost
+The rules of a ballot are in `consensus`; this module drives them with timers, calls, retries and a backoff after a lost
 ballot.
 """
 
@@ -31,21 +31,21 @@
 
 CALL_TIMEOUT_S = 1.5
 CALL_RETRY_DELAY_S = 0.15
-BALLOT_TIMEOUT_S = 1.2  # a ballot that found no majority by then is given up
+BALLOT_TIMEOUT_S = 1.2  # a ballot without a majority by then is abandoned
 TICK_INTERVAL_S = 0.25
 TICK_JITTER = 0.1  # share of the interval
-UNDECIDED_TIMEOUT_S = 0.4  # to twice that: then a state accepted here and not known to be chosen is proposed anew
+UNDECIDED_TIMEOUT_S = 0.4  # a state accepted here and not known to be chosen is proposed again after 1 to 2 times this
 MIN_BACKOFF_S = 0.02
-BACKOFF_S = 0.2  # the longest after the first lost ballot; doubled by each more in a row
+BACKOFF_S = 0.2  # upper bound of the backoff after the first lost ballot; doubles with each further loss in a row
 MAX_BACKOFF_S = 1.0
 MAX_COUNTED_LOSSES = 8  # 2 ** n overflows a float for large n
-BACKOFF_MARGIN_S = 0.001  # so that the timer fires after the backoff's end, not at it
-LEASE_LOST_S = 2.5  # without a read lease: two queries at one a second, and one of them lost
+BACKOFF_MARGIN_S = 0.001  # makes the timer fire after the end of the backoff, not exactly at it
+LEASE_LOST_S = 2.5  # age of the read lease that counts as lost: covers two queries 1 s apart, of which one is lost
 SYSTEM_ID_BITS = 31
 
 
 class Proposer:
-    """The queue of commands at this node, and the one ballot that is in progress."""
+    """The queue of commands at this node, and its ballot in progress, of which there is at most one."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         monitor: ReplicaMonitor,
         on_chosen: Callable[[State], None],
     ) -> None:
-        """Create an idle proposer; `on_chosen` is called with each state that a ballot from here has seen chosen."""
+        """Create an idle proposer; `on_chosen` is called with each state that this proposer's ballots got chosen."""
         self._context = context
         self._committed = committed
         self._replica = replica
@@ -63,23 +63,23 @@
         self._on_chosen = on_chosen
         self._queue: list[PendingCommand] = []
         self._proposal: Proposal | None = None
-        self._proposed_commands: list[PendingCommand] = []  #: those in the ballot that is in progress
-        self._results: list[CommandResult] = []  #: theirs, once its state is chosen
+        self._proposed_commands: list[PendingCommand] = []  #: the commands in the ballot in progress
+        self._results: list[CommandResult] = []  #: of `_proposed_commands`, if the proposed state is chosen
         self._highest_round = 0
         self._backoff_until = 0.0
         self._losses = 0  #: ballots lost in a row
-        self._undecided_ballot: Ballot = NO_BALLOT  #: of the state accepted here and not known to be chosen
+        self._undecided_ballot: Ballot = NO_BALLOT  #: ballot of the state accepted here and not known to be chosen
         self._undecided_deadline = 0.0
 
     def enqueue(self, pending: PendingCommand) -> None:
-        """Propose a command from here, with the next ballot."""
+        """Add a command to the queue, to be proposed with the next ballot."""
         if isinstance(pending.command, ReplaceConfiguration) and pending.body is not None:
             self._committed.contents[pending.command.digest] = pending.body
         self._queue.append(pending)
         self.begin_ballot_if_due()
 
     def referenced_contents(self) -> set[int]:
-        """Return the digests of the configurations that commands at hand or the ballot name."""
+        """Return the digests of the configurations that queued commands or the ballot in progress reference."""
         contents = {
             pending.command.digest for pending in self._queue if isinstance(pending.command, ReplaceConfiguration)
         }
@@ -89,13 +89,13 @@
         return contents
 
     def is_without_read_lease(self, now: float) -> bool:
-        """Whether the read lease was lost for so long that an operator had better ask another node."""
+        """Return whether the read lease has been lost for so long that an operator should ask another node."""
         return now - self._monitor.current_as_of() > LEASE_LOST_S
 
     # -- when to propose ---------------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Look for something to propose, and set the timer of the next look."""
+        """Begin a ballot if one is due, and schedule the next check."""
         jitter = self._context.rng.uniform(1 - TICK_JITTER, 1 + TICK_JITTER)
         self._context.reactor.callLater(TICK_INTERVAL_S * jitter, self.tick)
         self.begin_ballot_if_due()
@@ -122,7 +122,7 @@
         return bool(self._monitor.due_voters(state, now))
 
     def _is_undecided_overdue(self, now: float) -> bool:
-        """Whether a state accepted here is not known to be chosen for long: its proposer may be gone."""
+        """Return whether a state accepted here has been undecided for long: its proposer may have failed."""
         record = self._replica.acceptor_record()
         if record is None or record.accepted_state is None or record.accepted_state.number <= self._committed.number:
             return False
@@ -134,12 +134,12 @@
     # -- what to propose ---------------------------------------------------------------------------------------
 
     def _bootstrap(self, base: State) -> State:
-        """Return the system's first state; `base`, if another node's was accepted already."""
+        """Return the system's first state, or `base` if another node's first state was accepted already."""
         system = self._context.rng.getrandbits(SYSTEM_ID_BITS) | 1
         return bootstrap(base, system, self._monitor.bootstrap.initial_voters(self._context.now()))
 
     def _next_state(self, base: State) -> State:
-        """Return what the queued commands make of a state, with the change of the voters that is due."""
+        """Apply the queued commands, and the change of the voters that is due, to the base."""
         is_known_chosen = base == self._committed.state
         self._proposed_commands = [pending for pending in self._queue if not pending.is_resolved]
         commands = [pending.command for pending in self._proposed_commands]
@@ -165,7 +165,7 @@
         own_promise.addCallback(self._receive_own_promise, proposal).addErrback(_log_fault)
 
     def _receive_own_promise(self, reply: object, proposal: Proposal) -> None:
-        """Ask the others once the ballot is on this disk, so that no later incarnation uses it again."""
+        """Send Prepare to the others once the ballot is on this disk, so that no later incarnation reuses it."""
         if isinstance(reply, Promised) and reply.is_granted and proposal is self._proposal:
             self._send_prepares(proposal)
         else:
@@ -179,7 +179,7 @@
             self._call(ip, self._prepare_call(proposal), proposal)
 
     def _send_accepts(self, proposal: Proposal, state: State) -> None:
-        """Send the state, and the body of its configuration where that is new."""
+        """Send the proposed state, with the body of its configuration if that differs from the base's."""
         body = None
         if state.config is not None and state.config != proposal.base.config:
             body = self._committed.contents[state.config.digest]
@@ -187,13 +187,13 @@
             self._call(ip, Accept(proposal.ballot, state, body), proposal)
 
     def _call(self, ip: int, call: Prepare | Accept, proposal: Proposal) -> None:
-        """Send one replica a call of a ballot; it is repeated until it is answered or the ballot is over."""
+        """Send a call of a ballot to one replica, and retry until it replies or the ballot ends."""
         known_versions = dict(self._monitor.highest_versions)
 
         def receive(reply: object) -> None:
             if isinstance(reply, Promised | Accepted) and reply.is_granted:
                 if reply.record_version < known_versions.get((ip, reply.disk_id), 0):
-                    return  # that disk was rolled back: its vote must not count
+                    return  # the replica's disk was rolled back: its vote must not count
                 self._monitor.observe_record_version(ip, reply.disk_id, reply.record_version)
             if isinstance(call, Prepare):
                 self._receive_promise(proposal, ip, reply)
@@ -206,7 +206,7 @@
         self._send(ip, call).addCallbacks(receive, retry_later).addErrback(_log_fault)
 
     def _send(self, ip: int, call: Prepare | Accept) -> Deferred[Any]:
-        # Any: the types of maybeDeferred do not cover a function that returns a reply or a Deferred of one
+        # Any, since the types of maybeDeferred do not cover a function that returns a reply or a Deferred of one
         if ip != self._context.local_ip:
             return self._context.environment.call(ip, call, CALL_TIMEOUT_S)
         if isinstance(call, Prepare):
@@ -221,7 +221,7 @@
         if not isinstance(reply, Promised) or proposal is not self._proposal:
             return
         if not reply.is_granted and not reply.disk_id:
-            return  # that replica has no vote at present
+            return  # the replica has no vote at present
         if reply.accepted_state is not None:
             self._committed.add_body(reply.accepted_state, reply.configuration_body)
         self._take_step(proposal, proposal.on_prepare_reply(ip, reply))
@@ -250,7 +250,7 @@
                 self._give_up(proposal)
 
     def _finish(self, proposal: Proposal, state: State) -> None:
-        """Notify all who accepted that the state is chosen, and resolve its commands."""
+        """Notify the acceptors that the state is chosen, and resolve its commands."""
         self._losses = 0
         self._proposal = None
         chosen = Chosen(proposal.ballot, state.number)
@@ -263,7 +263,7 @@
         self.begin_ballot_if_due()
 
     def _give_up(self, proposal: Proposal) -> None:
-        """End a ballot that was lost or found no majority; the next begins after a random backoff."""
+        """End a ballot that was preempted or found no majority; the next one begins after a random backoff."""
         if proposal is not self._proposal:
             return
         self._proposal = None
@@ -271,8 +271,8 @@
         if self.is_without_read_lease(now) or self._replica.disk_error is not None:
             for pending in self._queue:
                 pending.resolve(CommandResult(CommandStatus.UNCERTAIN))
-        longest_s = min(MAX_BACKOFF_S, BACKOFF_S * 2**self._losses)
-        backoff_s = self._context.rng.uniform(MIN_BACKOFF_S, longest_s)
+        max_backoff_s = min(MAX_BACKOFF_S, BACKOFF_S * 2**self._losses)
+        backoff_s = self._context.rng.uniform(MIN_BACKOFF_S, max_backoff_s)
         self._losses = min(self._losses + 1, MAX_COUNTED_LOSSES)
         self._backoff_until = now + backoff_s
         self._context.reactor.callLater(backoff_s + BACKOFF_MARGIN_S, self.begin_ballot_if_due)
--- a/mapleline/balancer/control/replica.py
+++ b/mapleline/balancer/control/replica.py
@@ -1,4 +1,4 @@
-"""This node's replica of the control state: its acceptor with its disk.  Nothing is answered before it is durable."""
+"""This node's replica of the control state: its acceptor and its disk.  No vote is sent before it is durable."""
 
 from __future__ import annotations
 
@@ -24,32 +24,32 @@
 
 SAVE_RETRY_DELAY_S = 1.0
 DISK_ID_BITS = 31
-NOT_DURABLE = -1  # version of a record of which nothing is on the disk yet
+NOT_DURABLE = -1  # `durable_version` of an acceptor whose record was never saved
 
 VoteReply = Promised | Accepted
 
 
 class LocalReplica:
-    """The acceptor of this node, with its store; a node without a disk votes as a seed at the bootstrap alone."""
+    """The acceptor of this node, with its store; a node without a disk votes only as a seed during the bootstrap."""
 
     def __init__(self, context: NodeContext, committed: CommittedState, on_committed: Callable[[State], None]) -> None:
-        """Create a replica that has read nothing yet.
+        """Create a replica; the disk is not read before `load`.
 
-        `on_committed` is called with a state accepted here, when it is known to be chosen.
+        `on_committed` is called with a state accepted here once it is known to be chosen.
         """
         self._context = context
         self._committed = committed
         self._on_committed = on_committed
         self._rollback_check = RollbackCheck()
-        self._may_bootstrap = context.settings.initial_start  #: may vote on the system's first state
+        self._may_bootstrap = context.settings.initial_start  #: whether it may vote on the system's first state
         self.store = context.environment.snapshot_store()
         self.acceptor: Acceptor | None = None  #: None until the identity of the disk is durable
-        self.disk_error: str | None = None  #: why the disk refused the last save; None after one that succeeded
-        self.is_verified = True  #: the disk has all that it once had, as far as its peers know
+        self.disk_error: str | None = None  #: error of the last save; None after a successful one
+        self.is_verified = True  #: whether peers have confirmed that the disk was not rolled back
 
     @property
     def disk_id(self) -> int:
-        """The identity of the disk; 0 where there is none, or it is not durable yet."""
+        """The identity of the disk; 0 if there is no disk, or its identity is not durable yet."""
         return self.acceptor.disk_id if self.acceptor is not None and self.store is not None else 0
 
     @property
@@ -69,13 +69,13 @@
         return self.acceptor.record if self.acceptor is not None else None
 
     def referenced_contents(self) -> set[int]:
-        """Return the digests of the configurations that the record names."""
+        """Return the digests of the configurations that the record references."""
         return referenced_digests(self.acceptor.record) if self.acceptor is not None else set()
 
     # -- start -------------------------------------------------------------------------------------------------
 
     def load(self) -> State | None:
-        """Read what an earlier incarnation left on the disk; return the newest state that it knew to be chosen."""
+        """Load the record of an earlier incarnation; return the newest state that it knew to be chosen."""
         if self.store is None and not self._may_bootstrap:
             return None
         snapshot = self._read_store()
@@ -105,7 +105,7 @@
         return snapshot
 
     def _reject_store(self, record: Record | None, faults: list[FileFault]) -> None:
-        """Begin as a new replica; whatever was on the disk may have voted, so it takes no part in a bootstrap."""
+        """Continue as a new replica; it takes no part in a bootstrap, as the disk's earlier replica may have voted."""
         if record is not None:
             logger.info("corrupt file", extra={"file": "replica: another machine's, or restored from a dump"})
         # files of the legacy format cast no votes on this system's states
@@ -114,14 +114,14 @@
         self._draw_identity(record.version if record is not None else 0)
 
     def _draw_identity(self, last_version: int) -> None:
-        """Become another replica than whatever was on this disk before: one that has promised nothing."""
+        """Give this disk a new identity: a replica that has made no promise."""
         disk_id = self._context.rng.getrandbits(DISK_ID_BITS) | 1
         acceptor = Acceptor(Record(self._context.local_ip, disk_id, version=last_version + 1))
         acceptor.durable_version = NOT_DURABLE
         self.acceptor = None
         self.is_verified = True
         if self.store is None:
-            self.acceptor = acceptor  # a seed's part in the bootstrap
+            self.acceptor = acceptor  # without a disk, it votes only as a seed during the bootstrap
             return
 
         def adopt(_: object) -> None:
@@ -139,7 +139,13 @@
     # -- rollback of the disk ----------------------------------------------------------------------------------
 
     def check_rollback(self, ip: int, disk_id: int, record_version: int) -> None:
-        """Compare this disk with what a peer last heard of it: its identity, 0 for none, and its record's version."""
+        """Compare this disk with a peer's latest knowledge of it.
+
+        Args:
+            ip: the address of the peer.
+            disk_id: the identity of this disk as the peer knows it; 0 for none.
+            record_version: the highest version of this disk's record that the peer knows.
+        """
         acceptor = self.acceptor
         if acceptor is not None and disk_id and disk_id == self.disk_id and record_version > acceptor.durable_version:
             self._abandon_identity(acceptor, record_version)
@@ -153,7 +159,7 @@
         self.is_verified = self._rollback_check.is_complete(now, peer_sets)
 
     def _abandon_identity(self, acceptor: Acceptor, known_version: int) -> None:
-        """Go on as another replica, without a vote: promises made after the copy was taken are forgotten."""
+        """Continue under a new identity without a vote, since promises made after the copy was taken are lost."""
         logger.info(
             "disk was rolled back", extra={"known_version": known_version, "version_on_disk": acceptor.durable_version}
         )
@@ -161,7 +167,7 @@
         self._draw_identity(acceptor.record.version)
 
     def _peer_sets(self, acceptor: Acceptor) -> list[set[int]]:
-        """Return the other voters of each set that has to agree, by the newest state known, chosen or accepted."""
+        """Return the other voters of each voter set in the newest known state, chosen or accepted."""
         state = self._committed.state or acceptor.chosen_state or acceptor.accepted_state
         if state is None:
             return []
@@ -172,13 +178,13 @@
     # -- the disk ----------------------------------------------------------------------------------------------
 
     def learn_state(self, state: State) -> None:
-        """Save a chosen state, whose contents are all here; nothing waits for the disk."""
+        """Save a chosen state, whose contents must be in `CommittedState.contents`, without waiting for the disk."""
         if self.acceptor is not None and self.store is not None:
             self.acceptor.learn(state)
             self._save_in_background(self.acceptor)
 
     def repair(self) -> None:
-        """Save a committed state that is not durable yet, and check one file, which is rewritten if it is corrupt."""
+        """Save a committed state that is not durable yet, and scrub one file: rewrite it if it is corrupt."""
         acceptor = self.acceptor
         state = self._committed.state
         if self.store is None or acceptor is None:
@@ -190,7 +196,7 @@
         scrubbed.addCallbacks(_log_repair, self._handle_disk_error)
 
     def _save(self, acceptor: Acceptor) -> Deferred[None]:
-        """Fire once the record, as it is now, is on the disk."""
+        """Save the record as it is now; the Deferred fires once it is on the disk."""
         record = acceptor.record
 
         def mark_durable(_: object) -> None:
@@ -214,34 +220,34 @@
     # -- votes -------------------------------------------------------------------------------------------------
 
     def prepare(self, call: Prepare) -> Reply | Deferred[Reply]:
-        """Answer with a promise, once it is on the disk."""
+        """Reply to Prepare; a promise is sent once it is on the disk."""
         acceptor = self._voting_acceptor()
         if acceptor is None:
             return Promised(False, 0)
-        ok = acceptor.prepare(call.ballot, call.known_number)
+        is_granted = acceptor.prepare(call.ballot, call.known_number)
         record = acceptor.record
         state = record.accepted_state
         body = None
         if state is not None and state.config is not None and state.config.digest != call.known_content:
             body = self._committed.contents.get(state.config.digest)
-        version = record.version if ok else 0
-        reply = Promised(ok, record.disk_id, record.promised, record.accepted_ballot, state, body, version)
+        version = record.version if is_granted else 0
+        reply = Promised(is_granted, record.disk_id, record.promised, record.accepted_ballot, state, body, version)
         return self._reply_when_durable(acceptor, reply, Promised(False, 0))
 
     def accept(self, call: Accept) -> Reply | Deferred[Reply]:
-        """Accept a state, once it and its body are on the disk."""
+        """Reply to Accept; an acceptance is sent once the state and its configuration body are on the disk."""
         acceptor = self._voting_acceptor()
         if acceptor is None:
             return Accepted(False, 0)
         if not self._committed.add_body(call.state, call.configuration_body):
             return Accepted(False, acceptor.disk_id, needs_body=True)
-        ok = acceptor.accept(call.ballot, call.state)
+        is_granted = acceptor.accept(call.ballot, call.state)
         record = acceptor.record
-        reply = Accepted(ok, record.disk_id, record.promised, record_version=record.version)
+        reply = Accepted(is_granted, record.disk_id, record.promised, record_version=record.version)
         return self._reply_when_durable(acceptor, reply, Accepted(False, 0))
 
     def handle_chosen(self, message: Chosen) -> None:
-        """Take notice that the state accepted here under a ballot is chosen."""
+        """Record that the state accepted here under a ballot is chosen."""
         acceptor = self.acceptor
         if acceptor is None or not acceptor.mark_chosen(message.ballot, message.state_number):
             return
@@ -250,10 +256,10 @@
             self._on_committed(acceptor.chosen_state)
 
     def _voting_acceptor(self) -> Acceptor | None:
-        """Return the acceptor if its votes may count: with a disk, or as a seed until the bootstrap is over.
+        """Return the acceptor if it may vote: with a disk, or as a seed until the bootstrap is over.
 
-        A node that knows of no state, and has accepted none, takes part in a bootstrap at its first start alone: later
-        its disk may be another one than that which voted.
+        A node that knows no state, and has accepted none, takes part in a bootstrap only at its first start: later, its
+        disk may not be the one that voted.
         """
         acceptor = self.acceptor
         if acceptor is None or not self.is_verified:
@@ -268,12 +274,12 @@
     def _reply_when_durable(
         self, acceptor: Acceptor, reply: VoteReply, rejection: VoteReply
     ) -> Reply | Deferred[Reply]:
-        """Return a refusal at once; a vote fires once it is on the disk, and is a rejection where that fails."""
+        """Return a refusal at once; fire with a vote once it is on the disk, or with `rejection` if the save fails."""
         if not reply.is_granted:
             return reply
 
         def confirm(_: object) -> Reply:
-            # a vote under an identity that was abandoned meanwhile counts for nothing
+            # a vote must not be sent under an identity that was abandoned in the meantime
             return reply if acceptor is self.acceptor else rejection
 
         def reject(reason: Failure) -> Reply:
--- a/mapleline/balancer/control/replica_monitor.py
+++ b/mapleline/balancer/control/replica_monitor.py
@@ -1,4 +1,4 @@
-"""Watches the replicas: what each has said of itself, who coordinates, and which change of the voters is due."""
+"""Monitors the replicas: their reports, the choice of the coordinator, and the change of the voters that is due."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     from .committed_state import CommittedState
     from .replica import LocalReplica
 
-MAX_REPORT_AGE_S = 2.0  # an older report counts for nothing
-NEW_LEARNER_S = 10.0  # for which a replica without a vote is queried often
-MAX_LAG = 8  # states that a learner may be behind: whatever it then accepts is complete
+MAX_REPORT_AGE_S = 2.0  # older reports are ignored
+NEW_LEARNER_S = 10.0  # time for which a replica without a vote is queried at the fast interval
+MAX_LAG = 8  # states that a learner may be behind; any state that it accepts later is complete
 
 
 class ReplicaMonitor:
-    """The replicas as this node knows them."""
+    """Tracks the replicas as this node knows them."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
     ) -> None:
         """Create a monitor without reports.
 
-        `current_as_of` returns the moment before which every chosen state is known here.
+        `current_as_of` returns the time, in seconds, up to which all chosen states are known here.
         """
         self._context = context
         self._committed = committed
@@ -45,70 +45,75 @@
         self.tolerance = FaultTolerance(tolerance.machine_losses, tolerance.zones)
         self._lost_after_s = bounds.contact_window + bounds.catch_up
         self._started_at = context.now()
-        self.highest_versions: dict[tuple[int, int], int] = {}  #: of each replica's record, by address and disk
-        self._reports: dict[int, ReplicaReport] = {}  #: the newest of each, by address
-        self._learners_since: dict[int, float] = {}  #: replicas without a vote, while this node coordinates
-        self._epoch = 0  #: of the voters as they are known here
+        self.highest_versions: dict[tuple[int, int], int] = {}  #: of the records seen, by address and disk
+        self._reports: dict[int, ReplicaReport] = {}  #: the newest report of each replica, by address
+        self._learners_since: dict[
+            int, float
+        ] = {}  #: since when each has had no vote, by address; only while this node coordinates
+        self._epoch = 0  #: the newest epoch of the voters that is known here
         self._epoch_since = 0.0
         self.bootstrap = BootstrapPolicy(context, replica, self._reports, self._started_at)
 
     # -- reports -----------------------------------------------------------------------------------------------
 
     def record_report(self, ip: int, report: ReplicaReport, record_version: int) -> bool:
-        """Record what a replica says of itself; return False if its disk was rolled back."""
+        """Record a replica's report; return False if its disk was rolled back."""
         if not self.observe_record_version(ip, report.disk_id, record_version):
-            return False  # the next query to it names the version that was known
+            return False  # the next query to the replica contains the highest version known here
         if report.asked_at >= self._report(ip).asked_at:
             self._reports[ip] = report
         return True
 
     def observe_record_version(self, ip: int, disk_id: int, version: int) -> bool:
-        """Note the version of a replica's record; return False if that is lower than it once was."""
+        """Record the version of a replica's record; return False if it is lower than an earlier one."""
         highest = self.highest_versions.get((ip, disk_id), 0)
         self.highest_versions[ip, disk_id] = max(highest, version)
         return version >= highest
 
     def last_known(self, ip: int) -> tuple[int, int]:
-        """Return the disk that is known at an address, and the highest version of its record; zeros for none."""
+        """Return the last known disk at an address and the highest version of its record; zeros if unknown."""
         disk_id = self._report(ip).disk_id
         return disk_id, self.highest_versions.get((ip, disk_id), 0)
 
     def _report(self, ip: int) -> ReplicaReport:
         return self._reports.get(ip, NO_REPORT)
 
-    # -- who proposes ------------------------------------------------------------------------------------------
+    # -- choice of the coordinator -----------------------------------------------------------------------------
 
     @property
     def can_propose(self) -> bool:
-        """Whether commands may be forwarded to this node: it has a vote, and its disk takes what it is given."""
+        """Whether commands may be forwarded to this node: it has a vote, and its disk accepts writes."""
         return self._replica.is_voter and self._replica.disk_error is None
 
     def proposers(self, now: float) -> list[Member]:
-        """Return the voters that are alive, in the order in which they are asked to propose."""
+        """Return the voters that are alive and eligible to propose, in the order in which they are asked to."""
         voters = set(self._committed.voter_ips())
-        able = [
+        eligible = [
             member
             for member in self._context.membership.alive(now, MemberFlags.HAS_DISK)
-            if member.ip in voters and self._is_able(member)
+            if member.ip in voters and self._is_eligible(member)
         ]
-        staying = [member for member in able if not member.is_leaving]
-        return sorted(staying or able, key=lambda member: member.ring_position)
+        not_leaving = [member for member in eligible if not member.is_leaving]
+        return sorted(not_leaving or eligible, key=lambda member: member.ring_position)
 
-    def _is_able(self, member: Member) -> bool:
+    def _is_eligible(self, member: Member) -> bool:
         if member.ip == self._context.local_ip:
             return self.can_propose
         return member.can_propose
 
     def coordinator(self, now: float) -> int:
-        """Return the address of the first proposer, so that ballots do not collide; others do no harm."""
+        """Return the address of the first proposer, 0 for none.
+
+        One coordinator avoids colliding ballots; proposals by other nodes are safe.
+        """
         return next((member.ip for member in self.proposers(now)), 0)
 
     def is_coordinator(self, now: float) -> bool:
-        """Whether this node is to see to the change of the voters."""
+        """Return whether this node is the coordinator, which changes the voters."""
         return self._replica.is_voter and self.coordinator(now) == self._context.local_ip
 
     def has_new_learners(self, now: float) -> bool:
-        """Whether this node coordinates, and a replica has had no vote for a short while."""
+        """Return whether this node coordinates and a replica has been without a vote for less than `NEW_LEARNER_S`."""
         state = self._committed.state
         if state is None or not self.is_coordinator(now):
             return False
@@ -126,7 +131,7 @@
     # -- changes of the voters ---------------------------------------------------------------------------------
 
     def due_voters(self, state: State, now: float) -> tuple[Replica, ...] | None:
-        """Return the next set of voters; None where the present one stays, or another node sees to that."""
+        """Return the next set of voters; None if the present one stays, or if this node does not coordinate."""
         if state.epoch != self._epoch:
             self._epoch = state.epoch
             self._epoch_since = now
@@ -151,11 +156,11 @@
         return ReplicaStatus(replica, is_complete, is_leaving, self._unreachable_s(member, now))
 
     def _fresh_report(self, ip: int, state: State, now: float) -> ReplicaReport | None:
-        """Return what is known of a replica at present; None where its report is too old to count."""
+        """Return a replica's report; None if it is too old."""
         if ip == self._context.local_ip:
             return ReplicaReport(self._replica.disk_id, state.number, now) if self._replica.disk_id else None
         report = self._report(ip)
-        # a report from before the last change of the voters may be that of the disk that was replaced
+        # a report from before the last change of the voters may be of the disk that was replaced
         is_fresh = now - report.asked_at < MAX_REPORT_AGE_S and report.asked_at >= self._epoch_since
         return report if report.disk_id and is_fresh else None
 
@@ -166,17 +171,17 @@
         return voter.zone if voter is not None else 0
 
     def _unreachable_s(self, member: Member | None, now: float) -> float:
-        """Return for how long a member has not been heard of; 0 while it is alive."""
+        """Return the seconds since a member's last heartbeat; 0 while it is alive."""
         membership = self._context.membership
         if member is not None and now - member.last_heartbeat <= membership.failure_timeout_s:
             return 0.0
         return now - max(self._started_at, member.last_heartbeat if member is not None else 0.0)
 
     def is_released(self) -> bool:
-        """Whether the others can do without this node, so that it may end.
+        """Return whether this node may exit.
 
-        It has no vote any more; or, where the others could not bear a loss and it keeps its vote, a majority without it
-        has the newest state on its disks.
+        It may exit if it has no vote any more; or, if it keeps its vote because the other voters could not tolerate a
+        loss, once a majority without it has the newest state on its disks.
         """
         state = self._committed.state
         if state is None or not self._replica.is_voter:
@@ -196,7 +201,7 @@
     # -- status ------------------------------------------------------------------------------------------------
 
     def status_rows(self) -> list[dict[str, object]]:
-        """Return each replica's part and progress, as `GET /status` shows them."""
+        """Return each replica's role and progress, as shown by `GET /status`."""
         now = self._context.now()
         state = self._committed.state
         alive = {member.ip: member for member in self._context.membership.alive(now, MemberFlags.HAS_DISK)}
@@ -213,11 +218,11 @@
             disk_id = self._replica.disk_id
             durable_number = acceptor.durable_chosen_number
         if member is None and not is_local:
-            part = "lost"
+            role = "lost"
         elif member is not None and member.is_leaving:
-            part = "leaving"
+            role = "leaving"
         elif voter is not None and disk_id in (0, voter.disk_id):
-            part = "voter"
+            role = "voter"
         else:
-            part = "learner"
-        return {"address": ip_from_int(ip), "part": part, "kept": durable_number}
+            role = "learner"
+        return {"address": ip_from_int(ip), "part": role, "kept": durable_number}
--- a/mapleline/balancer/control/replica_reports.py
+++ b/mapleline/balancer/control/replica_reports.py
@@ -1,4 +1,4 @@
-"""What a machine with a disk has said of its replica."""
+"""The report of a machine with a disk on its replica."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
     disk_id: int  #: the identity of its disk; 0 for none
     durable_number: int  #: number of the newest chosen state on that disk
-    asked_at: float  #: when it was asked, on this node's clock
+    asked_at: float  #: when the query was sent, on this node's clock, in seconds
 
 
 NO_REPORT = ReplicaReport(0, 0, 0.0)
--- a/mapleline/balancer/control/snapshot.py
+++ b/mapleline/balancer/control/snapshot.py
@@ -1,9 +1,10 @@
 """One replica's snapshot on disk: its record, and the configurations that the record references.
 
-A file is framed and checksummed, written under a temporary name, synced, renamed, and its folder synced.  A save writes
-the contents first, then the record that references them, and only then removes what nothing references any more.  So
-what `save` has returned for is there after a loss of power, and until then the record before it is.  A start reads one
-record and the contents it references, however many changes led there.
+Each file is framed and checksummed: it is written under a temporary name, synced and renamed, and then its folder is
+synced.  A save writes the contents first, then the record that references them, and only then removes files that are no
+longer referenced.  After a loss of power, the record of the last save that returned is on the disk; a save that was
+interrupted leaves either its own record or the previous one.  A start reads one record and the contents it references,
+independent of the number of past changes.
 """
 
 from __future__ import annotations
@@ -26,10 +27,10 @@
 from .errors import CorruptFileError, MissingContentError, ReplacedReplicaError
 from .state import content_digest
 
-#: Begins each file; the checksum of the body and its size follow, in a line.
+#: First line of each file; the next line has the CRC-32 of the body (hexadecimal) and its size in bytes.
 MAGIC = b"mapleline word 2\n"
 
-#: Folders of the data directory: the replica's files, and those that were found corrupt.
+#: Folders of the data directory: the replica's files, and the quarantine for corrupt files.
 FOLDER = "word"
 QUARANTINE_FOLDER = "spoilt"
 
@@ -44,12 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FileFault:
-    """A file of the folder that cannot be believed.
+    """An invalid file of the folder.
 
     Attributes:
-        file: its name, or several names.
-        reason: what is wrong with it.
-        is_legacy: whether it only is of the earlier format.
+        file: its name, or several names separated by commas.
+        reason: the fault.
+        is_legacy: whether the only fault is that the file is of the earlier format.
     """
 
     file: str
@@ -57,17 +58,17 @@
     is_legacy: bool = False
 
     def __str__(self) -> str:
-        """Return the fault as one line for people."""
+        """Return the fault as one line of text."""
         return f"{self.file}: {self.reason}"
 
 
 class LoadedSnapshot(NamedTuple):
-    """What a folder holds.
+    """The result of loading a replica's folder.
 
     Attributes:
-        record: the record; None for an empty folder, and where there is any fault.
+        record: the record; None if the folder is empty or has any fault.
         contents: the referenced contents that could be read, by digest.
-        faults: the files that cannot be believed.
+        faults: the invalid files.
     """
 
     record: Record | None
@@ -76,28 +77,28 @@
 
 
 class ReplicaStore(Protocol):
-    """What a replica needs of a disk; every call may wait, and raises OSError where the disk refuses."""
+    """The storage interface of a replica; every call may block, and raises OSError on a disk error."""
 
     def load(self) -> LoadedSnapshot:
         """Read the record and the contents that it references."""
 
     def save(self, record: Record, contents: dict[int, bytes]) -> None:
-        """Return once the record, or a later one of that disk, and the contents it references are durable.
+        """Return once the record, or a later one of the same disk identity, is durable with its referenced contents.
 
         Raises:
-            MissingContentError: a referenced content is neither on the disk nor among `contents`.
-            ReplacedReplicaError: the record is of an identity that the folder has given up.
+            MissingContentError: a referenced content is neither on the disk nor in `contents`.
+            ReplacedReplicaError: the record has an identity that the folder has abandoned.
         """
 
     def quarantine(self) -> None:
-        """Move all files to a folder beside, where they can be looked at."""
+        """Move all files to a sibling folder, for inspection."""
 
     def scrub(self, contents: dict[int, bytes]) -> str | None:
-        """Read one file, the next at each call, and write it anew if it went bad; return its name in that case."""
+        """Check one file, the next at each call, and rewrite it if it is corrupt; return its name in that case."""
 
 
 def sync_folder(folder: Path) -> None:
-    """Make the present names of a folder durable."""
+    """Make the directory entries of a folder durable."""
     descriptor = os.open(folder, FOLDER_FLAGS)
     try:
         os.fsync(descriptor)
@@ -106,7 +107,7 @@
 
 
 def make_folder(folder: Path) -> None:
-    """Create a folder, and those above it, where they are missing; durable, as each is a name in the one above."""
+    """Create a folder and its missing parents, and make them durable by syncing the parent of each."""
     if not folder.is_dir():
         make_folder(folder.parent)
         with suppress(FileExistsError):
@@ -115,7 +116,7 @@
 
 
 def write_file(path: Path, body: bytes) -> None:
-    """Write a framed file: complete and durable, or not at all; a full disk leaves no part of it behind."""
+    """Write a framed file atomically and durably; on an error, such as a full disk, the partial file is removed."""
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     try:
         _write_and_sync(temporary, MAGIC + _header(body) + b"\n" + body)
@@ -146,8 +147,8 @@
     """Return the body of a framed file.
 
     Raises:
-        CorruptFileError: it is torn, empty or foreign.
-        OSError: it is missing, or cannot be read.
+        CorruptFileError: the file is torn, empty or foreign.
+        OSError: the file is missing or cannot be read.
     """
     data = path.read_bytes()
     header, _, body = data.removeprefix(MAGIC).partition(b"\n")
@@ -162,20 +163,20 @@
 
 
 class SnapshotStore:
-    """One machine's folder, a `ReplicaStore`.
+    """A `ReplicaStore` in one folder of a machine.
 
-    Saves and scrubs may come from several threads: a slow one must not write an older record over a newer one.
+    Saves and scrubs may run in several threads: a slow thread must not overwrite a newer record with an older one.
 
     Attributes:
-        folder: the replica's files.
+        folder: the folder of the replica's files.
     """
 
     def __init__(self, data_folder: str) -> None:
-        """Use a folder of the data directory; nothing is read or written yet."""
+        """Use the replica folder of a data directory; it is not read or written before the first call."""
         self.folder = Path(data_folder) / FOLDER
         self._lock = threading.Lock()
-        self._record: Record | None = None  #: as it is on the disk
-        self._former_disk_ids: set[int] = set()  #: identities that this folder had, and has given up
+        self._record: Record | None = None  #: the record on the disk
+        self._former_disk_ids: set[int] = set()  #: identities that this folder had and has abandoned
         self._digests: set[int] = set()  #: of the contents on the disk
         self._unreferenced: set[str] = set()  #: files to be removed
         self._last_scrubbed = -1  #: index of the file that was scrubbed last
@@ -184,7 +185,7 @@
         """Read the record and the contents that it references (`ReplicaStore.load`)."""
         make_folder(self.folder)
         for folder in (self.folder, self.folder.parent):
-            sync_folder(folder)  # an earlier process may have been killed between a rename and this
+            sync_folder(folder)  # an earlier process may have been killed between a rename and the sync
         names = sorted(os.listdir(self.folder))
         record, faults = self._load_record(names)
         contents, content_faults = self._load_contents(record)
@@ -218,7 +219,7 @@
             try:
                 body = read_file(self.folder / name)
                 if content_digest(body) != digest:
-                    raise CorruptFileError("another's content")
+                    raise CorruptFileError("content does not match its digest")
                 contents[digest] = body
             except FileNotFoundError:
                 faults.append(FileFault(name, "missing"))
@@ -243,15 +244,15 @@
             self._remove(map(content_file, removed))
 
     def _is_saved(self, record: Record) -> bool:
-        """Return whether that record, or a later one of its disk, is on the disk."""
+        """Return whether that record, or a later one of the same identity, is on the disk."""
         if record.disk_id in self._former_disk_ids:
-            raise ReplacedReplicaError(errno.ESTALE, "this folder is another replica's by now")
+            raise ReplacedReplicaError(errno.ESTALE, "this folder belongs to another replica identity now")
         saved = self._record
         return saved is not None and saved.disk_id == record.disk_id and saved.version >= record.version
 
     def _write_content(self, digest: int, body: bytes) -> None:
         name = content_file(digest)
-        self._unreferenced.add(name)  # until it is known to be complete
+        self._unreferenced.add(name)  # a failed write leaves it to be removed by the next save
         write_file(self.folder / name, body)
         self._unreferenced.discard(name)
         self._digests.add(digest)
@@ -263,7 +264,7 @@
         self._record = record
 
     def _remove(self, names: Iterable[str]) -> None:
-        """Remove files that nothing references; one that can't be removed is retried at the next save."""
+        """Remove unreferenced files; a file that cannot be removed is retried at the next save."""
         for name in sorted(names):
             try:
                 os.unlink(self.folder / name)
@@ -275,11 +276,11 @@
                 self._unreferenced.discard(name)
 
     def quarantine(self) -> None:
-        """Move all files to a folder beside, those of the earlier format to their own (`ReplicaStore.quarantine`)."""
+        """Move all files away, those of the earlier format to a folder of their own (`ReplicaStore.quarantine`)."""
         with self._lock:
             quarantine = self.folder.with_name(QUARANTINE_FOLDER)
             legacy = self.folder.with_name(migration.LEGACY_FOLDER)
-            shutil.rmtree(quarantine, ignore_errors=True)  # only the newest stays: they must not fill the disk
+            shutil.rmtree(quarantine, ignore_errors=True)  # keep only the newest set, to bound the disk space
             for name in sorted(os.listdir(self.folder)):
                 target = legacy if migration.is_legacy_file(name) else quarantine
                 make_folder(target)
@@ -290,7 +291,7 @@
             self._record = None
 
     def scrub(self, contents: dict[int, bytes]) -> str | None:
-        """Read one file, and write it anew if it went bad (`ReplicaStore.scrub`)."""
+        """Check one file, and rewrite it if it is corrupt (`ReplicaStore.scrub`)."""
         with self._lock:
             if self._record is None:
                 return None
@@ -301,8 +302,8 @@
             if self._is_intact(name, record_body):
                 return None
             body = record_body if name == RECORD_FILE else contents.get(int(name.removeprefix(CONTENT_PREFIX), 16))
-            if body is None:  # newer states are committed, and their record is not on the disk yet
-                raise OSError(errno.EIO, f"{name} went bad, and its body is not held any more")
+            if body is None:  # newer states are committed, but their record is not on the disk yet
+                raise OSError(errno.EIO, f"{name} is corrupt, and its body is no longer in memory")
             write_file(self.folder / name, body)
             return name
 
--- a/mapleline/balancer/control/state_fetcher.py
+++ b/mapleline/balancer/control/state_fetcher.py
@@ -1,4 +1,4 @@
-"""Fetches newer control state, and newer endpoint lists, from the node that has them; serves the same to others."""
+"""Fetches newer control states and endpoint lists from other nodes, and serves them to other nodes."""
 
 from __future__ import annotations
 
@@ -19,8 +19,9 @@
     from .state import State
 
 CALL_TIMEOUT_S = 1.5
-#: before a newer state is fetched from a node that is no control replica: a heartbeat, and the way from the replicas
-REPLICAS_FIRST_S = 0.6
+#: Delay before a newer state is fetched from a node that is not a control replica: covers one heartbeat interval and
+#: the transfer from the replicas.
+REPLICAS_FIRST_DELAY_S = 0.6
 
 
 class EndpointListCopy(NamedTuple):
@@ -35,33 +36,33 @@
 
 @dataclass(frozen=True, slots=True)
 class FetcherCallbacks:
-    """What the fetcher tells the node of, and asks it for."""
+    """The node's functions that the fetcher calls."""
 
-    on_state_fetched: Callable[[State], None]  #: a newer chosen state, whose contents are all here
-    import_endpoints: Callable[[float, bytes], None]  #: the time the platform gave it, and the body
+    on_state_fetched: Callable[[State], None]  #: called with a newer chosen state once its contents are stored here
+    import_endpoints: Callable[[float, bytes], None]  #: called with the time the platform sent the list, and its body
     export_endpoints: Callable[[], EndpointListCopy]
 
 
 class StateFetcher:
-    """One fetch of the state and one of the endpoint list may be in flight at a time."""
+    """Fetches states and endpoint lists; usually at most one fetch of each is in flight."""
 
     def __init__(
         self, context: NodeContext, committed: CommittedState, replica: LocalReplica, callbacks: FetcherCallbacks
     ) -> None:
-        """Create a fetcher that has heard of nothing newer yet."""
+        """Create a fetcher without a fetch in flight."""
         self._context = context
         self._committed = committed
         self._replica = replica
         self._callbacks = callbacks
         self._is_fetching_state = False
         self._is_fetching_endpoints = False
-        self._behind_since: float | None = None  #: when a newer state was first heard of
+        self._behind_since: float | None = None  #: when a newer state was first advertised; None if there is none
 
     def handle_advertised_number(self, ip: int, number: int, now: float) -> None:
         """Fetch the state that another node has advertised, if it is newer.
 
-        It is fetched from the control replicas; from other nodes only after a while, or where no replica is reachable:
-        a slow link must not carry a large configuration to all.
+        It is fetched from the control replicas; from other nodes only after `REPLICAS_FIRST_DELAY_S`, or if no other
+        replica is alive, so that a slow link does not carry a large configuration to every node.
         """
         if number <= self._committed.number:
             return
@@ -69,15 +70,18 @@
             self._behind_since = now
         member = self._context.membership.members.get(ip)
         is_replica = member is not None and member.has_disk
-        if is_replica or not self._has_other_replica(now) or now - self._behind_since > REPLICAS_FIRST_S:
+        if is_replica or not self._has_other_replica(now) or now - self._behind_since > REPLICAS_FIRST_DELAY_S:
             self.fetch_state(ip)
 
     def mark_current(self) -> None:
-        """Take the state that is committed now for the newest, until a newer one is advertised."""
+        """Record that the committed state is the newest one known, until a newer one is advertised."""
         self._behind_since = None
 
     def fetch_state(self, ip: int, on_fetched: Callable[[], None] | None = None) -> None:
-        """Fetch a newer state from a node; with `on_fetched` also while another fetch is in flight."""
+        """Fetch a newer state from a node.
+
+        Without `on_fetched`, nothing is done while another fetch is in flight.
+        """
         if self._is_fetching_state and on_fetched is None:
             return
         self._is_fetching_state = True
@@ -107,7 +111,7 @@
         self._send_fetch(ip, wants_state=False, wants_endpoints=True).addBoth(receive)
 
     def handle_fetch(self, call: FetchState) -> FetchedState:
-        """Answer another node's fetch."""
+        """Reply to another node's fetch."""
         committed = self._committed
         state: State | None = None
         body: bytes | None = None
@@ -135,9 +139,9 @@
             self._callbacks.import_endpoints(fetched_at, reply.endpoints_body)
 
     def _learn(self, state: State, body: bytes | None) -> None:
-        """Take in a chosen state; a replica needs it complete, not as it goes to nodes without a disk."""
-        is_brief = state.config is not None and not state.past
-        if not self._committed.is_newer(state) or (is_brief and self._replica.store is not None):
+        """Apply a chosen state; a node with a disk needs it with its past versions, and ignores one without them."""
+        is_without_past = state.config is not None and not state.past
+        if not self._committed.is_newer(state) or (is_without_past and self._replica.store is not None):
             return
         if self._committed.add_body(state, body):
             self._callbacks.on_state_fetched(state)
