--- a/tests/balancer/control/recovery_cluster.py
+++ b/tests/balancer/control/recovery_cluster.py
@@ -1,7 +1,7 @@
-"""A simulated cluster of control replicas, with an operator who replaces the configuration again and again.
+"""A simulated cluster of control replicas, with an operator who repeatedly replaces the configuration.
 
-Whole nodes run on the clock of `mapleline.simulation`: times are simulated seconds, bytes and calls those of its
-network.
+Complete nodes run on the clock of `mapleline.simulation`: times are simulated seconds, and bytes and calls are counted
+on its network.
 """
 
 import json
@@ -20,25 +20,25 @@
 CONFIGURATION_BYTES = 20_000
 COMMAND_TIMEOUT_S = 4.5
 RETRY_DELAY_S = 0.2
-FORMATION_S = 6.0  # from the first start until there is a committed state
+FORMATION_S = 6.0  # time from the first start in which a state is committed
 MAX_RECOVERY_S = 30
 THREE_MACHINES = {"a1": "a", "a2": "a", "a3": "a"}
 
 
 def configuration_body(version: int) -> bytes:
-    """Return a configuration of four tenants, padded to its size."""
+    """Return a configuration of four tenants, padded to `CONFIGURATION_BYTES`."""
     keys = {f"t{number}": [f"k{number}"] for number in range(1, 5)}
     return json.dumps(configuration(version, keys)).encode().ljust(CONFIGURATION_BYTES)
 
 
 def ring_position(machine):
-    """Return the place in the order in which replicas are asked to propose."""
+    """Return a machine's position in the order in which replicas are asked to propose."""
     return machine.node.membership.local_member.ring_position
 
 
 @dataclass(frozen=True)
 class RecoveryCost:
-    """What it took until a machine had recovered."""
+    """The cost of one recovery: simulated seconds, bytes sent by all machines, and calls made by the machine."""
 
     seconds: float
     bytes: int
@@ -46,7 +46,7 @@
 
 
 class RecoveryCluster:
-    """Machines with a disk, on which the first configuration is in force."""
+    """A cluster of machines with a disk, on which the first configuration is in force."""
 
     def __init__(self, seed: int, zones: dict[str, str] = ZONES) -> None:
         self.world = World(seed, Topology(zones, stateless_per_zone=0))
@@ -62,37 +62,42 @@
     def running(self):
         return [machine for machine in self.machines if machine.is_running]
 
-    def replace_configuration(self, times: int, at=None) -> None:
-        """Replace the configuration so many times, each after the last was acknowledged, at one machine if it runs."""
-        target = self.version + times
-        self._submit_next(target, at)
+    def replace_configuration(self, times: int, preferred_machine=None) -> None:
+        """Replace the configuration `times` times, each after the previous acknowledgement.
+
+        Commands go to `preferred_machine` while it runs, otherwise to the first running machine.
+        """
+        target_version = self.version + times
+        self._submit_next(target_version, preferred_machine)
         deadline = self.world.now + 10 + times
-        while self.version < target:
-            assert self.world.now < deadline, f"{target - self.version} of {times} changes are not acknowledged"
+        while self.version < target_version:
+            assert self.world.now < deadline, f"{target_version - self.version} of {times} changes are not acknowledged"
             self.world.run(0.05)
 
-    def _submit_next(self, target, at) -> None:
+    def _submit_next(self, target_version, preferred_machine) -> None:
         body = configuration_body(self.version + 1)
-        machine = at if at is not None and at.is_running else self.running()[0]
+        machine = (
+            preferred_machine if preferred_machine is not None and preferred_machine.is_running else self.running()[0]
+        )
         command = ReplaceConfiguration(self.version + 1, content_digest(body))
         decided = machine.node.control_plane.submit_command(command, body, COMMAND_TIMEOUT_S)
-        decided.addCallback(self._schedule_next, target, at)
+        decided.addCallback(self._schedule_next, target_version, preferred_machine)
 
-    def _schedule_next(self, result, target, at) -> None:
+    def _schedule_next(self, result, target_version, preferred_machine) -> None:
         is_done = result.status == CommandStatus.DONE
-        self.world.after(0.0 if is_done else RETRY_DELAY_S, self._continue, is_done, target, at)
+        self.world.after(0.0 if is_done else RETRY_DELAY_S, self._continue, is_done, target_version, preferred_machine)
 
-    def _continue(self, is_done, target, at) -> None:
+    def _continue(self, is_done, target_version, preferred_machine) -> None:
         self.version += is_done
-        if self.version < target:
-            self._submit_next(target, at)
+        if self.version < target_version:
+            self._submit_next(target_version, preferred_machine)
 
     def newest_number(self) -> int:
         states = [machine.node.control_plane.state for machine in self.running()]
         return max(state.number for state in states if state is not None)
 
     def is_recovered(self, machine) -> bool:
-        """Whether it is a voter, and what all others have committed is on its disk."""
+        """Return whether a machine is a voter and has the newest state committed anywhere on its disk."""
         if not machine.is_running or machine.node.control_plane.state is None:
             return False
         if not machine.node.member_flags() & MemberFlags.CAN_PROPOSE:
@@ -105,7 +110,7 @@
         return chosen.number == self.newest_number() and chosen.config.version == self.version
 
     def recover(self, machine) -> RecoveryCost:
-        """Start a machine, and run until it has recovered."""
+        """Start a machine, run until it has recovered, and return the cost."""
         network = self.world.network
         started_at = self.world.now
         bytes_before = sum(network.bytes_sent.values())
@@ -120,15 +125,23 @@
 
 
 class RolledBackReplica:
-    """A machine whose disk is put back as it was a hundred changes ago, and what it does under the old identity."""
+    """A machine whose disk is restored to its content of 100 changes ago.
+
+    It records the votes and ballots under the restored identity.
+
+    Attributes:
+        old_disk_id: the identity of the restored disk.
+        votes: votes under that identity, as (simulated seconds, reply).
+        ballots: ballots under that identity, as (simulated seconds, call).
+    """
 
     def __init__(self, cluster: RecoveryCluster, machine) -> None:
         self._world = cluster.world
         disk = machine.disk
         record, contents = disk.record, dict(disk.contents)
         self.old_disk_id = record.disk_id
-        self.votes = []  # when, and which reply
-        self.ballots = []  # when, and which call
+        self.votes = []
+        self.ballots = []
         cluster.replace_configuration(100)
         machine.kill()
         disk.record, disk.contents = record, contents
@@ -137,16 +150,16 @@
         machine.start()
 
     def listen(self, fence, on_datagram, on_call):
-        """Listen as the machine does, and watch the replies to calls."""
-        self._listen(fence, on_datagram, lambda call: maybeDeferred(on_call, call).addCallback(self._watch_reply))
+        """Listen as the machine does, and record votes among the replies to calls."""
+        self._listen(fence, on_datagram, lambda call: maybeDeferred(on_call, call).addCallback(self._record_vote))
 
     def call(self, ip, message, timeout_s):
-        """Call another machine, and watch the ballots."""
+        """Call another machine, and record the ballots."""
         if isinstance(message, Prepare) and message.ballot.disk_id == self.old_disk_id:
             self.ballots.append((self._world.now, message))
         return self._call(ip, message, timeout_s)
 
-    def _watch_reply(self, reply):
+    def _record_vote(self, reply):
         is_vote = isinstance(reply, Promised | Accepted) and reply.is_granted
         if is_vote and reply.disk_id == self.old_disk_id:
             self.votes.append((self._world.now, reply))
--- a/tests/balancer/control/simulated_os.py
+++ b/tests/balancer/control/simulated_os.py
@@ -1,4 +1,4 @@
-"""Stands in for `os`: passes calls on to a real folder, and knows what of it outlasts a loss of power."""
+"""A substitute for the module `os` that forwards calls to a real folder and models the files after a loss of power."""
 
 import itertools
 import os
@@ -9,12 +9,12 @@
 RECORDED = ("open", "write", "fsync", "close", "rename", "unlink", "mkdir")
 
 
-class ProcessKilled(BaseException):  # noqa: N818  # no error: nothing may catch it
-    """The process ends here."""
+class ProcessKilled(BaseException):  # noqa: N818  # not an Exception, so that the code under test cannot catch it
+    """The simulated process is killed at this call."""
 
 
 class SimulatedFile:
-    """One file's bytes, whatever its name."""
+    """The content of one file, independent of its name."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -22,26 +22,27 @@
         self.synced_data: bytes | None = None
 
     def possible_data(self) -> set[bytes]:
-        """What is read of it after a loss of power: unsynced bytes are there, in part, or not."""
+        """Return the possible contents after a loss of power: unsynced bytes may be present, partial or absent."""
         if self.synced_data == self.data:
             return {self.data}
         return {self.data, self.data[: len(self.data) // 2], b"", self.synced_data or b""}
 
 
 class SimulatedOs:
-    """The calls of one process, or of several in turn, below a root folder.
+    """Forwards the calls of one process, or of several in sequence, below a root folder.
 
-    A file's bytes are durable from its `fsync` on; each name made, changed or removed is durable by itself, or not at
-    all, until the folder's `fsync`.
+    A file's bytes are durable after its `fsync`.  Until the `fsync` of a folder, each creation, change and removal of a
+    name in it may or may not survive a loss of power, independently of the others.
 
     Attributes:
-        call_count: calls that were made.
-        stop_at: the call, by its count, before which `fault` is raised.
+        call_count: number of calls made.
+        stop_at: number of the call before which `fault` is raised; None for no fault.
         fault: `ProcessKilled`, or an OSError that is raised once.
-        calls: the name of each call, and of the file or folder.
-        visible_names: by folder, its names with a file or a folder, as running processes see them.
-        durable_names: the same, as they are found after a loss of power.
+        calls: for each call, its name and the name of the file or folder.
+        visible_names: by folder, its names with their files or folders, as running processes see them.
+        durable_names: the same, as found after a loss of power.
         pending: by folder, changes of names that are not durable yet.
+        descriptors: the open files and folders, by file descriptor.
     """
 
     def __init__(self, root: Path) -> None:
@@ -56,16 +57,20 @@
         self.descriptors: dict[int, object] = {}
 
     def __getattr__(self, name):
-        real = getattr(os, name)
+        real_call = getattr(os, name)
         if name not in RECORDED:
-            return real
+            return real_call
 
-        def call(first, *more, **fields):
+        def call(path_or_descriptor, *args, **kwargs):
             self._stop_if_due()
             self.call_count += 1
-            target = self.descriptors[first] if isinstance(first, int) else Path(first)
-            result = real(first, *more, **fields)
-            getattr(self, f"_on_{name}")(first, result, *more)
+            target = (
+                self.descriptors[path_or_descriptor]
+                if isinstance(path_or_descriptor, int)
+                else Path(path_or_descriptor)
+            )
+            result = real_call(path_or_descriptor, *args, **kwargs)
+            getattr(self, f"_on_{name}")(path_or_descriptor, result, *args)
             self.calls.append((name, getattr(target, "name", "")))
             return result
 
@@ -126,7 +131,7 @@
         self._change_name(path.parent, "link", path.name, path)
 
     def folders_after_power_loss(self):
-        """Each replica's folder that may be found, as names with their bytes; None: it isn't there."""
+        """Yield each possible content of the replica's folder, as bytes by name; None if the folder is missing."""
         folder = self.root / FOLDER
         pending_in_root = self.pending.get(self.root, [])
         if folder.name not in self.durable_names[self.root]:
@@ -134,9 +139,9 @@
         if folder.name not in self.durable_names[self.root] and not pending_in_root:
             return
         changes = self.pending.get(folder, [])
-        for is_made in itertools.product((False, True), repeat=len(changes)):
+        for survives in itertools.product((False, True), repeat=len(changes)):
             names = dict(self.durable_names.get(folder, {}))
-            for change in itertools.compress(changes, is_made):
+            for change in itertools.compress(changes, survives):
                 _apply_change(names, *change)
             for data in itertools.product(*(file.possible_data() for file in names.values())):
                 yield dict(zip(names, data, strict=True))
--- a/tests/balancer/control/snapshot_case.py
+++ b/tests/balancer/control/snapshot_case.py
@@ -1,4 +1,4 @@
-"""Records of one replica, and a test case with a data folder, for the tests of what is on the disk."""
+"""Records of one replica, and a test case with a data folder, for the tests of files on the disk."""
 
 import json
 import os
@@ -16,43 +16,44 @@
 
 
 def body(version: int, size: int = 0) -> bytes:
-    """A configuration of that version, padded to a size in bytes."""
+    """Return a configuration of that version, padded to `size` bytes."""
     return json.dumps({"config_version": version}).encode().ljust(size)
 
 
 def bodies(*versions: int, size: int = 0) -> dict[int, bytes]:
-    """Configurations by their digests."""
+    """Return the configurations of these versions by digest, each padded to `size` bytes."""
     return {content_digest(body(version, size)): body(version, size) for version in versions}
 
 
 def body_file(version: int) -> str:
-    """The name of the file that holds the configuration of that version."""
+    """Return the name of the file with the configuration of that version."""
     return content_file(content_digest(body(version)))
 
 
 def state(number: int, version: int, size: int = 0) -> State:
-    """A state of three voters, in which the configuration of that version is in force."""
+    """Return a state with three voters in which the configuration of that version is in force."""
     voters = (Replica(IP, DISK_ID), Replica(2, 8), Replica(3, 9))
     config = ConfigurationRef(version, content_digest(body(version, size)))
     return State(number, SYSTEM, 1, voters, config=config)
 
 
 class Step(NamedTuple):
-    """A record, and the contents that are given to a save beside it."""
+    """The arguments of one save: a record and contents by digest."""
 
     record: Record
     contents: dict[int, bytes]
 
 
 def accepted(number: int, chosen: State | None = None, size: int = 0) -> Record:
-    """A record whose version, round, state and configuration have one number."""
+    """Return a record whose version, round, state and configuration all have the same number."""
     ballot = Ballot(number, 1, 1)
     return Record(IP, DISK_ID, ballot, ballot, state(number, number, size), chosen, version=number)
 
 
 FIRST, SECOND, THIRD, NINTH = (Ballot(1, 1, 1), Ballot(2, 1, 1), Ballot(3, 2, 1), Ballot(9, 2, 1))
 
-#: what one replica goes through: founded, a change accepted, chosen, two at once, a promise alone, back to no body
+#: Successive saves of one replica: an empty record, a state accepted, the same chosen, a second state accepted, a
+#: promise only, a newer chosen state learnt, and a further state accepted.
 STEPS = [
     Step(Record(IP, DISK_ID, version=0), {}),
     Step(Record(IP, DISK_ID, FIRST, FIRST, state(1, 1), version=1), bodies(1)),
@@ -65,23 +66,23 @@
 
 
 class FolderCase(unittest.TestCase):
-    """A data folder in a temporary one."""
+    """A test case with a data folder in a temporary folder."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
         self.state_folder = self.folder / FOLDER
-        unsynced = mock.patch.object(os, "fsync")  # who asks for it, and when, is seen by `SimulatedOs`
-        unsynced.start()
-        self.addCleanup(unsynced.stop)
+        fsync_patch = mock.patch.object(os, "fsync")  # not needed here: `SimulatedOs` checks the order of syncs
+        fsync_patch.start()
+        self.addCleanup(fsync_patch.stop)
 
     def listed(self) -> list[str]:
-        """The names in the replica's folder."""
+        """Return the sorted names in the replica's folder."""
         return sorted(path.name for path in self.state_folder.iterdir())
 
     def store_after(self, last_step: int) -> SnapshotStore:
-        """A store that went through the steps up to that one."""
+        """Return a store after the saves of `STEPS` up to index `last_step`."""
         store = SnapshotStore(str(self.folder))
         store.load()
         for step in STEPS[: last_step + 1]:
@@ -89,5 +90,5 @@
         return store
 
     def loaded(self) -> LoadedSnapshot:
-        """What a new process finds."""
+        """Return the snapshot that a new process loads."""
         return SnapshotStore(str(self.folder)).load()
--- a/tests/balancer/control/test_audit_log.py
+++ b/tests/balancer/control/test_audit_log.py
@@ -1,4 +1,4 @@
-"""The audit log: once each, bounded, and moved away when it cannot be read."""
+"""Tests that the audit log records each change once, stays bounded, and replaces an unreadable database."""
 
 import os
 import tempfile
@@ -38,7 +38,7 @@
             [{"at": 105.0, "key": "config", "version": 4, "acknowledged": True, "took_s": 0.08}],
         )
 
-    def test_rows_and_bytes_are_bounded_however_many_changes_came(self):
+    def test_rows_and_bytes_are_bounded_for_any_number_of_changes(self):
         def size_after(versions: range) -> int:
             for version in versions:
                 self.log.record_change(float(version), "config", version, "t", os.urandom(200))
@@ -60,7 +60,7 @@
         self.assertEqual([row["version"] for row in self.log.history()["word"]], [2])
         self.assertTrue(self.log.path.with_suffix(".bad").exists())
 
-    def test_a_disk_that_refuses_is_reported_as_such(self):
+    def test_a_disk_error_raises_os_error(self):
         self.log.path = self.log.path.parent / "none" / "history.sqlite"
         with self.assertRaises(OSError):
             self.log.history()
--- a/tests/balancer/control/test_consensus_model.py
+++ b/tests/balancer/control/test_consensus_model.py
@@ -1,6 +1,6 @@
-"""The consensus of the control replicas explored: losses, delays, restarts, wiped disks, growth, rivals, in any order.
+"""Explores the consensus of the control replicas under message loss, delay, restarts, wiped disks and rival proposers.
 
-The model is described in `consensus_model`.  Each mutant of the rules has to be found.
+`consensus_model` describes the model.  Each mutant of the consensus rules must be detected.
 """
 
 import unittest
@@ -28,24 +28,24 @@
 
 
 class TestModel(unittest.TestCase):
-    def test_no_history_breaks_a_rule(self):
+    def test_no_random_history_breaks_an_invariant(self):
         search(600)
 
-    def test_hundreds_of_changes_in_a_row(self):
+    def test_long_histories_break_no_invariant(self):
         with mock.patch.object(state, "MAX_PAST_VERSIONS", 6):
             search(2, steps=1500)
 
-    def test_hypothesis_finds_no_history_and_finds_a_mutant(self):
+    def test_hypothesis_finds_no_violation_and_detects_a_mutant(self):
         run_state_machine_as_test(HistoryMachine, settings=HYPOTHESIS_SETTINGS)
         with mutant("a quorum less one"), self.assertRaises(AssertionError):
             run_state_machine_as_test(HistoryMachine, settings=HYPOTHESIS_SETTINGS)
 
-    def test_the_search_finds_each_mutant(self):
+    def test_the_random_search_detects_each_mutant(self):
         for name in MUTANTS.keys() - DIRECTED_HISTORIES.keys():
             with self.subTest(name), mutant(name), self.assertRaises(AssertionError):
                 search(400, steps=120, has_end=False)
 
-    def test_short_histories_hold_and_break_their_mutants(self):
+    def test_directed_histories_break_no_invariant_and_detect_their_mutants(self):
         for name, history in DIRECTED_HISTORIES.items():
             with self.subTest(name):
                 world = history()
--- a/tests/balancer/control/test_migration.py
+++ b/tests/balancer/control/test_migration.py
@@ -1,4 +1,7 @@
-"""The folder of the earlier format: named, never believed, moved away as it is, and its configuration carried over."""
+"""Tests of a folder of the earlier format.
+
+It is reported, never used as a replica's state, and moved away unchanged; its configuration stays readable.
+"""
 
 import json
 
@@ -14,12 +17,12 @@
     def setUp(self):
         super().setUp()
         self.state_folder.mkdir()
-        for key, version, text in (
+        for key, version, register_body in (
             ("config", 7, body(7)),
             ("evacuation/z1", 1, b"begin"),
             ("evacuation/z2", 2, b"finish"),
         ):
-            register = msgspec.msgpack.encode([key, version, "t", text])
+            register = msgspec.msgpack.encode([key, version, "t", register_body])
             self.put("r-" + key.encode().hex(), register)
         self.put("core", msgspec.msgpack.encode({"core": [[1, 0], [2, 1], [3, 2]]}))
         self.files = self.files_of("word")
@@ -32,13 +35,13 @@
         return {path.name: path.read_bytes() for path in (self.folder / folder).iterdir()}
 
     def moved_away(self) -> SnapshotStore:
-        """The store after it has found the folder, and moved it away."""
+        """Return a store after it has loaded the folder and moved it away."""
         store = SnapshotStore(str(self.folder))
         store.load()
         store.quarantine()
         return store
 
-    def test_it_is_read_for_its_configuration_and_a_look_changes_nothing(self):
+    def test_its_configuration_is_readable_and_reading_changes_nothing(self):
         for _ in range(2):
             fault = data_folder.check_archive(self.folder).error
             self.assertIn("earlier format: config 7, evacuated: z1;", fault)
@@ -47,19 +50,19 @@
             self.assertEqual(json.loads(data_folder.dump_archive(self.folder).ok)["mapleline"], 1)
             self.assertEqual(self.files_of("word"), self.files)
 
-    def test_nothing_of_it_is_believed(self):
+    def test_none_of_it_is_loaded_as_a_record(self):
         record, _, faults = SnapshotStore(str(self.folder)).load()
         self.assertEqual((record, len(faults)), (None, 1))
         self.assertIn("earlier format", str(faults[0]))
         self.assertTrue(faults[0].is_legacy)
 
-    def test_it_is_moved_away_as_it_is(self):
+    def test_it_is_moved_away_unchanged(self):
         store = self.moved_away()
         self.assertEqual(self.files_of(migration.LEGACY_FOLDER), self.files)
         store.save(*STEPS[0])
         self.assertEqual(self.loaded(), (STEPS[0].record, {}, []))
 
-    def test_its_configuration_is_to_be_had_until_there_is_one_in_the_new_format(self):
+    def test_its_configuration_is_readable_until_there_is_one_in_the_new_format(self):
         store = self.moved_away()
         store.save(*STEPS[0])
         self.assertIn("beside it word-1, of the earlier format", data_folder.check_archive(self.folder).ok)
@@ -67,9 +70,9 @@
         store.save(*STEPS[2])
         self.assertEqual(data_folder.dump_config(self.folder).ok, body(1).decode())
 
-    def test_a_torn_file_is_reported_as_such(self):
+    def test_a_torn_file_is_reported(self):
         name = "r-" + b"config".hex()
         path = self.state_folder / name
         path.write_bytes(path.read_bytes()[:-1])
-        for tool in (data_folder.check_archive, data_folder.dump_archive, data_folder.dump_config):
-            self.assertIn(f"{name}: torn", tool(self.folder).error)
+        for read_tool in (data_folder.check_archive, data_folder.dump_archive, data_folder.dump_config):
+            self.assertIn(f"{name}: torn", read_tool(self.folder).error)
--- a/tests/balancer/control/test_reconfiguration.py
+++ b/tests/balancer/control/test_reconfiguration.py
@@ -1,4 +1,4 @@
-"""Which change of the voters is due."""
+"""Tests of the decision which change of the voters is due."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 def due(state, *statuses):
-    """The voters that are due where all present ones are complete but for these statuses."""
+    """Return the voters that are due if all present voters are complete, except for the given statuses."""
     by_ip = {voter.ip: ReplicaStatus(voter, is_complete=True) for voter in state.voters}
     by_ip |= {status.replica.ip: status for status in statuses}
     return next_voters(state, by_ip.values(), TOLERANCE, LOST_AFTER_S)
@@ -20,48 +20,48 @@
 class TestNextVoters(unittest.TestCase):
     def setUp(self):
         self.state = state_of(1, 2, 3, 4)
-        self.newcomer = replica(5)
+        self.learner = replica(5)
 
-    def test_nothing_is_due_where_all_is_well(self):
+    def test_no_change_is_due_while_all_voters_are_healthy(self):
         self.assertIsNone(due(self.state))
 
-    def test_a_learner_is_let_in_once_it_is_complete(self):
-        self.assertIsNone(due(self.state, ReplicaStatus(self.newcomer, is_complete=False)))
+    def test_a_learner_is_added_once_it_is_complete(self):
+        self.assertIsNone(due(self.state, ReplicaStatus(self.learner, is_complete=False)))
         self.assertEqual(
-            due(self.state, ReplicaStatus(self.newcomer, is_complete=True)), (*self.state.voters, self.newcomer)
+            due(self.state, ReplicaStatus(self.learner, is_complete=True)), (*self.state.voters, self.learner)
         )
 
-    def test_one_that_is_leaving_is_not_let_in(self):
-        self.assertIsNone(due(self.state, ReplicaStatus(self.newcomer, True, is_leaving=True)))
+    def test_a_leaving_learner_is_not_added(self):
+        self.assertIsNone(due(self.state, ReplicaStatus(self.learner, True, is_leaving=True)))
 
-    def test_nothing_is_due_while_a_change_is_under_way(self):
-        joint = begin_reconfiguration(self.state, (*self.state.voters, self.newcomer))
+    def test_no_change_is_due_while_another_is_in_progress(self):
+        joint = begin_reconfiguration(self.state, (*self.state.voters, self.learner))
         self.assertIsNone(due(joint, ReplicaStatus(replica(6), True)))
 
-    def test_a_voter_with_another_disk_is_replaced_before_all_else(self):
+    def test_a_voter_with_another_disk_is_replaced_first(self):
         replaced = replica(2, disk_id=22)
         expected = {*self.state.voters} - {self.state.voters[1]} | {replaced}
         self.assertEqual(
-            due(self.state, ReplicaStatus(replaced, True), ReplicaStatus(self.newcomer, True)),
+            due(self.state, ReplicaStatus(replaced, True), ReplicaStatus(self.learner, True)),
             tuple(sorted(expected)),
         )
 
-    def test_a_voter_is_removed_once_it_is_lost_for_long(self):
+    def test_a_voter_is_removed_once_it_was_unreachable_for_long(self):
         voter = self.state.voters[0]
         self.assertIsNone(due(self.state, ReplicaStatus(voter, True, unreachable_s=7.9)))
         self.assertEqual(due(self.state, ReplicaStatus(voter, True, unreachable_s=8.1)), self.state.voters[1:])
 
-    def test_a_voter_that_is_leaving_is_removed(self):
+    def test_a_leaving_voter_is_removed(self):
         voter = self.state.voters[3]
         self.assertEqual(due(self.state, ReplicaStatus(voter, True, is_leaving=True)), self.state.voters[:3])
 
-    def test_a_voter_stays_where_the_rest_could_not_bear_a_loss(self):
+    def test_a_voter_stays_if_the_others_could_not_tolerate_a_loss(self):
         state = state_of(1, 2, 3)
         self.assertIsNone(due(state, ReplicaStatus(state.voters[0], True, is_leaving=True)))
 
-    def test_a_zone_never_holds_what_a_majority_needs(self):
+    def test_a_majority_never_depends_on_one_zone(self):
         second_of_zone, third_of_zone = replica(5, zone=4), replica(6, zone=4)
         with_second = due(self.state, ReplicaStatus(second_of_zone, True))
         self.assertEqual(len(with_second), 5)
         state = finish_reconfiguration(begin_reconfiguration(self.state, with_second))
-        self.assertIsNone(due(state, ReplicaStatus(third_of_zone, True)))  # three of six in one zone
+        self.assertIsNone(due(state, ReplicaStatus(third_of_zone, True)))  # three of six voters would be in one zone
--- a/tests/balancer/control/test_recovery.py
+++ b/tests/balancer/control/test_recovery.py
@@ -1,4 +1,7 @@
-"""A control replica that comes back recovers in the same time whatever was changed, and never with old votes."""
+"""Tests the recovery of control replicas after restarts, wiped disks, upgrades and rollbacks of the disk.
+
+The cost of a recovery must not depend on the number of past changes, and a rolled-back replica must never vote.
+"""
 
 import logging
 import unittest
@@ -20,13 +23,13 @@
     ring_position,
 )
 
-STATE_COPIES = 24  # of the state, sent to and fro in two changes of the voters
-MAX_STATE_GROWTH_BYTES = 8000  # from 10 changes to 1,000: a state remembers 512 versions at most
-SEEDS_OF_A_ROLLBACK = range(11, 17)
+STATE_COPIES = 24  # copies of the state that are sent in two changes of the voters
+MAX_STATE_GROWTH_BYTES = 8000  # between 10 and 1,000 changes: a state remembers 512 versions at most
+ROLLBACK_SEEDS = range(11, 17)
 
 
 class RecoveryCase(unittest.TestCase):
-    """Without the log."""
+    """A test case with the log disabled."""
 
     def setUp(self):
         logging.disable(logging.CRITICAL)
@@ -35,7 +38,10 @@
 
 class TestRecovery(RecoveryCase):
     def test_time_bytes_and_calls_do_not_grow_with_the_number_of_changes(self):
-        """After 10, 100, 600 and 1,000: what is fetched is the state, which remembers 512 versions at most."""
+        """Compare recoveries after 10, 100, 600 and 1,000 changes.
+
+        Only the newest state is fetched, and it remembers 512 versions at most.
+        """
         costs: dict[str, list[RecoveryCost]] = {"restarted": [], "wiped": [], "away": []}
         cluster = RecoveryCluster(5)
         state_sizes = []
@@ -60,16 +66,16 @@
                 self.assertLess(after_1000.bytes, 1.5 * after_600.bytes + CONFIGURATION_BYTES)
 
     def recovery_cost(self, cluster, kind, machine):
-        """Return what it takes a machine that was killed, and is at least one change behind, to recover."""
+        """Return the cost of recovery of a machine that was killed and is at least one change behind."""
         machine.kill()
         if kind == "wiped":
             machine.wipe_disk()
         cluster.replace_configuration(1)
         if kind == "away":
-            cluster.world.run(12.0)  # until it has lost its vote
+            cluster.world.run(12.0)  # long enough for it to lose its vote
         return cluster.recover(machine)
 
-    def test_a_replica_that_missed_three_hundred_changes_fetches_the_newest_state_alone(self):
+    def test_a_replica_that_missed_three_hundred_changes_fetches_only_the_newest_state(self):
         cluster = RecoveryCluster(7)
         machine = cluster.machines[0]
         cluster.replace_configuration(2)
@@ -77,10 +83,10 @@
         cluster.replace_configuration(300)
         cost = cluster.recover(machine)
         self.assertLess(cost.seconds, 4.0)
-        self.assertLess(cost.bytes, 12 * CONFIGURATION_BYTES)  # not 300 of them
+        self.assertLess(cost.bytes, 12 * CONFIGURATION_BYTES)  # far fewer than 300 configurations
         self.assertEqual(machine.node.proxy.table.version, 303)
 
-    def test_replicas_that_all_lose_power_after_many_changes_go_on_with_the_last(self):
+    def test_replicas_that_all_lose_power_continue_with_the_last_state(self):
         cluster = RecoveryCluster(8)
         cluster.replace_configuration(200)
         for machine in cluster.machines:
@@ -94,14 +100,14 @@
             cluster.world.run(0.05)
         cluster.replace_configuration(1)
 
-    def test_disks_that_are_lost_one_after_the_other_all_get_their_votes_again(self):
-        """Each is lost as soon as the last has recovered, while its old disk was reported a moment ago."""
+    def test_machines_that_lose_their_disks_in_turn_all_regain_their_votes(self):
+        """Each disk is lost as soon as the previous one has recovered, shortly after a report of the old disk."""
         for seed in range(31, 39):
             with self.subTest(seed=seed):
                 cluster = RecoveryCluster(seed, THREE_MACHINES)
                 cluster.replace_configuration(2)
-                for nth in range(9):
-                    machine = cluster.machines[nth % 3]
+                for index in range(9):
+                    machine = cluster.machines[index % 3]
                     machine.kill()
                     machine.wipe_disk()
                     self.assertLess(cluster.recover(machine).seconds, 6.0)
@@ -110,7 +116,7 @@
 
 class TestUpgrade(RecoveryCase):
     def has_states(self, fault):
-        """Return on which of the machines there is a state, where each finds such a fault in its folder."""
+        """Return the set of answers to whether a machine has a state, if each finds that fault in its folder."""
         world = World(9, Topology(ZONES, stateless_per_zone=0))
         for machine in world.control_replicas:
             machine.disk.load = lambda: LoadedSnapshot(None, {}, [fault])
@@ -119,22 +125,22 @@
         return {machine.node.control_plane.state is not None for machine in world.control_replicas}
 
     def test_machines_with_folders_of_the_legacy_format_bootstrap_a_system(self):
-        """Nothing in these folders has voted on a state of this format."""
+        """Legacy folders contain no vote on a state of the current format."""
         fault = FileFault("core, r-636f6e666967", migration.LEGACY_FAULT, is_legacy=True)
         self.assertEqual(self.has_states(fault), {True})
 
     def test_machines_with_torn_folders_do_not_bootstrap_a_system(self):
-        """What was there may have voted."""
+        """The replica that wrote the folder may have voted."""
         fault = FileFault("core, r-636f6e666967", "torn, empty or foreign")
         self.assertEqual(self.has_states(fault), {False})
 
 
 class TestRollback(RecoveryCase):
-    """A machine whose folder is put back as it was earlier, under the same identity."""
+    """Tests of a machine whose folder is restored from an older copy with the same identity."""
 
-    def test_a_rolled_back_replica_never_votes_or_proposes_and_is_let_in_as_another(self):
-        for seed in SEEDS_OF_A_ROLLBACK:
-            for position in (0, -1):  # the coordinator, and who would be the last to coordinate
+    def test_a_rolled_back_replica_never_votes_or_proposes_and_rejoins_as_a_new_one(self):
+        for seed in ROLLBACK_SEEDS:
+            for position in (0, -1):  # the coordinator, and the last machine in the order of coordinators
                 with self.subTest(seed=seed, position=position):
                     self.check_rollback_of(RecoveryCluster(seed), position)
 
@@ -144,7 +150,7 @@
         machine = sorted(cluster.machines, key=ring_position)[position]
         other = next(other for other in cluster.machines if other is not machine)
         replica = RolledBackReplica(cluster, machine)
-        cluster.replace_configuration(20, at=other)  # ballots go out all the while
+        cluster.replace_configuration(20, preferred_machine=other)  # keeps ballots in flight
         cluster.world.run(8.0)
         self.assertGreater(cluster.world.now, began_at)
         self.assertEqual((replica.votes, replica.ballots), ([], []))
@@ -154,7 +160,7 @@
         voters = cluster.machines[0].node.control_plane.state.voters
         self.assertIn((machine.ip, disk_id), {(voter.ip, voter.disk_id) for voter in voters})
 
-    def test_a_replica_does_not_take_up_the_folder_of_another_machine(self):
+    def test_a_replica_does_not_use_the_folder_of_another_machine(self):
         cluster = RecoveryCluster(13)
         cluster.replace_configuration(5)
         machine, other, *_ = cluster.machines
@@ -165,35 +171,35 @@
         self.assertNotIn(machine.disk.record.disk_id, {other.disk.record.disk_id for other in others})
         self.assertEqual(machine.disk.record.ip, machine.ip)
 
-    def test_without_the_confirmation_of_peers_a_rolled_back_replica_would_vote(self):
+    def test_without_confirmations_of_peers_a_rolled_back_replica_votes(self):
         always_verified = property(lambda self: True, lambda self, value: None)
         without_confirmation = mock.patch.object(LocalReplica, "is_verified", always_verified, create=True)
-        found = []
-        for seed in SEEDS_OF_A_ROLLBACK:
+        old_votes_and_ballots = []
+        for seed in ROLLBACK_SEEDS:
             cluster = RecoveryCluster(seed)
             cluster.replace_configuration(5)
             coordinator = min(cluster.machines, key=ring_position)
             other = next(machine for machine in cluster.machines if machine is not coordinator)
             with without_confirmation, mock.patch.object(LocalReplica, "check_rollback"):
                 replica = RolledBackReplica(cluster, coordinator)
-                cluster.replace_configuration(20, at=other)
-            found += replica.votes + replica.ballots
-        self.assertTrue(found)
+                cluster.replace_configuration(20, preferred_machine=other)
+            old_votes_and_ballots += replica.votes + replica.ballots
+        self.assertTrue(old_votes_and_ballots)
 
-    def test_nothing_acknowledged_is_lost_when_a_replica_that_has_it_fails_during_a_rollback(self):
-        """Of three: the second of two that have the newest state is away while the first comes back with an old one."""
+    def test_no_acknowledged_change_is_lost_if_another_replica_fails_during_a_rollback(self):
+        """Two of three replicas have the newest state: one returns with an old state while the other is down."""
         for seed in range(21, 27):
             with self.subTest(seed=seed):
                 cluster = RecoveryCluster(seed, THREE_MACHINES)
                 cluster.replace_configuration(5)
-                machine, informed, _ = cluster.machines
+                machine, up_to_date_machine, _ = cluster.machines
                 replica = RolledBackReplica(cluster, machine)
                 cluster.world.run(0.3)
-                informed.kill()
+                up_to_date_machine.kill()
                 newest = cluster.version
                 cluster.world.run(4.0)
                 self.assertEqual((replica.votes, replica.ballots), ([], []))
-                informed.start()
+                up_to_date_machine.start()
                 cluster.world.run(5.0)
                 cluster.replace_configuration(1)
                 self.assertEqual(cluster.version, newest + 1)
--- a/tests/balancer/control/test_rollback_check.py
+++ b/tests/balancer/control/test_rollback_check.py
@@ -1,4 +1,4 @@
-"""When a restarted replica may vote, by what its peers have confirmed."""
+"""Tests when a restarted replica may vote, depending on the confirmations of its peers."""
 
 import unittest
 
@@ -18,7 +18,7 @@
     def test_without_peers_it_is_complete(self):
         self.assertTrue(self.check.is_complete(STARTED_AT, []))
 
-    def test_half_of_the_peers_are_too_few_as_long_as_the_others_may_answer(self):
+    def test_half_of_the_peers_are_enough_only_after_the_maximum_wait(self):
         self.check.record_confirmation(2, STARTED_AT)
         self.assertFalse(self.check.is_complete(STARTED_AT + MAX_WAIT_S, [{2, 3}]))
         self.assertTrue(self.check.is_complete(STARTED_AT + MAX_WAIT_S + 0.01, [{2, 3}]))
--- a/tests/balancer/control/test_snapshot.py
+++ b/tests/balancer/control/test_snapshot.py
@@ -1,4 +1,4 @@
-"""A replica's snapshot on disk: durable once it is saved, and never believed when it is corrupt."""
+"""Tests that a replica's snapshot on disk is durable once saved, and that a corrupt one is never loaded."""
 
 import errno
 import os
@@ -33,7 +33,7 @@
 
 
 class TestSaveOrder(FolderCase):
-    def test_contents_then_the_record_each_synced_with_its_folder_and_then_what_nothing_references_goes(self):
+    def test_contents_are_written_before_the_record_and_unreferenced_files_removed_last(self):
         store = self.store_after(3)
         simulated_os = SimulatedOs(self.folder)
         files = {path.name: SimulatedFile(path.name) for path in self.state_folder.iterdir()}
@@ -60,29 +60,29 @@
 
 
 class TestFullDisk(FolderCase):
-    def test_a_refusal_at_each_call_leaves_nothing_half_written_and_the_next_save_works(self):
-        """As it is with a full disk, one after the other: no space, or the sync says that it could not."""
-        first, last = self.calls_of_saves()
-        for at in range(first, last):
-            with self.subTest(at=at), tempfile.TemporaryDirectory() as root:
+    def test_a_failure_at_any_call_leaves_no_partial_file_and_the_next_save_works(self):
+        """Each call in turn fails once with "no space left", as a write or a sync does on a full disk."""
+        first_call, last_call = self.call_range_of_saves()
+        for call_number in range(first_call, last_call):
+            with self.subTest(call_number=call_number), tempfile.TemporaryDirectory() as root:
                 simulated_os = SimulatedOs(Path(root))
-                simulated_os.stop_at, simulated_os.fault = at, no_space()
-                self.check_refused_once(root, simulated_os)
+                simulated_os.stop_at, simulated_os.fault = call_number, no_space()
+                self.check_save_fails_once(root, simulated_os)
 
-    def calls_of_saves(self) -> tuple[int, int]:
-        """The counts of calls before the first save, and after the last one."""
+    def call_range_of_saves(self) -> tuple[int, int]:
+        """Return the number of calls before the first save, and after the last one."""
         with tempfile.TemporaryDirectory() as root:
             simulated_os = SimulatedOs(Path(root))
             with mock.patch.object(snapshot, "os", simulated_os):
                 store = SnapshotStore(root)
                 store.load()
-                first = simulated_os.call_count
+                first_call = simulated_os.call_count
                 for step in STEPS:
                     store.save(*step)
-            return first, simulated_os.call_count
+            return first_call, simulated_os.call_count
 
-    def check_refused_once(self, root: str, simulated_os: SimulatedOs) -> None:
-        refused, acknowledged = 0, None
+    def check_save_fails_once(self, root: str, simulated_os: SimulatedOs) -> None:
+        failure_count, acknowledged = 0, None
         with mock.patch.object(snapshot, "os", simulated_os):
             store = SnapshotStore(root)
             store.load()
@@ -91,21 +91,21 @@
                     store.save(record, contents)
                     acknowledged = record
                 except OSError:
-                    refused += 1
+                    failure_count += 1
                     names = os.listdir(store.folder)
                     self.assertEqual([name for name in names if name.endswith(".new")], [])
                     found, found_contents, faults = SnapshotStore(root).load()
                     self.assertEqual(faults, [])
                     self.assertIn(found, (acknowledged, record))
                     self.assertEqual(set(found_contents), referenced_digests(found) if found is not None else set())
-        self.assertLessEqual(refused, 1)
+        self.assertLessEqual(failure_count, 1)
         last_record = msgspec.structs.replace(STEPS[-1].record, version=len(STEPS))
         store.save(last_record, STEPS[-1].contents)
         self.assertEqual(SnapshotStore(root).load(), (last_record, STEPS[-1].contents, []))
-        wanted = {RECORD, *map(snapshot.content_file, STEPS[-1].contents)}
-        self.assertEqual(set(os.listdir(Path(root) / "word")), wanted)
+        expected = {RECORD, *map(snapshot.content_file, STEPS[-1].contents)}
+        self.assertEqual(set(os.listdir(Path(root) / "word")), expected)
 
-    def test_a_disk_that_stays_full_fills_no_further_with_each_attempt(self):
+    def test_repeated_attempts_on_a_full_disk_use_no_further_space(self):
         store = self.store_after(2)
         before = self.listed()
         with mock.patch.object(snapshot.os, "fsync", side_effect=no_space()):
@@ -119,7 +119,7 @@
 
 
 class TestSlowThreads(FolderCase):
-    def test_no_older_record_is_written_over_a_newer_one(self):
+    def test_an_older_record_never_overwrites_a_newer_one(self):
         store = self.store_after(4)
         store.save(*STEPS[2])
         self.assertEqual(self.loaded()[:2], STEPS[4])
@@ -132,18 +132,18 @@
         self.assertEqual(self.loaded(), (*saves[-1], []))
         self.assertEqual(len(self.listed()), 2)
 
-    def test_no_record_is_written_of_an_identity_that_was_given_up(self):
+    def test_a_record_of_an_abandoned_identity_is_rejected(self):
         store = self.store_after(3)
         another = Record(IP, DISK_ID + 2)
         store.save(another, {})
-        with self.assertRaises(OSError):  # not silently: its promise would be sent, and be nowhere
+        with self.assertRaises(OSError):  # a silent failure would let an unsaved promise be sent
             store.save(*STEPS[4])
         self.assertEqual(self.loaded(), (another, {}, []))
         self.assertEqual(self.listed(), [RECORD])
 
 
 class TestCorruptFiles(FolderCase):
-    def test_torn_empty_foreign_swapped_and_missing_files_are_named_and_nothing_is_believed(self):
+    def test_torn_empty_foreign_swapped_and_missing_files_are_reported_and_nothing_is_loaded(self):
         self.store_after(3)
         one, two = (self.state_folder / body_file(version) for version in (1, 2))
         for path in (self.state_folder / RECORD, one):
@@ -162,7 +162,7 @@
             path.write_bytes(intact)
 
     def check_corrupt(self, path: Path, corrupt: bytes | None) -> None:
-        """None stands for a missing file."""
+        """Check the reports on a file with these bytes; None for a missing file."""
         path.unlink() if corrupt is None else path.write_bytes(corrupt)
         record, _, faults = self.loaded()
         self.assertEqual((record, len(faults)), (None, 1))
@@ -171,9 +171,9 @@
         found = data_folder.check_archive(self.folder)
         self.assertTrue(found.is_error() and path.name in found.error and "\n" not in found.error)
         if corrupt is not None:
-            self.assertEqual(path.read_bytes(), corrupt)  # a look changes nothing
+            self.assertEqual(path.read_bytes(), corrupt)  # checking must not change the file
 
-    def test_contents_under_each_others_names_are_both_found(self):
+    def test_two_contents_with_swapped_names_are_both_reported(self):
         self.store_after(3)
         one, two = (self.state_folder / body_file(version) for version in (1, 2))
         data_of_one, data_of_two = one.read_bytes(), two.read_bytes()
@@ -182,12 +182,12 @@
         self.assertEqual(self.loaded().record, None)
         self.assertEqual(len(self.loaded().faults), 2)
 
-    def test_a_foreign_file_is_named(self):
+    def test_a_foreign_file_is_reported(self):
         self.store_after(3)
         (self.state_folder / "notes").write_text("not ours")
         self.assertEqual([str(fault) for fault in self.loaded().faults], ["notes: foreign"])
 
-    def test_leftovers_are_harmless_and_go_at_the_next_save(self):
+    def test_leftover_files_are_ignored_and_removed_at_the_next_save(self):
         self.store_after(3)
         (self.state_folder / "replica.new").write_bytes(b"a write that power cut off")
         (self.state_folder / "c-0123456789abcdef").write_bytes(b"torn, and nothing references it")
@@ -199,7 +199,7 @@
         store.save(*STEPS[4])
         self.assertEqual(self.listed(), sorted([RECORD, *map(snapshot.content_file, STEPS[4].contents)]))
 
-    def test_what_is_quarantined_can_be_looked_at_and_makes_room(self):
+    def test_quarantined_files_stay_readable_and_the_folder_is_empty(self):
         for _ in range(2):
             self.store_after(3)
             (self.state_folder / RECORD).write_bytes(b"torn")
@@ -213,7 +213,7 @@
             store.save(Record(IP, 11), {})
             self.assertEqual(self.loaded(), (Record(IP, 11), {}, []))
 
-    def test_a_content_that_is_not_given_is_refused_before_anything_is_written(self):
+    def test_a_save_without_a_referenced_content_writes_nothing(self):
         store = self.store_after(2)
         before = self.listed()
         with self.assertRaises(KeyError):
@@ -222,7 +222,7 @@
 
 
 class TestScrub(FolderCase):
-    def test_a_file_that_went_bad_is_found_and_written_anew(self):
+    def test_a_corrupt_file_is_found_and_rewritten(self):
         store = self.store_after(3)
         contents = STEPS[3].contents
         self.assertEqual([store.scrub(contents) for _ in range(3)], [None] * 3)
@@ -236,7 +236,7 @@
                 self.assertEqual({store.scrub(contents) for _ in range(3)}, {None, path.name})
                 self.assertEqual(self.loaded(), (*STEPS[3], []))
 
-    def test_a_good_file_whose_body_is_not_given_is_left_and_a_bad_one_is_reported(self):
+    def test_without_its_body_an_intact_file_is_kept_and_a_corrupt_one_is_an_error(self):
         store = self.store_after(3)
         self.assertEqual([store.scrub({}) for _ in range(6)], [None] * 6)
         self.assertEqual(self.loaded(), (*STEPS[3], []))
@@ -248,15 +248,17 @@
 
 
 class TestBounds(FolderCase):
-    def test_after_a_thousand_changes_the_folder_holds_what_two_states_reference(self):
-        store, body_bytes, largest = SnapshotStore(str(self.folder)), 50_000, 0
+    def test_after_a_thousand_changes_the_folder_has_the_contents_of_two_states(self):
+        store, body_bytes, max_folder_bytes = SnapshotStore(str(self.folder)), 50_000, 0
         store.load()
         before = None
         with mock.patch.object(snapshot.os, "fsync"):
             for number in range(1, 1001):
                 store.save(accepted(number, before, body_bytes), bodies(number - 1, number, size=body_bytes))
-                largest = max(largest, sum(path.stat().st_size for path in self.state_folder.iterdir()))
+                max_folder_bytes = max(
+                    max_folder_bytes, sum(path.stat().st_size for path in self.state_folder.iterdir())
+                )
                 before = state(number, number, body_bytes)
         self.assertEqual(len(self.listed()), 3)
-        self.assertLess(largest, 2 * (body_bytes + 100) + 1000)
+        self.assertLess(max_folder_bytes, 2 * (body_bytes + 100) + 1000)
         self.assertEqual(self.loaded().record.accepted_state.number, 1000)
--- a/tests/balancer/control/test_snapshot_power_loss.py
+++ b/tests/balancer/control/test_snapshot_power_loss.py
@@ -1,4 +1,4 @@
-"""Killed, or without power, between any two calls of `os`: what is found is the record before, or the one after."""
+"""Tests a kill or a loss of power between any two calls of `os`: the loaded record is the previous or the new one."""
 
 import itertools
 import tempfile
@@ -17,32 +17,38 @@
 
 
 class Run(NamedTuple):
-    """One process: the last record that was acknowledged, the one on its way, and whether it went through all steps."""
+    """The result of one process.
+
+    Attributes:
+        acknowledged: the record of the last save that returned, or of the load; None without one.
+        in_progress: the record of the last save that began; None without one.
+        is_finished: whether the process completed all steps.
+    """
 
     acknowledged: Record | None
-    coming: Record | None
+    in_progress: Record | None
     is_finished: bool
 
 
 class TestPowerLoss(FolderCase):
     def run_process(self, simulated_os: SimulatedOs, first_step: int = 0) -> Run:
-        """Load, and save the steps from that one on, until the end or the kill."""
-        acknowledged = coming = None
+        """Load the folder, then save the steps from index `first_step` on, until the end or the kill."""
+        acknowledged = in_progress = None
         store = SnapshotStore(str(simulated_os.root))
         try:
             with mock.patch.object(snapshot, "os", simulated_os):
                 acknowledged, _, faults = store.load()
                 self.assertEqual(faults, [])
                 for record, contents in STEPS[first_step:]:
-                    coming = record
+                    in_progress = record
                     store.save(record, contents)
                     acknowledged = record
         except ProcessKilled:
-            return Run(acknowledged, coming, False)
-        return Run(acknowledged, coming, True)
+            return Run(acknowledged, in_progress, False)
+        return Run(acknowledged, in_progress, True)
 
     def assert_usable(self, files: dict[str, bytes] | None, possible_records: tuple, note: str) -> None:
-        """A process that finds these files believes one of these records, with all its contents."""
+        """Check that a process with these files loads one of the possible records, with all its contents."""
         with tempfile.TemporaryDirectory() as root:
             if files is not None:
                 (Path(root) / FOLDER).mkdir()
@@ -56,9 +62,13 @@
                 self.assertEqual({content_digest(content) for content in contents.values()}, set(contents), note)
 
     def check_every_cut(self, killed_at: int | None = None) -> int:
-        """Lose power at each call in turn; `killed_at`: the call at which an earlier process was killed, power on.
+        """Lose power at each call in turn, and check the folder.
+
+        Args:
+            killed_at: the call at which an earlier process was killed without a loss of power; None if there was none.
 
-        Returns how many folders that differ were found.
+        Returns:
+            The number of distinct combinations of a folder and its possible records.
         """
         checked = set()
         for cut in itertools.count():
@@ -72,13 +82,13 @@
                     if earlier.is_finished:
                         return len(checked)
                     stop_at = simulated_os.call_count + cut
-                    earlier_records = (earlier.acknowledged, earlier.coming)
-                    first_step = next((n for n, step in enumerate(STEPS) if step.record is earlier.coming), 0)
+                    earlier_records = (earlier.acknowledged, earlier.in_progress)
+                    first_step = next((n for n, step in enumerate(STEPS) if step.record is earlier.in_progress), 0)
                 simulated_os.stop_at = stop_at
                 run = self.run_process(simulated_os, first_step)
-                possible = (run.acknowledged, run.coming)
+                possible = (run.acknowledged, run.in_progress)
                 if run.acknowledged is None:
-                    possible += earlier_records  # the load itself was cut: nothing was acknowledged yet
+                    possible += earlier_records  # power was lost during the load, before any record was acknowledged
                 for files in simulated_os.folders_after_power_loss():
                     found = (frozenset(files.items()) if files is not None else None, tuple(map(id, possible)))
                     if found not in checked:
@@ -89,11 +99,11 @@
                 return len(checked)
         raise AssertionError
 
-    def test_a_loss_of_power_between_any_two_calls_leaves_the_record_before_or_after(self):
+    def test_a_loss_of_power_between_any_two_calls_leaves_the_previous_or_the_new_record(self):
         self.assertGreater(self.check_every_cut(), 50)
 
-    def test_a_loss_of_power_after_a_kill_leaves_the_record_before_or_after(self):
-        """What a process was killed before syncing is visible to the next one, and must not be taken for durable."""
+    def test_a_loss_of_power_after_a_kill_leaves_the_previous_or_the_new_record(self):
+        """Unsynced files of a killed process are visible to the next process, which must not treat them as durable."""
         with tempfile.TemporaryDirectory() as root:
             simulated_os = SimulatedOs(Path(root))
             self.run_process(simulated_os)
@@ -102,11 +112,11 @@
             for killed_at in (n + 1, n + 2):
                 self.assertGreater(self.check_every_cut(killed_at), 0)
 
-    def test_saves_in_another_order_or_without_the_folders_sync_are_found_broken(self):
+    def test_saves_in_a_wrong_order_or_without_a_sync_are_detected(self):
         real_on_fsync = SimulatedOs._on_fsync
 
         def sync_nothing(folder):
-            """Leave the names as they are."""
+            """Do nothing in place of a sync."""
 
         def save_record_first(self, record, contents):
             snapshot.write_file(self.folder / "replica", msgspec.msgpack.encode(record))
