--- a/tests/balancer/control/consensus_model/convergence.py
+++ b/tests/balancer/control/consensus_model/convergence.py
@@ -1,4 +1,4 @@
-"""The end of a history: all links heal, all machines start, and everything has to go on."""
+"""The end of a history: all links heal, all machines start, and the system must converge and accept commands."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 MAX_DELIVERY_ROUNDS = 1000
 ROUND_S = 0.3
 FRESH_LEASE_S = 1.0
-ROUNDS_TO_CONVERGE = 13  #: and three for each machine
+ROUNDS_TO_CONVERGE = 13  #: plus three for each machine
 ROUNDS_TO_CHOOSE = 5
 LAST_CONTENT = 8
 
 
-def founded_world(topology=0):
-    """A world in which the first voters are chosen."""
+def bootstrapped_world(topology=0):
+    """Return a world in which the first voters are chosen."""
     world = World(topology)
     for _ in range(4):
         run_round(world)
@@ -25,21 +25,21 @@
 
 
 def deliver_all(world):
-    """Everything arrives, and is saved, until nothing is on its way."""
+    """Complete all saves and deliver all messages until nothing is in flight."""
     for _ in range(MAX_DELIVERY_ROUNDS):
         for node in world.running_nodes():
             while node.pending_saves:
                 node.finish_save(0, True)
-        arriving = world.network.take_arriving()
-        if not arriving:
+        deliverable = world.network.take_deliverable()
+        if not deliverable:
             return
-        for message in arriving:
+        for message in deliverable:
             message.deliver()
-    raise AssertionError("it never comes to rest")
+    raise AssertionError("messages are still in flight after the maximum number of rounds")
 
 
 def run_round(world):
-    """One round of queries and proposals, in which everything arrives."""
+    """Run one round of queries and proposals in which every message on an intact link is delivered."""
     world.now += ROUND_S
     for node in world.running_nodes():
         for ip in list(world.machines):
@@ -55,15 +55,15 @@
 
 
 def _coordinator(world):
-    """The first of the voters that are there; one that leaves where there is no other."""
+    """Return the address of the first running voter, a leaving one only if there is no other; None for none."""
     voters = sorted({voter.ip for voter in world.newest_chosen.voters}) if world.newest_chosen is not None else []
-    able = [ip for ip in voters if world.node(ip) is not None and world.node(ip).is_voter]
-    able.sort(key=lambda ip: world.machines[ip].is_leaving)
-    return able[0] if able else None
+    candidates = [ip for ip in voters if world.node(ip) is not None and world.node(ip).is_voter]
+    candidates.sort(key=lambda ip: world.machines[ip].is_leaving)
+    return candidates[0] if candidates else None
 
 
 def heal_and_converge(world):
-    """End all faults; raises AssertionError where the nodes do not come together and go on."""
+    """End all faults; raise AssertionError if the nodes do not converge or do not accept a new command."""
     world.network.heal()
     for ip in list(world.machines):
         world.start(ip)
@@ -82,20 +82,20 @@
 
 
 def check_converged(world):
-    """All machines that are there vote, and have a lease."""
+    """Check that each running machine has a fresh read lease and, if it has a disk, the vote that it should have."""
     world.invariants.check_nodes()
     newest = world.newest_chosen
-    assert newest is not None, "no core was founded"
+    assert newest is not None, "no first state was chosen"
     for node in world.running_nodes():
-        assert world.now - node.lease_valid_since() < FRESH_LEASE_S, f"{node.ip} is not sure"
+        assert world.now - node.lease_valid_since() < FRESH_LEASE_S, f"{node.ip} has no fresh read lease"
     for machine in world.machines.values():
         if machine.node is not None and machine.disk is not None and not machine.is_leaving:
-            assert _is_rightly_placed(world, machine), f"{machine.ip} has no vote"
-    assert not newest.former, "a change of members is under way for ever"
+            assert _has_expected_vote(world, machine), f"{machine.ip} has no vote"
+    assert not newest.former, "a change of the voters does not finish"
 
 
-def _is_rightly_placed(world, machine):
-    """Whether a machine with a disk votes, or its vote would take fault tolerance away."""
+def _has_expected_vote(world, machine):
+    """Return whether a machine with a disk votes, or rightly does not since its vote would reduce fault tolerance."""
     voters = set(world.newest_chosen.voters)
     replica = Replica(machine.ip, machine.disk.record.disk_id, machine.ip)
     if replica in voters:
@@ -106,7 +106,7 @@
 
 
 def check_next_command(world):
-    """A new command is chosen, and reaches all."""
+    """Check that a new command is chosen and that all nodes learn it."""
     world.version += 1
     config = world.version, world.digest_of(LAST_CONTENT)
     proposer = next(node for node in world.running_nodes() if node.is_voter).proposer
@@ -114,9 +114,9 @@
     submitted = proposer.commands[-1]
     for _ in range(ROUNDS_TO_CHOOSE):
         run_round(world)
-    assert submitted.status == CommandStatus.DONE, "a new order is not chosen"
+    assert submitted.status == CommandStatus.DONE, "a new command is not chosen"
     assert world.newest_chosen.config == config
     for node in world.running_nodes():
-        assert node.state.config == world.newest_chosen.config, f"{node.ip} is behind"
-        assert world.now - node.lease_valid_since() < FRESH_LEASE_S, f"{node.ip} is behind"
+        assert node.state.config == world.newest_chosen.config, f"{node.ip} lacks the newest state"
+        assert world.now - node.lease_valid_since() < FRESH_LEASE_S, f"{node.ip} has no fresh read lease"
     world.invariants.check_nodes()
--- a/tests/balancer/control/consensus_model/directed_histories.py
+++ b/tests/balancer/control/consensus_model/directed_histories.py
@@ -1,23 +1,26 @@
-"""Short histories of faults that chance finds late; each holds under the rules as they are."""
+"""Short histories of faults that a random search rarely finds; none breaks an invariant with the unmodified rules."""
 
 from __future__ import annotations
 
 from mapleline.balancer.control.commands import SetEvacuation
 
-from .convergence import deliver_all, founded_world, run_round
+from .convergence import bootstrapped_world, deliver_all, run_round
 from .network import Link
 from .quorums import check_quorums
 from .world import World
 
 
-def first(choices):
-    """Draw the first of so many."""
+def draw_first(choice_count):
+    """Return index 0 of the choices."""
     return 0
 
 
-def one_has_not_heard_of_new_voters():
-    """1 is cut off, 4 and 5 come in, 1 and 2 go; then 1, which knows 1, 2, 3 alone, has a command."""
-    world = founded_world()
+def proposer_does_not_know_the_new_voters():
+    """Machine 1, which knows only the voters 1, 2 and 3, proposes a command after the voters became 3, 4 and 5.
+
+    Machine 1 is partitioned while 4 and 5 are added and 1 and 2 are removed.
+    """
+    world = bootstrapped_world()
     for ip in (2, 3, 9):
         world.network.cut_off(1, ip, True)
     for ip in (4, 5):
@@ -25,67 +28,73 @@
         world.network.cut_off(1, ip, True)
         for _ in range(6):
             run_round(world)
-    world.want_voters(3, [3, 4, 5])
-    world.run_ballot(3, True, [2, 3, 4, 5], [2, 3, 4, 5], first)
-    world.run_ballot(3, True, [2, 3, 4, 5], [2, 3, 4, 5], first)
+    world.request_voters(3, [3, 4, 5])
+    world.run_ballot(3, True, [2, 3, 4, 5], [2, 3, 4, 5], draw_first)
+    world.run_ballot(3, True, [2, 3, 4, 5], [2, 3, 4, 5], draw_first)
     assert [voter.ip for voter in world.newest_chosen.voters] == [3, 4, 5]
     assert not world.newest_chosen.former
-    world.network.lose_all()
+    world.network.drop_all()
     world.replace_configuration(3, 0, 0)
-    world.run_ballot(3, False, [4, 5], [4, 5], first)
+    world.run_ballot(3, False, [4, 5], [4, 5], draw_first)
     world.network.heal()
     world.replace_configuration(1, 0, 0)
     for _ in range(3):
-        world.run_ballot(1, False, [2], [3, 4, 5], first)
+        world.run_ballot(1, False, [2], [3, 4, 5], draw_first)
     return world
 
 
-def an_older_acceptance_answers_first():
-    """A low ballot was accepted by 1 alone, a higher one by 2 and 3; then 3 asks, and hears 1 first."""
-    world = founded_world()
+def older_acceptance_is_reported_first():
+    """Machine 3 prepares and receives the reply of 1 first, whose accepted state has the lower ballot.
+
+    A low ballot was accepted by 1 only, and a higher one by 2 and 3.
+    """
+    world = bootstrapped_world()
     world.replace_by_rivals(1, 2)
-    world.run_ballot(1, True, [2], [], first)
-    world.run_ballot(2, True, [3], [3], first)
-    world.run_ballot(2, True, [3], [3], first)
+    world.run_ballot(1, True, [2], [], draw_first)
+    world.run_ballot(2, True, [3], [3], draw_first)
+    world.run_ballot(2, True, [3], [3], draw_first)
     assert world.newest_chosen.config == (1, 103)
-    # the message that the other's is chosen
-    world.network.wire = [message for message in world.network.wire if message.link == Link(2, 1)][-1:]
+    # deliver only the message to 1 that the state of 2 is chosen
+    world.network.in_flight = [message for message in world.network.in_flight if message.link == Link(2, 1)][-1:]
     world.network.deliver(0)
     world.replace_configuration(3, 0, 0)
     for _ in range(2):
-        world.run_ballot(3, True, [1, 2], [1, 2], first, is_own_disk_slow=True)
+        world.run_ballot(3, True, [1, 2], [1, 2], draw_first, is_own_disk_slow=True)
     return world
 
 
-def a_lower_number_under_a_higher_ballot():
-    """1 alone accepts two changes at once, and later the one that was chosen in their place; then it starts anew."""
-    world = founded_world()
+def lower_number_under_a_higher_ballot():
+    """Machine 1 accepts a state with a high number, then the chosen state with a lower number, and restarts.
+
+    The first state has two changes and is accepted by 1 only.
+    """
+    world = bootstrapped_world()
     world.replace_configuration(1, 0, 0)
     world.submit(1, SetEvacuation("a", True))
-    world.run_ballot(1, True, [2], [], first)
-    world.network.lose_all()
+    world.run_ballot(1, True, [2], [], draw_first)
+    world.network.drop_all()
     world.node(2).query(1)
-    world.run(first, 9)
+    world.run(draw_first, 9)
     world.replace_configuration(2, 0, 1)
     for _ in range(3):
-        world.run_ballot(2, True, [3], [1, 3], first)
+        world.run_ballot(2, True, [3], [1, 3], draw_first)
     assert world.machines[1].disk.record.accepted_state == world.newest_chosen
     assert world.newest_chosen.number == 3
-    world.network.lose_all()
+    world.network.drop_all()
     world.crash(3, 0)
     for ip in (1, 2):
         world.node(2).query(ip)
-    world.run(first, 9)
-    assert world.now - world.node(2).lease_valid_since() < 0.1, "2 is not sure"
+    world.run(draw_first, 9)
+    assert world.now - world.node(2).lease_valid_since() < 0.1, "2 has no fresh read lease"
     world.crash(1, 0)
     world.start(1)
     world.node(2).query(1)
-    world.run(first, 9)
+    world.run(draw_first, 9)
     return world
 
 
-def _founded_apart():
-    """3 has founded the system with the votes of 2, and 1 knows nothing of it; then 2 loses its disk."""
+def _bootstrapped_without_machine_1():
+    """Return a world bootstrapped by 3 with the vote of 2, unknown to 1, after which 2 has lost its disk."""
     world = World(0)
     for ip in (2, 3, 9):
         world.network.cut_off(1, ip, True)
@@ -103,7 +112,8 @@
     return world
 
 
-def _found_again(world):
+def _attempt_second_bootstrap(world):
+    """Let machine 1 propose a first state while it cannot reach machine 3."""
     world.network.cut_links = {Link(1, 3), Link(3, 1), Link(2, 3), Link(3, 2)}
     for _ in range(2):
         world.node(1).proposer.propose_if_due(True)
@@ -112,25 +122,27 @@
     return world
 
 
-def an_empty_disk_is_asked_for_a_founding():
-    return _found_again(_founded_apart())
+def empty_disk_receives_a_bootstrap_prepare():
+    """Machine 2 with an empty disk receives a Prepare from state 0."""
+    return _attempt_second_bootstrap(_bootstrapped_without_machine_1())
 
 
-def who_has_learnt_of_a_core_is_asked_for_a_founding():
-    world = _founded_apart()
+def informed_replica_receives_a_bootstrap_prepare():
+    """Machine 2 with an empty disk learns the chosen state, and then receives a Prepare from state 0."""
+    world = _bootstrapped_without_machine_1()
     world.node(2).query(3)
     deliver_all(world)
     assert world.node(2).number == 2
-    return _found_again(world)
+    return _attempt_second_bootstrap(world)
 
 
-#: by the name of the mutant that each finds
+#: The histories, by the names of the mutants that they detect.
 DIRECTED_HISTORIES = {
-    "asks those it knows, not those that promises show": one_has_not_heard_of_new_voters,
-    "the first accepted state, not the highest": an_older_acceptance_answers_first,
-    "chosen under another ballot": an_older_acceptance_answers_first,
-    "a disk is known by the number it accepted": a_lower_number_under_a_higher_ballot,
-    "the highest number it ever accepted": a_lower_number_under_a_higher_ballot,
-    "an empty disk founds again": an_empty_disk_is_asked_for_a_founding,
-    "who knows a core founds another": who_has_learnt_of_a_core_is_asked_for_a_founding,
+    "asks those it knows, not those that promises show": proposer_does_not_know_the_new_voters,
+    "the first accepted state, not the highest": older_acceptance_is_reported_first,
+    "chosen under another ballot": older_acceptance_is_reported_first,
+    "a disk is known by the number it accepted": lower_number_under_a_higher_ballot,
+    "the highest number it ever accepted": lower_number_under_a_higher_ballot,
+    "an empty disk founds again": empty_disk_receives_a_bootstrap_prepare,
+    "who knows a core founds another": informed_replica_receives_a_bootstrap_prepare,
 }
--- a/tests/balancer/control/consensus_model/invariants.py
+++ b/tests/balancer/control/consensus_model/invariants.py
@@ -1,4 +1,4 @@
-"""What holds at all times in the model, whatever is lost; each check raises AssertionError where a rule is broken."""
+"""The invariants of the model, which hold under any faults; each check raises AssertionError on a violation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def has_quorum(state, replica_ids):
-    """The model's own majorities: none of the rules' code."""
+    """Return whether the replicas have all majorities; independent of the code under test."""
     return all(_has_majority(voters, replica_ids) for voters in (state.voters, state.former) if voters)
 
 
@@ -25,15 +25,15 @@
 
 
 class ProposedState:
-    """A state as it was sent out to be accepted.
+    """A state that was sent in Accept messages; each refers to the proposal of its base.
 
     Attributes:
-        parent: the proposal that its base is of.
+        parent: the proposal of the base; None if not known.
         base: the state that it changes.
-        state: the state.
-        zones: those that commands in it evacuate, or let serve again.
-        accepted_by: the replicas that have it on their disks.
-        is_chosen: whether these are a quorum, of the base and of the state.
+        state: the proposed state.
+        zones: the zones whose evacuation its commands begin or end.
+        accepted_by: the replicas that have it on their disks, as (address, disk).
+        is_chosen: whether these are a quorum of both the base and the state.
     """
 
     def __init__(self, parent, base, state, zones):
@@ -45,18 +45,18 @@
         self.is_chosen = False
 
     def ancestor_not_above(self, number):
-        """The nearest proposal of the chain, this one included, whose number is at most that; None if not known."""
-        link = self
-        while link is not None and link.state.number > number:
-            link = link.parent
-        return link
+        """Return the nearest proposal of the chain, or this one, with at most that number; None if not known."""
+        proposed = self
+        while proposed is not None and proposed.state.number > number:
+            proposed = proposed.parent
+        return proposed
 
 
 class Invariants:
-    """Follows what is proposed, saved, chosen, committed and acknowledged.
+    """Tracks the states that are proposed, saved, chosen and committed, and the commands that are acknowledged.
 
     Attributes:
-        proposed: what was sent out to be accepted, by ballot.
+        proposed: the proposed states, by ballot.
         newest_chosen: the chosen state of the highest number.
     """
 
@@ -64,20 +64,22 @@
         self.world = world
         self.proposed = {}
         self.newest_chosen = None
-        self._newest_link = None
-        self._chosen_at = []  #: when each next number was chosen
-        self._chosen_numbers = []
-        self._confirmed = {}  #: version to digest, as operators were told
-        self._refused = set()  #: (version, digest)
-        self._replied = {}  #: by address and disk: the highest ballots promised and accepted that left in a reply
-        self._last_seen = {}  #: by address: its node, and the number and epoch it knew
+        self._newest_proposed = None  #: the proposal of `newest_chosen`
+        self._chosen_at = []  #: the times at which `_chosen_numbers` were chosen
+        self._chosen_numbers = []  #: numbers of successive values of `newest_chosen`
+        self._confirmed = {}  #: digest by version, as acknowledged to operators
+        self._refused = set()  #: configurations refused to operators, as (version, digest)
+        self._replied = {}  #: the highest promised and accepted ballots in sent replies, by address and disk
+        self._last_seen = {}  #: the node, and its known number and epoch, at the last check, by address
 
-    # -- proposals and what is chosen --
+    # -- proposed and chosen states --
 
     def on_proposed(self, proposal, commands):
-        """A state goes out to be accepted."""
+        """Record that a state is sent in Accept messages."""
         if proposal.ballot in self.proposed:
-            assert self.proposed[proposal.ballot].state == proposal.proposed_state, "two states under one ballot"
+            assert self.proposed[proposal.ballot].state == proposal.proposed_state, (
+                "two states were proposed under one ballot"
+            )
             return
         zones = {command.zone for command in commands if isinstance(command, SetEvacuation)}
         parent = self._parent_of(proposal)
@@ -88,101 +90,107 @@
         if proposal.highest_accepted_state is proposal.base:
             parent = self.proposed.get(proposal.highest_accepted_ballot)
         if parent is None:
-            parent = next((link for link in self.proposed.values() if link.state == proposal.base), None)
+            parent = next((proposed for proposed in self.proposed.values() if proposed.state == proposal.base), None)
         return parent
 
     def on_record_saved(self, node, record):
-        """A record is on a disk, and its replica knows."""
+        """Record that a replica was notified of a completed save."""
         if node.disk is not None:
             is_complete = referenced_digests(record) <= node.disk.contents
-            assert is_complete or node.disk.record.version > record.version, "not whole"
-        link = self.proposed.get(record.accepted_ballot)
+            assert is_complete or node.disk.record.version > record.version, "a saved record lacks a referenced content"
+        proposed = self.proposed.get(record.accepted_ballot)
         replica_id = record.ip, record.disk_id
-        if link is None or replica_id in link.accepted_by:
+        if proposed is None or replica_id in proposed.accepted_by:
             return
-        link.accepted_by.add(replica_id)
-        is_quorum = has_quorum(link.base, link.accepted_by) and has_quorum(link.state, link.accepted_by)
-        if not link.is_chosen and is_quorum:
-            link.is_chosen = True
-            self._on_chosen(link)
-
-    def _on_chosen(self, link):
-        self._check_chain(link)
-        state = link.state
-        assert set(link.base.evacuated) ^ set(state.evacuated) <= link.zones, "evacuated by nobody"
+        proposed.accepted_by.add(replica_id)
+        is_quorum = has_quorum(proposed.base, proposed.accepted_by) and has_quorum(proposed.state, proposed.accepted_by)
+        if not proposed.is_chosen and is_quorum:
+            proposed.is_chosen = True
+            self._on_chosen(proposed)
+
+    def _on_chosen(self, proposed):
+        self._check_chain(proposed)
+        state = proposed.state
+        assert set(proposed.base.evacuated) ^ set(state.evacuated) <= proposed.zones, "a zone changed without a command"
         newest = self.newest_chosen
         if newest is not None and state.number <= newest.number:
             return
         if newest is not None:
-            assert state.epoch >= newest.epoch, f"the epoch of {state.number} goes back"
-            assert state.system == newest.system, f"{state.number} is of another system"
+            assert state.epoch >= newest.epoch, f"the epoch of {state.number} decreased"
+            assert state.system == newest.system, f"{state.number} belongs to another system"
         self._check_confirmed(state)
         self.newest_chosen = state
-        self._newest_link = link
+        self._newest_proposed = proposed
         self._chosen_at.append(self.world.now)
         self._chosen_numbers.append(state.number)
 
-    def _check_chain(self, link):
-        """A chosen state descends from all chosen ones below it, and all above descend from it."""
-        state, newest = link.state, self.newest_chosen
+    def _check_chain(self, proposed):
+        """Check that a chosen state descends from all lower chosen ones, and all higher ones descend from it."""
+        state, newest = proposed.state, self.newest_chosen
         if newest is None:
             return
         if state.number > newest.number:
-            ancestor = link.ancestor_not_above(newest.number)
+            ancestor = proposed.ancestor_not_above(newest.number)
             base = ancestor.state if ancestor is not None else None
-            assert base == newest, f"{state.number} does not stand on {newest.number}"
+            assert base == newest, f"{state.number} does not descend from {newest.number}"
             return
-        same = [one for one in self.proposed.values() if one.is_chosen and one.state.number == state.number]
-        assert all(one.state == state for one in same), f"two contents under {state.number}"
-        ancestor = self._newest_link.ancestor_not_above(state.number)
-        assert ancestor is None or ancestor.state == state, f"{state.number} is beside the chain"
+        same_number = [
+            other for other in self.proposed.values() if other.is_chosen and other.state.number == state.number
+        ]
+        assert all(other.state == state for other in same_number), f"two chosen states with number {state.number}"
+        ancestor = self._newest_proposed.ancestor_not_above(state.number)
+        assert ancestor is None or ancestor.state == state, f"{state.number} is not part of the chain"
 
     def _check_confirmed(self, state):
-        """What operators were told still stands in a new chosen state."""
+        """Check that a new chosen state agrees with all results that operators received."""
         past = dict(state.past)
         oldest = min(past) if len(past) >= state_module.MAX_PAST_VERSIONS else 0
         for version, digest in self._confirmed.items():
             assert version < oldest or past.get(version) == digest, f"{version} was confirmed and is lost"
         if self._confirmed:
             assert state.config.version >= max(self._confirmed)
-        assert state.config not in self._refused, "what was refused is in force"
+        assert state.config not in self._refused, "a refused configuration is in force"
 
     def on_committed(self, state):
-        """Some node takes a state for chosen."""
+        """Check a state that a node takes for chosen."""
         assert any(
-            link.is_chosen and link.state.number == state.number and link.state.without_past() == state.without_past()
-            for link in self.proposed.values()
-        ), f"{state.number} is not chosen"
+            proposed.is_chosen
+            and proposed.state.number == state.number
+            and proposed.state.without_past() == state.without_past()
+            for proposed in self.proposed.values()
+        ), f"{state.number} is committed and not chosen"
 
     def on_acknowledged(self, command, status, state):
-        """The operator is told the result of a command, with the state in which that was decided."""
-        links = [link for link in self.proposed.values() if link.is_chosen and link.state == state]
-        assert links, f"answered of {state.number} before it is chosen"
+        """Check the result of a command that is sent to the operator, with the state in which it was decided."""
+        chosen = [proposed for proposed in self.proposed.values() if proposed.is_chosen and proposed.state == state]
+        assert chosen, f"a result was sent before {state.number} was chosen"
         if not isinstance(command, ReplaceConfiguration):
             return
         if len(state.past) >= state_module.MAX_PAST_VERSIONS and command.version < min(state.past)[0]:
-            return  # overtaken by so many that nobody remembers it
-        pair = command.version, command.digest
+            return  # older than all remembered versions
+        configuration = command.version, command.digest
         if status == CommandStatus.DONE:
             confirmed = self._confirmed.setdefault(command.version, command.digest)
-            assert confirmed == command.digest, f"{command.version} confirmed with two contents"
-            assert pair not in self._refused, f"{pair} confirmed after it was refused"
-            assert pair in state.past, f"{pair} confirmed and not in the state"
+            assert confirmed == command.digest, f"{command.version} was confirmed with two contents"
+            assert configuration not in self._refused, f"{configuration} was confirmed after a refusal"
+            assert configuration in state.past, f"{configuration} was confirmed but is not in the state"
         elif status == CommandStatus.CONFLICT:
-            self._refused.add(pair)
-            assert self._confirmed.get(command.version) != command.digest, f"{pair} refused after it was confirmed"
-            assert pair not in state.past
+            self._refused.add(configuration)
+            assert self._confirmed.get(command.version) != command.digest, (
+                f"{configuration} was refused after a confirmation"
+            )
+            assert configuration not in state.past
 
     # -- replies of acceptors --
 
     def on_reply_made(self, node, record):
-        """A reply is made: not of less than an earlier one."""
+        """Check that a new reply has no lower ballots than an earlier reply of the same replica."""
         promised, accepted = self._replied.get((record.ip, record.disk_id), NO_BALLOTS)
-        assert record.promised >= promised, f"{node.ip} has forgotten a promise"
-        assert record.accepted_ballot >= accepted, f"{node.ip} has forgotten what it accepted"
+        assert record.promised >= promised, f"{node.ip} lost a promise"
+        assert record.accepted_ballot >= accepted, f"{node.ip} lost an accepted state"
 
     def on_reply_sent(self, node, reply, accepted_ballot):
-        """A reply leaves, so that what it says has to be on the disk from now on."""
+        """Record a sent reply, whose ballots must be on the disk from now on."""
         key = node.ip, reply.disk_id
         promised, accepted = self._replied.get(key, NO_BALLOTS)
         self._replied[key] = max(promised, reply.promised_ballot), max(accepted, accepted_ballot)
@@ -196,28 +204,28 @@
             self._check_disk(node)
 
     def _check_progress(self, node):
-        """What a process knows never goes back."""
+        """Check that the state known to a process never becomes older."""
         known = node.number, node.state.epoch if node.state is not None else 0
         earlier_node, earlier = self._last_seen.get(node.ip, (None, (0, 0)))
         if earlier_node is node:
-            assert known >= earlier, f"{node.ip} knows an older state than before"
-            assert known[1] >= earlier[1], f"{node.ip} knows an older epoch than before"
+            assert known >= earlier, f"{node.ip} has an older state than before"
+            assert known[1] >= earlier[1], f"{node.ip} has an older epoch than before"
         self._last_seen[node.ip] = node, known
 
     def _check_lease(self, node):
-        """Whoever has a lease holds all that was chosen before it."""
+        """Check that a node with a lease knows all states that were chosen before the start of the lease."""
         since = node.lease_valid_since()
         if since > NEVER:
             index = bisect_left(self._chosen_at, since)
             newest = self._chosen_numbers[index - 1] if index else 0
-            assert newest <= node.number, f"{node.ip} is sure, and without {newest}"
+            assert newest <= node.number, f"{node.ip} has a read lease but lacks state {newest}"
 
     def _check_disk(self, node):
-        """What was replied is on the disk."""
+        """Check that the promises and acceptances in sent replies are on the disk."""
         if node.disk is None or node.acceptor is None or node.disk.record is None:
             return
         record = node.disk.record
         if record.disk_id == node.acceptor.disk_id:
             promised, accepted = self._replied.get((node.ip, record.disk_id), NO_BALLOTS)
-            assert record.promised >= promised, "answered, and not on the disk"
-            assert record.accepted_ballot >= accepted, "answered, and not on the disk"
+            assert record.promised >= promised, "a sent promise is not on the disk"
+            assert record.accepted_ballot >= accepted, "a sent acceptance is not on the disk"
--- a/tests/balancer/control/consensus_model/machine.py
+++ b/tests/balancer/control/consensus_model/machine.py
@@ -1,4 +1,4 @@
-"""What outlasts a process of the model: machines and their disks."""
+"""Machines and their disks, which survive the processes of the model."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class DurableDisk:
-    """What a loss of power leaves; `save` follows `SnapshotStore.save`."""
+    """The durable content of a disk; `save` behaves as `SnapshotStore.save`."""
 
     def __init__(self):
         self.clear()
 
     def clear(self):
-        """Lose everything, also what an operator could put back."""
+        """Remove everything, including the history from which the disk could be restored."""
         self.record: Record | None = None
         self.contents: set[int] = set()
-        self.history: list[tuple[Record, set[int]]] = []  #: everything that was ever saved
+        self.history: list[tuple[Record, set[int]]] = []  #: all records saved so far, with their contents
 
     def save(self, record, contents):
-        """Save a record unless a newer one of its disk is there; KeyError where a content is missing."""
+        """Save a record unless the disk has a newer one of the same identity; KeyError if a content is missing."""
         saved = self.record
         if saved is not None and saved.disk_id == record.disk_id and saved.version >= record.version:
             return
@@ -40,13 +40,13 @@
 
     Attributes:
         ip: the address.
-        disk: the disk, if it has one.
-        is_initial_start: whether its next process may take part in the founding.
+        disk: the disk; None for a machine without one.
+        is_initial_start: whether its next process may take part in the bootstrap.
         node: the process; None while it is down.
-        start_count: how many processes there were.
-        down_since: when it went down last.
-        is_leaving: it is shutting down gracefully.
-        is_removed: it never comes back.
+        start_count: the number of processes started so far.
+        down_since: when it last went down, in seconds.
+        is_leaving: whether it is shutting down gracefully.
+        is_removed: whether it is removed permanently.
     """
 
     def __init__(self, ip, has_disk, is_initial_start):
--- a/tests/balancer/control/consensus_model/mutants.py
+++ b/tests/balancer/control/consensus_model/mutants.py
@@ -1,4 +1,4 @@
-"""The rules, each broken in one way: the search, or a directed history, has to find every one of them."""
+"""Mutants that each break one rule; the random search or a directed history must detect every one of them."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 from .node import BODY, Node
 from .proposer import ModelProposer
 
-ANSWER_DELAY_S = 0.3
+REPLY_DELAY_S = 0.3
 
 
 class Patch(NamedTuple):
-    """A member that a mutant replaces."""
+    """A replacement of one member of a class or module."""
 
     owner: object
     name: str
@@ -42,7 +42,7 @@
 
 
 class Original:
-    """The rules as they are, for mutants that call them."""
+    """The original functions, for mutants that call them."""
 
     prepare = Acceptor.prepare
     accept = Acceptor.accept
@@ -92,18 +92,18 @@
     return times[max(0, len(voters) // 2 - 1)]
 
 
-def _lease_from_answer(self, ip, report, asked_at):
+def _lease_from_reply(self, ip, report, asked_at):
     Original.extend_lease(self, ip, report, self.world.now)
 
 
-def _relayed_lease_from_answer(self, asked_at, age_s):
-    Original.on_relayed_lease(self, asked_at + ANSWER_DELAY_S, age_s)
+def _relayed_lease_from_reply(self, asked_at, age_s):
+    Original.on_relayed_lease(self, asked_at + REPLY_DELAY_S, age_s)
 
 
 # -- acceptors --
 
 
-def _promise_before_save(self, call, answer):
+def _promise_before_save(self, call, send_reply):
     Original.node_on_prepare(self, call, lambda reply: None)
     if self.acceptor is None or not self.may_vote():
         return
@@ -112,17 +112,17 @@
     reply = Promised(is_granted, record.disk_id, record.promised, record.accepted_ballot, record.accepted_state, BODY)
     if is_granted:
         self.world.invariants.on_reply_sent(self, reply, record.accepted_ballot)
-    answer(reply)
+    send_reply(reply)
 
 
-def _accept_before_save(self, call, answer):
+def _accept_before_save(self, call, send_reply):
     Original.node_on_accept(self, call, lambda reply: None)
     if self.acceptor is None or self.acceptor.record.accepted_ballot != call.ballot:
         return
     record = self.acceptor.record
     reply = Accepted(True, record.disk_id, record.promised)
     self.world.invariants.on_reply_sent(self, reply, record.accepted_ballot)
-    answer(reply)
+    send_reply(reply)
 
 
 def _accept_despite_promise(self, ballot, accepted_state):
@@ -139,7 +139,7 @@
 
 
 def _highest_accepted(acceptor, record):
-    """The highest number that this disk ever had accepted, as far as this process knows."""
+    """Return the highest number of any state that was accepted on this disk, as far as this process knows."""
     Original.on_record_saved(acceptor, record)
     number = record.accepted_state.number if record.accepted_state is not None else 0
     acceptor.highest_accepted = max(getattr(acceptor, "highest_accepted", 0), number)
@@ -164,7 +164,7 @@
 
 
 def _ask_known_voters_alone(self, ip, reply):
-    """Those of what it knows are enough, whatever their promises show."""
+    """Prepare with a quorum of the known state only, even if promises show other voters."""
     if self.is_finished or self.proposed_state is not None or not reply.is_granted:
         return Original.on_prepare_reply(self, ip, reply)
     self._promised_by.add(ReplicaId(ip, reply.disk_id))
@@ -179,10 +179,10 @@
 
 
 def _old_voters_accept_alone(self, ip, reply):
-    """A majority of what it knows is enough for what is new."""
+    """Accept with a quorum of the base only, without the new voters."""
     step = Original.on_accept_reply(self, ip, reply)
-    is_open = self.proposed_state is not None and not self.is_finished
-    if step is NextStep.WAIT and reply.is_granted and is_open and self.base.has_quorum(self._accepted_by):
+    is_undecided = self.proposed_state is not None and not self.is_finished
+    if step is NextStep.WAIT and reply.is_granted and is_undecided and self.base.has_quorum(self._accepted_by):
         self.is_finished = True
         return NextStep.CHOSEN
     return step
@@ -213,38 +213,38 @@
     return successor
 
 
-def _reconfigure_at_once(old, voters):
-    successor = begin_reconfiguration(old, voters)
-    return successor if successor is old else msgspec.structs.replace(successor, former=())
+def _reconfigure_at_once(base, voters):
+    successor = begin_reconfiguration(base, voters)
+    return successor if successor is base else msgspec.structs.replace(successor, former=())
 
 
-def _reconfigure_again(old, voters):
-    if old.number:
-        old = msgspec.structs.replace(old, former=())
-    return begin_reconfiguration(old, voters)
+def _reconfigure_again(base, voters):
+    if base.number:
+        base = msgspec.structs.replace(base, former=())
+    return begin_reconfiguration(base, voters)
 
 
-def _next_voters_again(old, *rest):
-    return next_voters(msgspec.structs.replace(old, former=()), *rest)
+def _next_voters_again(base, *rest):
+    return next_voters(msgspec.structs.replace(base, former=()), *rest)
 
 
-def _highest_content_wins(old, version, digest):
-    past = dict(old.past)
+def _highest_content_wins(base, version, digest):
+    past = dict(base.past)
     if version not in past:
-        return replace_configuration(old, version, digest)
+        return replace_configuration(base, version, digest)
     if digest <= past[version]:
-        return Replacement(old, True)
+        return Replacement(base, True)
     past[version] = digest
     successor = msgspec.structs.replace(
-        old,
-        number=old.number + 1,
+        base,
+        number=base.number + 1,
         config=ConfigurationRef(version, digest),
         past=tuple(ConfigurationRef(*item) for item in sorted(past.items())),
     )
     return Replacement(successor, True)
 
 
-# -- disks and catching up --
+# -- disks and the fetching of states --
 
 
 def _wipe_keeps_identity(self, ip):
@@ -259,13 +259,13 @@
     Original.node_on_query(self, ip, StateQuery(query.nonce))
 
 
-def _send_accepted_as_chosen(self, call, answer):
+def _send_accepted_as_chosen(self, call, send_reply):
     accepted = self.acceptor.accepted_state if self.acceptor is not None else None
     if accepted is None or accepted.number <= max(call.known_number, self.number):
-        Original.node_on_fetch(self, call, answer)
+        Original.node_on_fetch(self, call, send_reply)
         return
     sent = accepted if call.wants_full_state else accepted.without_past()
-    answer(FetchedState(sent, BODY))
+    send_reply(FetchedState(sent, BODY))
 
 
 def _any_contents(known_state, contents):
@@ -302,8 +302,8 @@
     "the highest content wins": [Patch(commands, "replace_configuration", _highest_content_wins)],
     "a ballot that others use": [Patch(ModelProposer, "begin", _ballot_of_anyone)],
     "a ballot that an earlier life used": [Patch(ModelProposer, "begin", _ballot_of_earlier_process)],
-    "contact from when the answer came": [Patch(Node, "extend_lease", _lease_from_answer)],
-    "an age at second hand from the answer": [Patch(ReadLease, "on_relayed_lease", _relayed_lease_from_answer)],
+    "contact from when the answer came": [Patch(Node, "extend_lease", _lease_from_reply)],
+    "an age at second hand from the answer": [Patch(ReadLease, "on_relayed_lease", _relayed_lease_from_reply)],
     "chosen under another ballot": [Patch(Acceptor, "mark_chosen", _mark_chosen_of_any_ballot)],
     "what was accepted is told as chosen": [Patch(Node, "on_fetch", _send_accepted_as_chosen)],
     "answered before it is chosen": [Patch(ModelProposer, "send_accept", _answer_before_chosen)],
--- a/tests/balancer/control/consensus_model/network.py
+++ b/tests/balancer/control/consensus_model/network.py
@@ -1,4 +1,4 @@
-"""What is on its way between the processes of the model, and which links are cut."""
+"""The messages in flight between the processes of the model, and the partitioned links."""
 
 from __future__ import annotations
 
@@ -6,58 +6,58 @@
 
 
 class Link(NamedTuple):
-    """A direction between two addresses."""
+    """One direction between two addresses."""
 
     source: int
     destination: int
 
 
 class InFlight(NamedTuple):
-    """A message on its way."""
+    """A message in flight."""
 
     link: Link
     deliver: object  #: called without arguments
 
 
 class Network:
-    """Messages lie in `wire`, oldest first, until the search delivers or loses them.
+    """Holds messages until the search delivers or drops them.
 
     Attributes:
-        wire: messages on their way.
-        cut_links: directions in which nothing arrives.
+        in_flight: the messages in flight, oldest first.
+        cut_links: directions in which no message is delivered.
     """
 
     def __init__(self):
-        self.wire = []
+        self.in_flight = []
         self.cut_links = set()
 
     def add(self, source, destination, deliver):
-        self.wire.append(InFlight(Link(source, destination), deliver))
+        self.in_flight.append(InFlight(Link(source, destination), deliver))
 
     def deliver(self, index, is_kept=False):
-        """Deliver one message; with `is_kept` it will arrive once more."""
-        if not self.wire:
+        """Deliver the message at `index` modulo the number of messages; with `is_kept`, it stays in flight as well."""
+        if not self.in_flight:
             return
-        index %= len(self.wire)
-        message = self.wire[index]
+        index %= len(self.in_flight)
+        message = self.in_flight[index]
         if message.link in self.cut_links:
             return
         if not is_kept:
-            del self.wire[index]
+            del self.in_flight[index]
         message.deliver()
 
-    def lose(self, index):
-        if self.wire:
-            del self.wire[index % len(self.wire)]
+    def drop(self, index):
+        if self.in_flight:
+            del self.in_flight[index % len(self.in_flight)]
 
-    def lose_all(self):
-        self.wire = []
+    def drop_all(self):
+        self.in_flight = []
 
-    def take_arriving(self):
-        """Take out all messages whose links are not cut."""
-        arriving = [message for message in self.wire if message.link not in self.cut_links]
-        self.wire = [message for message in self.wire if message.link in self.cut_links]
-        return arriving
+    def take_deliverable(self):
+        """Remove and return all messages whose links are not cut."""
+        deliverable = [message for message in self.in_flight if message.link not in self.cut_links]
+        self.in_flight = [message for message in self.in_flight if message.link in self.cut_links]
+        return deliverable
 
     def cut_off(self, ip, other, both_directions):
         if ip != other:
@@ -65,7 +65,7 @@
             self.cut_links |= links
 
     def is_cut(self, ip, other):
-        """Whether either direction is cut."""
+        """Return whether either direction is cut."""
         return bool({Link(other, ip), Link(ip, other)} & self.cut_links)
 
     def heal(self):
--- a/tests/balancer/control/consensus_model/node.py
+++ b/tests/balancer/control/consensus_model/node.py
@@ -1,4 +1,4 @@
-"""One process of the model: its replica, its read lease and how it catches up."""
+"""One process of the model: its replica, its read lease and the fetching of newer states."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from .proposer import ModelProposer
 
 MAX_REPORTED_AGE_S = 60
-BODY = b""  #: of every configuration: the model knows configurations by their digests
+BODY = b""  #: the body of every configuration: the model distinguishes configurations by digest only
 
 
 class ReplicaReport(NamedTuple):
-    """What a machine with a disk last said of it."""
+    """The newest report of a machine with a disk (`replica_reports.ReplicaReport`)."""
 
     disk_id: int
     durable_number: int
@@ -37,7 +37,7 @@
 
 
 class PendingSave(NamedTuple):
-    """A save that has not returned."""
+    """A save in progress."""
 
     acceptor: Acceptor
     record: Record
@@ -46,7 +46,7 @@
 
 
 class Node:
-    """One process, with its parts joined as in `control_plane.ControlPlane`; time and chance are the world's."""
+    """One process, with its parts connected as in `control_plane.ControlPlane`; time and order come from the world."""
 
     def __init__(self, world, machine):
         self.world = world
@@ -56,16 +56,16 @@
         machine.start_count += 1
         self.incarnation = machine.start_count
         self.is_initial_start = machine.is_initial_start
-        # an initial start is one whose disk had seen nothing
+        # without a disk, only the first start is an initial one, as a later process has no record of its votes
         machine.is_initial_start = machine.is_initial_start and self.disk is not None
         self.acceptor = None
-        self.state = None  #: the newest known to be chosen
+        self.state = None  #: the newest state known to be chosen
         self.contents = set()
         self.pending_saves = []
         self.read_lease = ReadLease()
-        self.highest_versions = {}  #: by address and disk: the highest version of its record
-        self.reports = {}  #: by address
-        self.queries = {}  #: by nonce: whom, and when
+        self.highest_versions = {}  #: the highest record version seen, by address and disk
+        self.reports = {}  #: the newest report, by address
+        self.queries = {}  #: queries in flight, as (address, time) by nonce
         self.proposer = ModelProposer(self)
         self.load()
 
@@ -84,7 +84,7 @@
             self.commit(chosen)
 
     def draw_identity(self):
-        """Become another replica, once its first record is saved."""
+        """Take a new identity once its first record is saved."""
         acceptor = Acceptor(Record(self.ip, next(self.world.disk_ids)))
         self.acceptor = None
 
@@ -105,7 +105,7 @@
     # -- the disk --
 
     def save_record(self, acceptor, on_done):
-        """Begin to save the acceptor's record as it is now; a seed without a disk only remembers it."""
+        """Begin to save the acceptor's present record; a seed without a disk keeps it only in memory."""
         record = acceptor.record
         if self.disk is None:
             acceptor.on_record_saved(record)
@@ -113,7 +113,7 @@
             on_done(True)
             return
         referenced = referenced_digests(record)
-        assert referenced <= self.contents, f"{self.ip} lacks what it accepts"
+        assert referenced <= self.contents, f"{self.ip} lacks a content that its record references"
         self.pending_saves.append(PendingSave(acceptor, record, referenced & self.contents, on_done))
 
     def save(self):
@@ -121,7 +121,7 @@
             self.save_record(self.acceptor, lambda is_saved: None)
 
     def finish_save(self, index, is_written):
-        """Return from a save, which the disk may have refused."""
+        """Finish a save; `is_written` is False for a disk error."""
         save = self.pending_saves.pop(index)
         try:
             if is_written:
@@ -134,7 +134,7 @@
         save.on_done(is_written)
 
     def repair(self):
-        """Save the newest state where an earlier save of it was refused."""
+        """Save the newest state if an earlier save of it failed."""
         if self.disk is None or self.acceptor is None or self.state is None:
             return
         if self.acceptor.durable_chosen_number < self.state.number:
@@ -164,7 +164,7 @@
         return self.reports.get(ip, NO_REPORT)
 
     def query(self, ip):
-        """Ask another process, or its own replica, what it holds."""
+        """Query another process, or the own replica, for its state."""
         now = self.world.now
         if ip == self.ip:
             self.query_own_replica(now)
@@ -183,9 +183,9 @@
     def on_query(self, ip, query):
         if self.is_rolled_back(query):
             assert (self.ip, self.acceptor.disk_id) in self.world.disk_faults.rolled_back, (
-                f"{self.ip} gives its disk up without cause"
+                f"{self.ip} abandons its disk identity without a rollback"
             )
-            # what was here may have voted on the first voters
+            # the abandoned identity may have voted on the first voters
             self.is_initial_start = self.machine.is_initial_start = False
             self.draw_identity()
             self.send_report(ip, query, None)
@@ -193,7 +193,7 @@
             self.send_report(ip, query, self.acceptor)
 
     def is_rolled_back(self, query):
-        """Whether the sender has seen a later record of this disk than is on it."""
+        """Return whether the sender has seen a newer record of this disk than the one on it."""
         if self.acceptor is None or self.disk is None:
             return False
         is_of_this_disk = query.receiver_disk_id == self.acceptor.disk_id
@@ -241,16 +241,16 @@
 
     # -- newer states --
 
-    def fetch(self, ip, then=lambda: None):
+    def fetch(self, ip, on_finished=lambda: None):
         def on_fetched(reply):
             if reply.state is not None:
                 self.learn(reply.state, reply.configuration_body)
-            then()
+            on_finished()
 
         self.world.call(self, ip, FetchState(self.number, self.config_digest, self.disk is not None), on_fetched)
 
     def learn(self, state, body):
-        """Take over a chosen state that another process holds."""
+        """Apply a chosen state from another process."""
         if self.state is not None and (state.number <= self.state.number or state.system != self.state.system):
             return
         is_without_past = state.config is not None and not state.past
@@ -269,11 +269,11 @@
             self.contents.add(state.config.digest)
 
     def commit(self, state):
-        """Hold a state that is known to be chosen."""
+        """Put a state in force that is known to be chosen."""
         self.world.invariants.on_committed(state)
-        before = self.state
+        previous = self.state
         self.state = state
-        if before is None or before.epoch != state.epoch:
+        if previous is None or previous.epoch != state.epoch:
             self.read_lease.retain_voters(state)
         referenced = self.proposer.referenced_digests()
         if state.config is not None:
@@ -284,38 +284,41 @@
 
     # -- the replica --
 
-    def on_call(self, call, answer):
+    def on_call(self, call, send_reply):
         match call:
             case Prepare():
-                self.on_prepare(call, answer)
+                self.on_prepare(call, send_reply)
             case Accept():
-                self.on_accept(call, answer)
+                self.on_accept(call, send_reply)
             case FetchState():
-                self.on_fetch(call, answer)
+                self.on_fetch(call, send_reply)
 
-    def on_fetch(self, call, answer):
+    def on_fetch(self, call, send_reply):
         state = self.state
         if state is None or state.number <= call.known_number:
-            answer(FetchedState(None, None))
+            send_reply(FetchedState(None, None))
             return
-        is_body_wanted = state.config is not None and state.config.digest != call.known_content
+        is_body_unknown = state.config is not None and state.config.digest != call.known_content
         sent = state if call.wants_full_state else state.without_past()
-        answer(FetchedState(sent, BODY if is_body_wanted else None))
+        send_reply(FetchedState(sent, BODY if is_body_unknown else None))
 
     def may_vote(self):
-        """Whether its promises count: with a disk, or as a seed until the founding is over."""
+        """Return whether its votes count: with a disk, or as a seed until the bootstrap is over."""
         if self.acceptor is None:
             return False
         return self.disk is not None or self.state is None or any(voter.ip == self.ip for voter in self.state.former)
 
     def may_found(self):
-        """A disk that was empty at a later start takes no part in a founding: what was there may have voted."""
+        """Return whether it may take part in a bootstrap.
+
+        With a disk that was empty at a later start it may not, since the replica on the earlier disk may have voted.
+        """
         return self.is_initial_start or self.state is not None or self.acceptor.accepted_state is not None
 
-    def on_prepare(self, call, answer):
+    def on_prepare(self, call, send_reply):
         acceptor = self.acceptor
         if not self.may_vote() or not self.may_found():
-            answer(Promised(False, 0))
+            send_reply(Promised(False, 0))
             return
         is_granted = acceptor.prepare(call.ballot, call.known_number)
         record = acceptor.record
@@ -328,26 +331,26 @@
         )
         body = BODY if has_new_body else None
         reply = Promised(is_granted, record.disk_id, record.promised, record.accepted_ballot, accepted, body)
-        self.reply_when_saved(acceptor, reply, record.accepted_ballot, Promised(False, 0), answer)
+        self.reply_when_saved(acceptor, reply, record.accepted_ballot, Promised(False, 0), send_reply)
 
-    def on_accept(self, call, answer):
+    def on_accept(self, call, send_reply):
         acceptor = self.acceptor
         if not self.may_vote() or not self.may_found() and not call.state.is_voter(self.ip, acceptor.disk_id):
-            answer(Accepted(False, 0))
+            send_reply(Accepted(False, 0))
             return
         self.add_body(call.state, call.configuration_body)
         if not has_contents(call.state, self.contents):
-            answer(Accepted(False, acceptor.disk_id, needs_body=True))
+            send_reply(Accepted(False, acceptor.disk_id, needs_body=True))
             return
         is_granted = acceptor.accept(call.ballot, call.state)
         record = acceptor.record
         reply = Accepted(is_granted, record.disk_id, record.promised)
-        self.reply_when_saved(acceptor, reply, record.accepted_ballot, Accepted(False, 0), answer)
+        self.reply_when_saved(acceptor, reply, record.accepted_ballot, Accepted(False, 0), send_reply)
 
-    def reply_when_saved(self, acceptor, reply, accepted_ballot, refusal, answer):
-        """Answer a refusal at once, and a grant once the record is on the disk."""
+    def reply_when_saved(self, acceptor, reply, accepted_ballot, rejection, send_reply):
+        """Send a rejection at once, and a vote once the record is on the disk, or `rejection` if that fails."""
         if not reply.is_granted:
-            answer(reply)
+            send_reply(reply)
             return
         invariants = self.world.invariants
         invariants.on_reply_made(self, acceptor.record)
@@ -355,7 +358,7 @@
         def on_saved(is_saved):
             if is_saved:
                 invariants.on_reply_sent(self, reply, accepted_ballot)
-            answer(reply if is_saved else refusal)
+            send_reply(reply if is_saved else rejection)
 
         self.save_record(acceptor, on_saved)
 
--- a/tests/balancer/control/consensus_model/proposer.py
+++ b/tests/balancer/control/consensus_model/proposer.py
@@ -1,4 +1,4 @@
-"""The proposing half of a process of the model."""
+"""The proposer of a process of the model."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from mapleline.balancer.transport.messages import Accept, Chosen, Prepare
 
 QUERY_INTERVAL_S = 1.0
-MAX_STATES_BEHIND = 8
+MAX_LAG = 8
 LOST_AFTER_S = 5.0
 COMMAND_TIMEOUT_S = 3.6
 
 
 class SubmittedCommand:
-    """A command that waits at a replica; `status` is None until it is answered."""
+    """A command at a replica; `deadline` is in seconds, and `status` is None until it is answered."""
 
-    def __init__(self, command, expires_at):
+    def __init__(self, command, deadline):
         self.command = command
-        self.expires_at = expires_at
+        self.deadline = deadline
         self.status = None
 
-    def is_open(self, now):
-        return self.status is None and self.expires_at > now
+    def is_pending(self, now):
+        return self.status is None and self.deadline > now
 
 
 class ModelProposer:
@@ -41,11 +41,11 @@
         self.world = node.world
         self.proposal = None
         self.commands = []
-        self.proposed_commands = []  #: those in the ballot that is out
-        self.results = []  #: of these
-        self.round = 0
+        self.proposed_commands = []  #: the commands in the ballot in progress
+        self.results = []  #: the results of `proposed_commands`
+        self.highest_round = 0
         self.is_coordinator = True
-        self.wanted_voters = None  #: any set of voters that the search wants
+        self.requested_voters = None  #: a set of voters that the search has requested; None for none
 
     # -- what to propose --
 
@@ -57,17 +57,21 @@
         self.commands.append(SubmittedCommand(command, self.world.now + COMMAND_TIMEOUT_S))
 
     def referenced_digests(self):
-        """Contents that must not be dropped."""
-        digests = {one.command.digest for one in self.commands if isinstance(one.command, ReplaceConfiguration)}
+        """Return the digests of the contents that must not be dropped."""
+        digests = {
+            submitted.command.digest
+            for submitted in self.commands
+            if isinstance(submitted.command, ReplaceConfiguration)
+        }
         proposed = self.proposal.proposed_state if self.proposal is not None else None
         if proposed is not None and proposed.config is not None:
             digests.add(proposed.config.digest)
         return digests
 
     def propose_if_due(self, is_coordinator):
-        """Begin a ballot if there is something to propose, and none is out."""
+        """Begin a ballot if there is something to propose and none is in progress."""
         node = self.node
-        self.commands = [one for one in self.commands if one.is_open(self.world.now)]
+        self.commands = [submitted for submitted in self.commands if submitted.is_pending(self.world.now)]
         if self.proposal is not None or node.acceptor is None or node.disk is None:
             return
         if node.state is None:
@@ -75,23 +79,23 @@
                 self.begin(initial_state(self.world.seed_ips), self.first_state)
         elif node.is_voter:
             self.is_coordinator = is_coordinator
-            if self.has_work():
+            if self.is_change_due():
                 self.begin(node.state, self.next_state)
 
-    def has_work(self):
+    def is_change_due(self):
         state = self.node.state
         accepted = self.node.acceptor.accepted_state
         is_accepted_undecided = accepted is not None and accepted.number > state.number
         return (
             self.commands
-            or self.wanted_voters
+            or self.requested_voters
             or state.former
             and self.is_coordinator
             or is_accepted_undecided
-            or self.voters_due(state)
+            or self.due_voters(state)
         )
 
-    def voters_due(self, base):
+    def due_voters(self, base):
         if not self.is_coordinator or self.world.now - self.node.lease_valid_since() > 2 * QUERY_INTERVAL_S:
             return None
         known = {voter.ip: voter for voter in base.voters}
@@ -106,12 +110,12 @@
             disk_id, durable_number, asked_at = self.node.acceptor.disk_id, base.number, now
         is_recent = now - asked_at < 2 * QUERY_INTERVAL_S and bool(disk_id)
         replica = Replica(ip, disk_id, ip) if is_recent or voter is None else voter
-        is_complete = is_recent and durable_number > 0 and durable_number + MAX_STATES_BEHIND >= base.number
+        is_complete = is_recent and durable_number > 0 and durable_number + MAX_LAG >= base.number
         is_leaving = self.world.machines[ip].is_leaving
         return ReplicaStatus(replica, is_complete, is_leaving, self.world.unreachable_s(self.node.ip, ip))
 
     def first_state(self, base):
-        """Found the system with all machines that are known to have a disk."""
+        """Return the system's first state, whose voters are all reachable machines that have reported a disk."""
         node = self.node
         voters = [
             Replica(ip, node.acceptor.disk_id if ip == node.ip else node.reports[ip].disk_id, ip)
@@ -121,16 +125,16 @@
         return bootstrap(base, next(self.world.system_ids), voters)
 
     def next_state(self, base):
-        self.proposed_commands = [one for one in self.commands if one.status is None]
+        self.proposed_commands = [submitted for submitted in self.commands if submitted.status is None]
         is_chosen = base == self.node.state
         state = finish_reconfiguration(base) if is_chosen else base
-        commands = [one.command for one in self.proposed_commands]
+        commands = [submitted.command for submitted in self.proposed_commands]
         state, self.results = apply_all(state, commands, self.world.tolerance)
-        if self.wanted_voters:
-            state = begin_reconfiguration(state, self.wanted_voters)
-            self.wanted_voters = None
+        if self.requested_voters:
+            state = begin_reconfiguration(state, self.requested_voters)
+            self.requested_voters = None
         if not base.former and is_chosen:
-            voters = self.voters_due(state) if not state.former else None
+            voters = self.due_voters(state) if not state.former else None
             if voters is not None:
                 state = begin_reconfiguration(state, voters)
         return state
@@ -140,11 +144,11 @@
     def begin(self, known_state, change):
         self.start_ballot(self.node.ip, self.node.incarnation, known_state, change)
 
-    def start_ballot(self, ip, disk, known_state, change):
+    def start_ballot(self, ip, disk_id, known_state, change):
         self.proposed_commands = []
         self.results = []
-        self.round = max(self.round, self.node.acceptor.record.promised.round) + 1
-        self.proposal = Proposal(Ballot(self.round, ip, disk), known_state, change)
+        self.highest_round = max(self.highest_round, self.node.acceptor.record.promised.round) + 1
+        self.proposal = Proposal(Ballot(self.highest_round, ip, disk_id), known_state, change)
         self.send_prepare(self.proposal)
 
     def send_prepare(self, proposal):
@@ -157,7 +161,7 @@
         state = proposal.proposed_state
         if not has_contents(state, self.node.contents):
             return
-        self.world.invariants.on_proposed(proposal, [one.command for one in self.proposed_commands])
+        self.world.invariants.on_proposed(proposal, [submitted.command for submitted in self.proposed_commands])
         is_new_config = state.config is not None and state.config != proposal.base.config
         for ip in proposal.accept_targets():
             call = Accept(proposal.ballot, state, b"" if is_new_config else None)
@@ -194,7 +198,7 @@
             case NextStep.CHOSEN:
                 self.on_chosen(proposal)
             case NextStep.PREEMPTED:
-                self.round = max(self.round, proposal.highest_ballot.round)
+                self.highest_round = max(self.highest_round, proposal.highest_ballot.round)
                 self.proposal = None
 
     def on_chosen(self, proposal):
@@ -210,10 +214,10 @@
             node.save()
         if state.number > node.number:
             node.commit(state)
-        self.answer_commands(state)
+        self.resolve_commands(state)
 
-    def answer_commands(self, state):
+    def resolve_commands(self, state):
         for submitted, result in zip(self.proposed_commands, self.results, strict=True):
-            if submitted.is_open(self.world.now):
+            if submitted.is_pending(self.world.now):
                 submitted.status = result.status
                 self.world.invariants.on_acknowledged(submitted.command, result.status, state)
--- a/tests/balancer/control/test_consensus_model.py
+++ b/tests/balancer/control/test_consensus_model.py
@@ -43,7 +43,7 @@
     def test_the_random_search_detects_each_mutant(self):
         for name in MUTANTS.keys() - DIRECTED_HISTORIES.keys():
             with self.subTest(name), mutant(name), self.assertRaises(AssertionError):
-                search(400, steps=120, has_end=False)
+                search(400, steps=120, must_converge=False)
 
     def test_directed_histories_break_no_invariant_and_detect_their_mutants(self):
         for name, history in DIRECTED_HISTORIES.items():
