--- a/mapleline/balancer/control/replica.py
+++ b/mapleline/balancer/control/replica.py
@@ -105,7 +105,7 @@
         return snapshot
 
     def _reject_store(self, record: Record | None, faults: list[FileFault]) -> None:
-        """Continue as a new replica; it takes no part in a bootstrap, as the disk's earlier replica may have voted."""
+        """Continue as a new replica; it takes no part in a bootstrap if an earlier one on this disk may have voted."""
         if record is not None:
             logger.info("corrupt file", extra={"file": "replica: another machine's, or restored from a dump"})
         # files of the legacy format cast no votes on this system's states
