--- a/mapleline/cores/customer_table.py
+++ b/mapleline/cores/customer_table.py
@@ -1,7 +1,7 @@
-"""Each worker's counts of its customers, in shared memory: a set-associative table a worker.
+"""Each worker's counts of its customers, in shared memory: one set-associative table per worker.
 
-A row carries a checksum.  Whoever reads a row that is half written, because its writer is writing it or has exited
-there, sees no row and decides on what it knows itself.
+A row carries a checksum.  A reader skips a row that is half written, because its writer is just writing it or has
+exited while writing it, and decides by its own counts.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 CHECKSUM = struct.Struct("=I4x")  # CRC-32 (never 0) and padding, at the end of a row
 CHECKED_BYTES = ROW_BYTES - CHECKSUM.size
 KEY_BYTES = 8  # the row's first field, little endian
-MAX_READ_ATTEMPTS = 3  # of a row that changes meanwhile
+MAX_READ_ATTEMPTS = 3  # of a row that changes during the read
 GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio: Fibonacci hashing (Knuth, TAOCP 3, 6.4)
 MASK_64 = 0xFFFFFFFFFFFFFFFF
 
@@ -28,19 +28,19 @@
     """One customer's use as one worker knows it, in the order of the row's fields.
 
     Attributes:
-        key: The customer.
-        window: Number of the window that the counts are of.
+        key: The customer's number.
+        window: The number of the counting window of these counts.
         total_at_ns: When the counter gave `total`; 0 if it gave none in this window.
-        previous_total: Last total of the window before.
+        previous_total: Last total of the previous window, units.
         total: Last total of this window, units.
         unconfirmed: Units admitted since that total, without an answer of the counter.
         admitted: Units that the worker admitted in this window.
-        owed: Units to go with the next call to the counter.
+        owed: Units that the next call to the counter adds.
         in_flight: Attempts in flight.
         burst: Units that the quota's bucket holds.
-        burst_at_ns: When that was so.
-        ceiling: Units that the bucket under the hard ceiling holds.
-        ceiling_at_ns: When that was so.
+        burst_at_ns: When `burst` was updated.
+        ceiling: Units that the bucket of the hard ceiling holds.
+        ceiling_at_ns: When `ceiling` was updated.
     """
 
     key: int
@@ -81,10 +81,10 @@
 class CustomerTable:
     """One worker's view: its own table, which it writes, and the others', which it reads.
 
-    A full set loses one of its rows to a new customer, in turn.
+    A new customer in a full set evicts one of its rows, in turn.
 
     Attributes:
-        torn_reads: Rows that could not be read complete.
+        torn_reads: Rows that could not be read completely.
         evictions: Own rows overwritten by another customer's.
     """
 
@@ -94,8 +94,8 @@
         Args:
             memory: The shared memory.
             workers: Number of workers.
-            worker: Number of this one.
-            customer_rows: Rows of each table, about.
+            worker: The number of this worker.
+            customer_rows: The approximate number of rows of each table.
         """
         self._sets = customer_sets(customer_rows)
         self._own = customer_region(memory, workers, worker, customer_rows)
@@ -117,7 +117,7 @@
                 self._key_by_offset[offset] = row.key
 
     def _set_offsets(self, key: int) -> range:
-        """Offsets of the rows where a customer's may be, bytes."""
+        """Return the offsets, in bytes, of the rows that may hold a customer."""
         spread = (key * GOLDEN_RATIO_64 & MASK_64) >> 32
         start = spread % self._sets * SET_BYTES
         return range(start, start + SET_BYTES, ROW_BYTES)
@@ -146,7 +146,7 @@
         self._own[offset : offset + ROW_BYTES] = row.pack()
 
     def _allocate(self, key: int) -> int:
-        """Give a customer a row of its set, by eviction if the set is full; returns the offset."""
+        """Assign a row of its set to a customer, by eviction if the set is full, and return the row's offset."""
         offsets = self._set_offsets(key)
         offset = next((free for free in offsets if free not in self._key_by_offset), None)
         if offset is None:
@@ -174,7 +174,7 @@
     def clear_in_flight(self) -> int:
         """Note that the worker of this table has exited and has no attempts in flight.
 
-        Its other counts stay: those units are admitted.
+        Its other counts stay, because those units are admitted.
 
         Returns:
             The attempts that it had in flight.
--- a/mapleline/policy/brain.py
+++ b/mapleline/policy/brain.py
@@ -1,119 +1,116 @@
-"""All decisions of an ingress: admission.py, choice.py, tries.py, health.py; what they remember: state.py.
-Events and actions: mapleline/policy/interface.py.  A request: on_arrival, ask (counter call), decide
-(two-window estimate), dispatch (ceiling, server, Send), on_outcome (retry or end), finish (final answer)."""
+"""The decision module of an ingress; its state: state.py, events and actions: mapleline/policy/interface.py.
+A request: on_arrival, ask (counter call), decide (estimate), dispatch, on_outcome (retry or end), finish."""
 
 
-from . import interface as i
-from .admission import CALLS_FIRST, Admission
+from . import interface as api
+from .admission import SAMPLING_START, Admission
 from .choice import Choice
 from .health import Health
-from .state import COUNT_WAIT, GUARD, TICK, Customer, Memory, Request
+from .state import COUNTER_WAIT, DEADLINE, TICK, Request, State, Usage
 from .tries import Tries
 
-MISS_SHARE = 1 / 16  # a counter answer slower than this share of the shortest aim is not waited for
+WAIT_SHARE = 1 / 16  # of the shortest latency target: the longest wait for a counter answer
 
 
-class Brain(Admission, Tries, Health, Choice, Memory):
-    """Decides for one gateway; deterministic for the same start and events."""
+class Brain(Admission, Tries, Health, Choice, State):  # deterministic for the same settings and events
 
-    def __init__(self, start: i.Start) -> None:
+    def __init__(self, start: api.Start) -> None:
         super().__init__(start)
-        self.patience = min(start.counter_timeout_ns or self.aim, self.aim * MISS_SHARE)  # with the counter
-        self.asking, self.asking_cut, self.mean_stakes = CALLS_FIRST, 0, 1e-9  # share of tries that call
-        self.on = {i.Arrival: self.on_arrival, i.Outcome: self.on_outcome, i.Timer: self.on_timer,
-          i.Counted: self.on_counted, i.ServerNews: self.on_news, i.Left: self.on_left, i.Begun: self.on_left,
-          i.Probed: lambda ev: None, i.Told: self.on_told, i.Whole: self.on_whole, i.ZoneTurn: self.on_zone}
+        self.wait_ns = min(start.counter_timeout_ns or self.target_ns, self.target_ns * WAIT_SHARE)
+        self.sampling, self.sampling_cut_at, self.mean_value = SAMPLING_START, 0, 1e-9  # see Admission.ask
+        self.handlers = {api.Arrival: self.on_arrival, api.Outcome: self.on_outcome, api.Timer: self.on_timer,
+            api.Counted: self.on_counted, api.ServerNews: self.on_news, api.Left: self.on_left,
+            api.Begun: self.on_left, api.Probed: lambda event: None, api.Told: self.on_told,
+            api.Whole: self.on_whole, api.ZoneTurn: self.on_zone}
 
-    def handle(self, now_ns: int, event: i.Event) -> list[i.Action]:
+    def handle(self, now_ns: int, event: api.Event) -> list[api.Action]:
         self.now, self.actions = now_ns, []
-        if self.born < 0:
-            self.born = now_ns
-            self.timer(self.aim // 2, TICK, 0)
-            self.actions += [i.Watch()] if self.settings.list_on_request else []
-        self.on[type(event)](event)
+        if self.started_at < 0:
+            self.started_at = now_ns
+            self.set_timer(self.target_ns // 2, TICK, 0)
+            self.actions += [api.Watch()] if self.settings.list_on_request else []
+        self.handlers[type(event)](event)
         if self.peers is not None:
             self.peers.publish()
         return self.actions
 
-    def timer(self, after: float, kind: int, ref: int) -> None:
-        owner = None if kind == TICK else ref
-        self.actions.append(i.SetTimer(max(0, int(after)), ref * 8 + kind, owner))
+    def set_timer(self, after_ns: float, kind: int, number: int) -> None:
+        request = None if kind == TICK else number
+        self.actions.append(api.SetTimer(max(0, int(after_ns)), number * 8 + kind, request))
 
-    def say(self, what: str, state: bool) -> None:
-        if self.says.get(what, False) != state:
-            self.says[what] = state
-            self.actions.append(i.Log(f"{what}: {'yes' if state else 'no'}"))
+    def log_change(self, condition: str, state: bool) -> None:
+        if self.logged.get(condition, False) != state:
+            self.logged[condition] = state
+            self.actions.append(api.Log(f"{condition}: {'yes' if state else 'no'}"))
 
-    def may(self, what: str, key: int = 0, size: float = 1.0, part: float = 1.0) -> bool:
-        return self.budgets is None or self.budgets.take(what, self.now, key, size, part)
+    def may_spend(self, name: str, key: int = 0, size: float = 1.0, part: float = 1.0) -> bool:
+        return self.budgets is None or self.budgets.take(name, self.now, key, size, part)
 
-    def on_arrival(self, ev: i.Arrival) -> None:
-        s, cls = self.settings, self.settings.classes[ev.class_id]
-        plan = s.plans[ev.plan] if ev.plan < len(s.plans) else i.Plan()
-        c = Customer(ev.plan, max(1, min(ev.ingress_count, s.ingresses)), key=ev.customer)
-        c = self.customers.setdefault(ev.customer, c)
-        c.seen_at = self.now
-        r = self.requests[ev.request] = Request(ev, cls, plan, c, at=self.now)
-        spent = 0  # a marked later try with another patience than first ones has what is left of the deadline
-        if not ev.is_retry:
-            self.first_ttl[ev.class_id] = ev.ttl_ns
-        elif abs(ev.ttl_ns - self.first_ttl[ev.class_id]) > 0.02 * cls.deadline_ns:
-            spent = max(0, cls.deadline_ns - ev.ttl_ns)
-        useful = cls.latency_target_ns - spent if cls.late_value <= 0 else ev.ttl_ns
-        r.end = self.now + max(0, min(ev.ttl_ns, useful) - 3 * s.tick_ns)  # later no answer can earn
-        if cls.late_value <= 0 and useful < self.usual[ev.class_id]:
-            return self.finish(r)
-        if not ev.is_body_pending:
-            self.timer(r.end - self.now, GUARD, ev.request)
-        if self.out >= int(self.room + self.rng.random()):  # a lot for the odd part: right over many gateways
-            self.finish(r, s.max_retry_after_ns)
-        elif plan.rate > 0 and plan.burst > 0 and not ev.is_counted:
-            self.ask(r)
+    def on_arrival(self, event: api.Arrival) -> None:
+        settings, class_ = self.settings, self.settings.classes[event.class_id]
+        plan = settings.plans[event.plan] if event.plan < len(settings.plans) else api.Plan()
+        usage = Usage(event.plan, max(1, min(event.ingress_count, settings.ingresses)), key=event.customer)
+        usage = self.customers.setdefault(event.customer, usage)
+        usage.seen_at = self.now
+        request = self.requests[event.request] = Request(event, class_, plan, usage, arrived_at=self.now)
+        spent_ns = 0  # a marked retry with another TTL than first tries has what is left of the deadline
+        if not event.is_retry:
+            self.first_ttl_ns[event.class_id] = event.ttl_ns
+        elif abs(event.ttl_ns - self.first_ttl_ns[event.class_id]) > 0.02 * class_.deadline_ns:
+            spent_ns = max(0, class_.deadline_ns - event.ttl_ns)
+        useful_ns = class_.latency_target_ns - spent_ns if class_.late_value <= 0 else event.ttl_ns
+        request.useful_until = self.now + max(0, min(event.ttl_ns, useful_ns) - 3 * settings.tick_ns)
+        if class_.late_value <= 0 and useful_ns < self.usual_ns[event.class_id]:
+            return self.finish(request)
+        if not event.is_body_pending:
+            self.set_timer(request.useful_until - self.now, DEADLINE, event.request)
+        if self.in_flight >= int(self.capacity + self.rng.random()):  # rounded at random: exact on average
+            self.finish(request, settings.max_retry_after_ns)
+        elif plan.rate > 0 and plan.burst > 0 and not event.is_counted:
+            self.ask(request)
         else:
-            self.dispatch(r) if self.open_room(r) or self.extra(r) else self.finish(r)
+            self.dispatch(request) if self.has_slot(request) or self.exceed(request) else self.finish(request)
 
-    def on_whole(self, ev: i.Whole) -> None:
-        """The body that was coming is whole: from now on the request's time counts, and the server's."""
-        r = self.requests.get(ev.request)
-        if r is not None and not r.stream:
-            r.end += self.now - r.at
-            self.timer(r.end - self.now, GUARD, ev.request)
-            for n, sid in r.live.items():
-                if sid in self.servers and self.servers[sid].out.pop((ev.request, n), None):
-                    self.servers[sid].out[(ev.request, n)] = (self.now, self.usual[r.ev.class_id])
+    def on_whole(self, event: api.Whole) -> None:  # its times start with the body's last byte
+        request = self.requests.get(event.request)
+        if request is not None and not request.is_streaming:
+            request.useful_until += self.now - request.arrived_at
+            self.set_timer(request.useful_until - self.now, DEADLINE, event.request)
+            for n, server in request.attempts.items():
+                if server in self.servers and self.servers[server].attempts.pop((event.request, n), None):
+                    self.servers[server].attempts[(event.request, n)] = (
+                        self.now, self.usual_ns[request.event.class_id])
 
-    def on_timer(self, ev: i.Timer) -> None:
-        kind, rid = ev.token % 8, ev.token // 8
-        r = self.requests.get(rid)
+    def on_timer(self, event: api.Timer) -> None:
+        kind, number = event.token % 8, event.token // 8
+        request = self.requests.get(number)
         if kind == TICK:
             self.on_tick()
-        elif r is not None and kind == GUARD and not r.stream:
-            if any(sid in self.servers and not self.silent(self.servers[sid]) for sid in r.live.values()):
-                self.crowded()
-            self.finish(r)
-        elif r is not None and kind == COUNT_WAIT and not r.decided:
-            self.decide(r, r.before)
+        elif request is not None and kind == DEADLINE and not request.is_streaming:
+            if any(s in self.servers and not self.silent(self.servers[s]) for s in request.attempts.values()):
+                self.cut_capacity()
+            self.finish(request)
+        elif request is not None and kind == COUNTER_WAIT and not request.is_decided:
+            self.decide(request, request.total_before)
 
-    def on_left(self, ev: i.Left | i.Begun) -> None:
-        """The client is gone, or its streamed answer has begun: no further answer is owed."""
-        r = self.requests.get(ev.request)
-        if r is not None and type(ev) is i.Begun:
-            r.stream = True
-        elif r is not None:
-            self.forget(r)
+    def on_left(self, event: api.Left | api.Begun) -> None:  # once an answer streams, no other may follow
+        request = self.requests.get(event.request)
+        if request is not None and type(event) is api.Begun:
+            request.is_streaming = True
+        elif request is not None:
+            self.drop(request)
 
-    def on_tick(self) -> None:
-        """Twice an aim: slow forgetting, and dropping what is no longer needed."""
-        self.timer(self.aim // 2, TICK, 0)
-        self.say("overload", self.out >= self.room)
-        self.tell_credit = min(self.settings.ingresses,
-                               self.tell_credit + self.settings.peer_messages_per_s / 4 * self.aim / 1e9)
-        for sid, sv in list(self.servers.items()):
-            sv.slow, sv.bad = 0.95 * sv.slow + 0.05, 0.95 * sv.bad  # else one never chosen would stay out
-            if sv.life == i.ServerState.GONE and not sv.out:
-                del self.servers[sid]
+    def on_tick(self) -> None:  # twice in a latency target: decay, and deletion of expired state
+        self.set_timer(self.target_ns // 2, TICK, 0)
+        self.log_change("overload", self.in_flight >= self.capacity)
+        self.message_tokens = min(self.settings.ingresses, self.message_tokens
+                                  + self.settings.peer_messages_per_s / 4 * self.target_ns / 1e9)
+        for number, server in list(self.servers.items()):  # decay: one without requests would stay ejected
+            server.slowness, server.error_rate = 0.95 * server.slowness + 0.05, 0.95 * server.error_rate
+            if server.state == api.ServerState.GONE and not server.attempts:
+                del self.servers[number]
         self.refresh()
         self.calls = {name: queue for name, queue in self.calls.items() if queue}
-        self.over = {key: until for key, until in self.over.items() if until > self.now}
-        held = self.now - self.keep
-        self.customers = {key: c for key, c in self.customers.items() if c.out > 0 or c.seen_at > held}
+        self.limited = {key: until for key, until in self.limited.items() if until > self.now}
+        since = self.now - self.customer_life_ns
+        self.customers = {key: c for key, c in self.customers.items() if c.in_flight > 0 or c.seen_at > since}
--- a/mapleline/policy/choice.py
+++ b/mapleline/policy/choice.py
@@ -3,45 +3,43 @@
 from .estimate import expected
 from .state import UNSAFE, Request, Server
 
-IDLER = 0.5  # expected time at a server that holds back another class
-DRAWS = 20  # servers looked at for an attempt, and as many again for each that a gateway could own
-DRAWN_ALL = 6  # draws a server: with more of them one in 400 is missed, and drawing costs more than it spares
-FAR = 1.02  # another zone must look a little better: less than chance, or all would stay in their own
+OTHER_CLASS = 0.5  # factor on the expected time at a server that rejects another class
+DRAWS = 20  # servers drawn by weight for an attempt, and as many again for each server per ingress
+MAX_DRAWS = 6  # per server: more would miss one server in 400, and drawing cost more than it saves
+OTHER_ZONE = 1.02  # another zone's server must be this much better; less than CHANCE, or all stay in theirs
 
 
 class Choice:
 
-    def pick(self, r: Request) -> Server | None:
-        """From the first tier that has a server to be had; later ones as far as the fleet's spill goes."""
-        best = self.cold_lot(r.ev.class_id) if self.cold and r.sent == 0 else None
-        if best is not None or not self.warm:
-            return best
-        for n, tier in enumerate(self.tiers):
-            warm = [sv for sv in self.warm if sv.zone in tier]
-            best = self.choose(r, warm) if warm else None
-            if best is not None:
-                size, top = sum(sv.zone == best.zone for sv in warm), max(
-                    c.value for c in self.settings.classes)
-                return best if n == 0 or self.may("spill", best.zone, size, r.cls.value / top) else None
-        return None if self.tiers else self.choose(r, self.warm)
+    def pick(self, request: Request) -> Server | None:  # later tiers within the spill budget
+        one = self.draw_cold(request.event.class_id) if self.cold and request.sent == 0 else None
+        if one is not None or not self.warm:
+            return one
+        for rank, tier in enumerate(self.tiers):
+            warm = [s for s in self.warm if s.zone in tier]
+            one = self.choose(request, warm) if warm else None
+            if one is not None:
+                size, top = sum(s.zone == one.zone for s in warm), max(c.value for c in self.settings.classes)
+                return one if rank == 0 or self.may_spend(
+                    "spill", one.zone, size, request.class_.value / top) else None
+        return None if self.tiers else self.choose(request, self.warm)
 
-    def choose(self, r: Request, warm: list[Server]) -> Server | None:
-        """Least expected time to an answer among some drawn by weight; failures are priced."""
-        cls, usual, best = r.ev.class_id, self.usual[r.ev.class_id], None
-        few, drawn = DRAWS + DRAWS * len(warm) // self.settings.ingresses, warm
-        if few < DRAWN_ALL * len(warm):  # else next to none would be left out
-            drawn = self.rng.choices(drawn, [sv.weight for sv in drawn], k=few)
-        mean = self.weight / (len(warm) + len(self.cold))
-        loss, best_cost = r.cls.latency_target_ns if r.cls.effect == UNSAFE else 2 * usual, 0.0
-        drawn = [sv for sv in dict.fromkeys(drawn) if self.usable(sv, cls)]
-        drawn = drawn or [sv for sv in warm if self.usable(sv, cls)]
-        for sv in drawn:
-            cost = expected(usual * sv.slow, len(sv.out) * mean / sv.weight, self.rng)
-            held = sv.full_for
-            if held and cls not in held and any(until > self.now for until in held.values()):
-                cost *= IDLER
-            cost = cost * (FAR if sv.zone != self.settings.zone else 1.0) + loss * (
-                sv.bad + (sv.id in r.tried))
-            if best is None or cost < best_cost:
-                best, best_cost = sv, cost
+    def choose(self, request: Request, warm: list[Server]) -> Server | None:  # least time; failures add to it
+        class_id, usual_ns, best = request.event.class_id, self.usual_ns[request.event.class_id], None
+        count, drawn = DRAWS + DRAWS * len(warm) // self.settings.ingresses, warm
+        if count < MAX_DRAWS * len(warm):  # otherwise nearly all would be drawn
+            drawn = self.rng.choices(drawn, [s.weight for s in drawn], k=count)
+        mean = self.total_weight / (len(warm) + len(self.cold))
+        loss, low = request.class_.latency_target_ns if request.class_.effect == UNSAFE else 2 * usual_ns, 0.0
+        drawn = [s for s in dict.fromkeys(drawn) if self.is_usable(s, class_id)]
+        drawn = drawn or [s for s in warm if self.is_usable(s, class_id)]
+        for server in drawn:
+            cost = expected(usual_ns * server.slowness, len(server.attempts) * mean / server.weight, self.rng)
+            blocked = server.blocked
+            if blocked and class_id not in blocked and any(until > self.now for until in blocked.values()):
+                cost *= OTHER_CLASS
+            cost = cost * (OTHER_ZONE if server.zone != self.settings.zone else 1.0) + loss * (
+                server.error_rate + (server.id in request.tried))
+            if best is None or cost < low:
+                best, low = server, cost
         return best
--- a/tests/cores/test_peer_usage.py
+++ b/tests/cores/test_peer_usage.py
@@ -48,7 +48,7 @@
             max_units=1,
         )
         brain = Brain(start)
-        brain.asking = 1.1
+        brain.sampling = 1.1
         if workers > 1:
             brain.peers = PeerUsage(CustomerTable(memory, workers, number, CUSTOMER_ROWS))
         brain.handle(START_NS, interface.ServerNews(interface.News.CACHED, SERVERS))
@@ -128,19 +128,19 @@
         return brain
 
     exited = start_worker()
-    exited.asking = 0.0  # never asks: all that it admits is owed
+    exited.sampling = 0.0  # never asks: all that it admits is owed
     for number in range(5):
         exited.handle(START_NS + number, arrival(number + 1))
-    owed = exited.customers[CUSTOMER].owed
+    owed = exited.customers[CUSTOMER].pending
     CustomerTable(memory, 2, 0, CUSTOMER_ROWS).clear_in_flight()
     replacement = start_worker()
-    replacement.asking = 2.0
+    replacement.sampling = 2.0
     actions = replacement.handle(START_NS + 9, arrival(1))
     (call,) = [action for action in actions if type(action) is interface.Count]
     assert owed == 5.0
     assert call.amount == owed + 1.0
-    assert call.name == mix64(CUSTOMER, replacement.customers[CUSTOMER].win)
-    assert replacement.customers[CUSTOMER].peer_out == 0
+    assert call.name == mix64(CUSTOMER, replacement.customers[CUSTOMER].window)
+    assert replacement.customers[CUSTOMER].peer_in_flight == 0
 
 
 def test_a_server_in_slow_start_gets_its_share_of_all_workers_requests():
@@ -151,7 +151,7 @@
     for worker in range(4):
         brain = Brain(settings(ingresses=4, ingress=worker, workers=4, seed=worker))
         brain.handle(START_NS, interface.ServerNews(interface.News.CACHED, servers))
-        brain.room = 1e9
+        brain.capacity = 1e9
         for number in range(1000):
             actions = brain.handle(START_NS, interface.Arrival(number + 1, 0, 2, number, 4 * S, 1.0, 1))
             forwarded += sum(1 for action in actions if type(action) is interface.Send and action.server == 10)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -43,7 +43,7 @@
 
     def __init__(self, servers=6, **changes):
         self.brain, self.now, self.next = Brain(settings(**changes)), 4000 * S, 0
-        self.brain.asking = 1.5  # as after many quick answers of the counter
+        self.brain.sampling = 1.5  # as after many quick answers of the counter
         servers_listed = [interface.Server(number, zone=number % 2) for number in range(1, servers + 1)]
         self.first = self.do(interface.ServerNews(interface.News.CACHED, servers_listed))
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -220,7 +220,7 @@
     (guard,) = [a for a in g.do(i.Whole(1), wait=later) if type(a) is i.SetTimer]
     assert 0.9 * S < guard.after_ns <= S  # its aim: later answers of this class earn nothing
     server = g.brain.servers[send.server]
-    assert server.out[(1, 0)][0] == g.now  # it holds the request since now
+    assert server.attempts[(1, 0)][0] == g.now  # it holds the request since now
     assert only(g.do(i.Timer(guard.token), wait=guard.after_ns), i.Refuse)  # safe to repeat: harmless
 
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -40,7 +40,7 @@
         _, (call,) = ask(g)
         counted(g, call, 8.0)
         _, (call,) = ask(g, wait=6 * S)  # half way through the next window
-        g.brain.customers[5].saved = 0.0
+        g.brain.customers[5].burst = 0.0
         acts = counted(g, call, before + 1.0)
         assert bool(only(acts, i.Send)) is sent
 
@@ -59,7 +59,7 @@
     _, (call,) = ask(g, wait=seen)
     counted(g, call, 6.0)
     _, (call,) = ask(g, wait=6 * S - seen)  # half way through the next window
-    g.brain.asking = asking
+    g.brain.sampling = asking
     acts = counted(g, call, 7.0)  # 6 x 1/2 + 6 against 8
     assert bool(only(acts, i.Send)) is sent
 
@@ -124,7 +124,7 @@
     """Else the next totals look like an emptied counter's, and units of the old window go to the new one."""
 
     def asked(**kw):
-        g.brain.asking = 9.0  # no lot
+        g.brain.sampling = 9.0  # no lot
         return ask(g, **kw)[1][0]
 
     g = Gateway()
@@ -135,12 +135,12 @@
     counted(g, new, 1.0)
     counted(g, late, 9.0)
     c = g.brain.customers[5]
-    assert (c.put, c.known, c.owed, c.least) == (1.0, 1.0, 0.0, 0.0)
+    assert (c.added, c.total, c.pending, c.floor) == (1.0, 1.0, 0.0, 0.0)
     g.now += S
     call = asked()
     g.now += 4 * S  # it answers an edge later, with nobody having looked since
     counted(g, call, 2.0)
-    assert c.put == c.known == 0.0
+    assert c.added == c.total == 0.0
 
 
 def test_after_a_silence_the_total_is_not_taken_for_all_that_was_let_in():
@@ -148,14 +148,14 @@
     g = Gateway()
     _, (call,) = ask(g, units=3.0)
     counted(g, call, 6.0)
-    c, g.brain.asking = g.brain.customers[5], 0.0
+    c, g.brain.sampling = g.brain.customers[5], 0.0
     for _ in range(2):
         ask(g, wait=MS)
     assert c.unseen == 1.0  # the second no longer fits
-    g.brain.asking, g.brain.down_at = 9.0, g.now
+    g.brain.sampling, g.brain.down_at = 9.0, g.now
     _, (call,) = ask(g, wait=MS)
     counted(g, call, 6.0 + call.amount)
-    assert c.known >= 6.0 + 1.0 / c.share  # without `least` 7.0: its own one only
+    assert c.total >= 6.0 + 1.0 / c.share  # without `floor` 7.0: its own one only
 
 
 @pytest.mark.parametrize("result", [R.TIMEOUT, R.ERROR, R.RESET])
@@ -166,22 +166,22 @@
         _, (call,) = ask(g, units=1.0)
         assert call.amount == 1.0
         counted(g, call, 0.0, result)
-    assert g.brain.asking == 1.5
+    assert g.brain.sampling == 1.5
     _, (call,) = ask(g, units=1.0)
     counted(g, call, 0.0, R.TIMEOUT, took=50 * MS)
-    assert g.brain.asking < 1.5  # one that did not come in time does
+    assert g.brain.sampling < 1.5  # one that did not come in time does
 
 
 @pytest.mark.parametrize(("took", "grows"), [(2, True), (15, True), (25, False), (40, False)])
 def test_the_share_of_tries_that_call_follows_the_wait_for_the_counter(took, grows):
     """It grew only on answers within a quarter of the patience: a slow counter stood idle for a third."""
     g = Gateway(counter_timeout_ns=200 * MS, classes=[i.RequestClass(640 * MS, 4 * S)])  # a patience of 40 ms
-    g.brain.asking = start = 0.5
+    g.brain.sampling = start = 0.5
     for _ in range(20):
         for call in ask(g, wait=10 * MS)[1]:
             counted(g, call, 1.0, took=took * MS)
-    assert (g.brain.asking > start) is grows
-    assert 0.2 < g.brain.asking  # never by half for an answer that came
+    assert (g.brain.sampling > start) is grows
+    assert 0.2 < g.brain.sampling  # never by half for an answer that came
 
 
 def test_answer_after_the_end_sends_nothing():
@@ -205,7 +205,7 @@
     _, (call,) = ask(g)
     counted(g, call, 8.0)
     _, (call,) = ask(g, wait=5 * S)  # a quarter into the next window: 8 x 3/4 weigh
-    g.brain.asking = 0.9  # nothing but the two windows counts
+    g.brain.sampling = 0.9  # nothing but the two windows counts
     (refusal,) = only(counted(g, call, 1.0 + min(before, 4.0) if before < 10 else before), i.Refuse)
     assert refusal.over_quota
     # 6 + 4 over 8: a quarter of the window more brings the previous total's part down to 4.
@@ -343,7 +343,7 @@
         rid, acts = g.arrive(wait=5 * MS)
         for send in only(acts, i.Send):
             g.end(rid, send.server, R.OK, took=900 * MS)
-    assert g.brain.room == pytest.approx(2.0)  # one for each of 6 servers, over 3 gateways
+    assert g.brain.capacity == pytest.approx(2.0)  # one for each of 6 servers, over 3 gateways
     assert only(g.arrive()[1], i.Send)
 
 
@@ -357,7 +357,7 @@
         if rid in g.brain.requests:
             g.end(rid, 1, R.OK)
     for server in range(1, 7):
-        g.brain.servers[server].out.clear()
+        g.brain.servers[server].attempts.clear()
     g.do(i.ServerNews(i.News.FULL, [i.Server(9)]))
     g.do(i.Timer(2), wait=120 * S)
     b = g.brain
@@ -367,29 +367,29 @@
 def test_what_a_draining_server_turned_away_costs_no_room():
     """A release of 24 servers cost nine tenths of the room: each turned away before the list said why."""
     g = Gateway(servers=1)
-    room = g.brain.room
+    room = g.brain.capacity
     costs = []
     for _ in range(3):
         rid, acts = g.arrive(wait=5 * S)  # past the hold on that server
         (send,) = only(acts, i.Send)
-        before = g.brain.room
+        before = g.brain.capacity
         g.end(rid, send.server, i.Result.REJECTED, took=1 * MS)
-        costs.append(before - g.brain.room)
+        costs.append(before - g.brain.capacity)
     assert costs[0] > 0
     g.do(i.ServerNews(i.News.CHANGES, [i.Server(1, i.ServerState.DRAINING)]))
-    assert g.brain.room == room
+    assert g.brain.capacity == room
 
 
 def test_a_full_server_that_answers_between_costs_room_each_time_and_keeps_it():
     g = Gateway(servers=1)
-    g.brain.room = 10.0
+    g.brain.capacity = 10.0
     for _ in range(2):
         rid, acts = g.arrive(wait=5 * S)
-        before = g.brain.room
+        before = g.brain.capacity
         g.end(rid, 1, i.Result.REJECTED, took=1 * MS)
-        assert g.brain.room < before
+        assert g.brain.capacity < before
         rid, acts = g.arrive(wait=5 * S)
         g.end(rid, 1, i.Result.OK, took=100 * MS)
-    lost = g.brain.room
+    lost = g.brain.capacity
     g.do(i.ServerNews(i.News.CHANGES, [i.Server(1, i.ServerState.DRAINING)]))
-    assert g.brain.room == lost
+    assert g.brain.capacity == lost
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,7 +6,7 @@
 from helpers import Gateway as AnyGateway
 
 from mapleline.policy import interface as i
-from mapleline.policy.admission import CUSTOMER, WORD
+from mapleline.policy.admission import MESSAGE, OVER_LIMIT
 
 R = i.Result
 
@@ -14,7 +14,7 @@
 def Gateway(*args, **changes):  # noqa: N802
     """A gateway whose room is not what is tested."""
     g = AnyGateway(*args, **changes)
-    g.brain.room = 9.0
+    g.brain.capacity = 9.0
     return g
 
 
@@ -38,7 +38,7 @@
         _, acts = g.arrive(plan=0, spread=300, customer=100 + n, wait=10 * MS)
         for call in only(acts, i.Count):
             g.do(i.Counted(call.name, R.OK, 50.0, MS))
-    g.brain.asking = 0.0
+    g.brain.sampling = 0.0
     assert not any(only(g.arrive(plan=0, spread=300, customer=900 + n)[1], i.Send) for n in range(20))
 
 
@@ -65,11 +65,11 @@
 
 def test_an_asking_try_stands_for_those_that_did_not_ask():
     g = Gateway(ingresses=300)
-    g.brain.asking = 0.5
+    g.brain.sampling = 0.5
     amounts = [c.amount for n in range(40) for c in only(g.arrive(plan=0, spread=300, customer=n)[1], i.Count)]
     assert amounts and all(1.0 < a <= 4.0 for a in amounts)
     few = Gateway(ingresses=3)
-    few.brain.asking = 0.5
+    few.brain.sampling = 0.5
     amounts = [c.amount for n in range(40) for c in only(few.arrive(plan=0, customer=n)[1], i.Count)]
     assert amounts and set(amounts) == {1.0}
 
@@ -88,13 +88,13 @@
 
 def test_a_customer_over_its_limit_is_told_to_its_gateways_and_not_asked_for_again():
     g, other = (Gateway(ingresses=300, ingress=n, may_message_peers=True, peer_messages_per_s=60.0) for n in (0, 1))
-    g.brain.tell_credit = 300.0
+    g.brain.message_tokens = 300.0
     _, acts = g.arrive(plan=0, spread=40)
     (call,) = only(acts, i.Count)
     acts = g.do(i.Counted(call.name, R.OK, 50.0, MS))
     tells = only(acts, i.Tell)
     assert only(acts, i.Refuse) and {t.to for t in tells} == set(range(1, 40))
-    other.brain.asking = 0.7
+    other.brain.sampling = 0.7
     other.do(i.Told(0, tells[0].data))
     _, acts = other.arrive(plan=0, spread=40)
     assert only(acts, i.Refuse) and not only(acts, i.Count)
@@ -115,18 +115,18 @@
 
 def test_a_malformed_or_strange_message_does_nothing():
     g = Gateway()
-    for data in (b"", b"x" * 16, WORD.pack(4711, 0, 1)):
+    for data in (b"", b"x" * 16, MESSAGE.pack(4711, 0, 1)):
         assert g.do(i.Told(1, data)) == []
-    g.do(i.Told(1, WORD.pack(5, CUSTOMER, 0)))
+    g.do(i.Told(1, MESSAGE.pack(5, OVER_LIMIT, 0)))
     assert only(g.arrive(plan=0)[1], i.Count)
 
 
 def test_a_slow_full_holds_back_one_class_there_and_does_not_cut_room():
     g = Gateway(servers=2)
-    room = g.brain.room
+    room = g.brain.capacity
     rid, (_, send) = g.arrive(cls=1)
     g.end(rid, send.server, R.REJECTED, took=300 * MS)
-    assert g.brain.room == room
+    assert g.brain.capacity == room
     sent = Counter()
     for n in range(60):
         rid, acts = g.arrive(cls=n % 2, wait=MS)
@@ -140,10 +140,10 @@
 
 def test_a_fast_full_is_a_full_line():
     g = Gateway()
-    room = g.brain.room
+    room = g.brain.capacity
     rid, (_, send) = g.arrive()
     g.end(rid, send.server, R.REJECTED, took=MS)
-    assert g.brain.room < room
+    assert g.brain.capacity < room
 
 
 def test_gateways_that_know_nothing_do_not_choose_alike():
@@ -168,6 +168,6 @@
     """A floor of one each is hundreds in all."""
     let = 0
     for g in fleet(200):
-        g.brain.room = 0.25
+        g.brain.capacity = 0.25
         let += len(only(g.arrive()[1], i.Send))
     assert 25 < let < 80
