--- a/tests/cores/test_customer_table.py
+++ b/tests/cores/test_customer_table.py
@@ -1,4 +1,4 @@
-"""Rows of customers in shared memory: read by the others, taken over, half written, evicted."""
+"""Rows of customers in shared memory: reads by other workers, takeover, half-written rows, eviction."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -31,10 +31,10 @@
     writer._own[offset : offset + ROW_BYTES] = new[:cut] + old[cut:]
     for found in reader.other_rows(key):
         assert found in (customer_row(key, admitted=1.0), customer_row(key, admitted=2.0, in_flight=9))
-    CustomerTable(memory, 2, 0, CUSTOMER_ROWS)  # a replacement starts all the same
+    CustomerTable(memory, 2, 0, CUSTOMER_ROWS)  # a replacement still starts
 
 
-def test_more_customers_than_rows_evict_the_oldest_of_a_set_and_nothing_else():
+def test_a_new_customer_in_a_full_set_evicts_its_oldest_row_only():
     memory = new_memory(2)
     writer, reader = CustomerTable(memory, 2, 0, CUSTOMER_ROWS), CustomerTable(memory, 2, 1, CUSTOMER_ROWS)
     for key in range(5 * CUSTOMER_ROWS):
--- a/tests/cores/test_peer_usage.py
+++ b/tests/cores/test_peer_usage.py
@@ -1,4 +1,4 @@
-"""One count of a customer among the workers, as their decision modules keep it."""
+"""The workers' decision modules keep one count of a customer."""
 
 import pytest
 from helpers import MS, S, settings
@@ -10,7 +10,7 @@
 from mapleline.policy.brain import Brain
 from mapleline.policy.state import mix64
 
-STEP_NS = S // 60  # between two requests: three times the plan's rate
+STEP_NS = S // 60  # interval between requests: three times the plan's rate
 START_NS = 4000 * S
 DURATION_S = 24
 CUSTOMER = 5
@@ -32,7 +32,7 @@
         memory = new_memory(workers)
         self.brains = [self._new_brain(memory, workers, number, seed) for number in range(workers)]
         self.totals = {}  # of the counter, by name
-        self.due = []  # events to come: (at, decision module, event)
+        self.due = []  # future events: (time, decision module, event)
         self.is_counter_down = False
         self.admitted = 0
 
@@ -82,9 +82,10 @@
 
 
 def overrun(workers, worker_of, is_counter_down, seed):
-    """Units admitted over the bucket's, as a share of the bucket's: one customer at three times its quota.
+    """Return the units admitted beyond the token bucket, as a share of it, for a customer at three times its quota.
 
-    `worker_of(step)` names the worker of the request of this step, `is_counter_down(step)` whether the counter fails.
+    `worker_of(step)` is the worker that gets the request of a step; `is_counter_down(step)` is whether the counter
+    fails.
     """
     simulation = Simulation(workers, seed)
     for step in range(DURATION_S * 60):
@@ -111,14 +112,14 @@
 @pytest.mark.parametrize("down_steps", [range(0), range(600, 900)], ids=["counter up", "down for 5 s"])
 @pytest.mark.parametrize("worker_of", PATTERNS.values(), ids=PATTERNS)
 def test_four_workers_keep_one_count(worker_of, down_steps):
-    """Hard case 1: counted by each worker alone, the quota was admitted by each of them while the counter was down."""
+    """With a count in each worker alone, each admitted the whole quota while the counter was down (hard case 1)."""
     of_one = mean_overrun(1, lambda step: 0, down_steps.__contains__)
     of_four = mean_overrun(4, worker_of, down_steps.__contains__)
     assert of_four <= of_one + 0.02
-    assert of_four >= of_one - 0.1  # nor do they reject what one would admit
+    assert of_four >= of_one - 0.1  # they do not reject what one worker would admit
 
 
-def test_a_replacement_reports_what_the_exited_worker_owed():
+def test_a_replacement_adds_the_pending_units_of_the_exited_worker():
     memory = new_memory(2)
 
     def start_worker():
@@ -128,23 +129,23 @@
         return brain
 
     exited = start_worker()
-    exited.sampling = 0.0  # never asks: all that it admits is owed
+    exited.sampling = 0.0  # it never calls: all that it admits is pending
     for number in range(5):
         exited.handle(START_NS + number, arrival(number + 1))
-    owed = exited.customers[CUSTOMER].pending
+    pending = exited.customers[CUSTOMER].pending
     CustomerTable(memory, 2, 0, CUSTOMER_ROWS).clear_in_flight()
     replacement = start_worker()
     replacement.sampling = 2.0
     actions = replacement.handle(START_NS + 9, arrival(1))
     (call,) = [action for action in actions if type(action) is interface.Count]
-    assert owed == 5.0
-    assert call.amount == owed + 1.0
+    assert pending == 5.0
+    assert call.amount == pending + 1.0
     assert call.name == mix64(CUSTOMER, replacement.customers[CUSTOMER].window)
     assert replacement.customers[CUSTOMER].peer_in_flight == 0
 
 
 def test_a_server_in_slow_start_gets_its_share_of_all_workers_requests():
-    """Hard case 6: each draws at random with the odds that hold for the whole ingress."""
+    """Each worker draws at random with the probability of the whole ingress (hard case 6)."""
     slow_start_server = interface.Server(10, started_ns=START_NS - 1)
     servers = [*(interface.Server(number) for number in range(1, 10)), slow_start_server]
     forwarded = 0
@@ -155,5 +156,5 @@
         for number in range(1000):
             actions = brain.handle(START_NS, interface.Arrival(number + 1, 0, 2, number, 4 * S, 1.0, 1))
             forwarded += sum(1 for action in actions if type(action) is interface.Send and action.server == 10)
-    # A tenth of the weight times cold_from, 0.2 of a warm one's: 80 of 4000, and five standard deviations.
+    # A tenth of the weight times `slow_start_share` 0.2: 80 of 4000, and five standard deviations.
     assert 35 <= forwarded <= 125
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -31,34 +31,38 @@
     return interface.Start(**{**base, **changes})
 
 
-class Gateway:
+class IngressDriver:
     """Drives the Brain of one ingress.
 
     Attributes:
         brain: The decision module.
         now: The time, ns; it starts at the start of a counting window of the plans above.
-        next: The number of the latest request.
-        first: The actions that followed from the first server list.
+        last_request: The number of the latest request.
+        first_actions: The actions that followed from the first server list.
     """
 
     def __init__(self, servers=6, **changes):
-        self.brain, self.now, self.next = Brain(settings(**changes)), 4000 * S, 0
+        self.brain, self.now, self.last_request = Brain(settings(**changes)), 4000 * S, 0
         self.brain.sampling = 1.5  # as after many quick answers of the counter
         servers_listed = [interface.Server(number, zone=number % 2) for number in range(1, servers + 1)]
-        self.first = self.do(interface.ServerNews(interface.News.CACHED, servers_listed))
+        self.first_actions = self.handle(interface.ServerNews(interface.News.CACHED, servers_listed))
 
-    def do(self, event, wait=0):
-        self.now += wait
+    def handle(self, event, wait_ns=0):
+        self.now += wait_ns
         return self.brain.handle(self.now, event)
 
-    def arrive(self, plan=2, cls=0, customer=5, units=1.0, wait=0, ttl=4 * S, spread=2, repeat=False):
-        self.next += 1
-        event = interface.Arrival(self.next, cls, plan, customer, ttl, units, spread, 0, repeat)
-        return self.next, self.do(event, wait)
+    def arrive(
+        self, plan=2, class_id=0, customer=5, units=1.0, wait_ns=0, ttl_ns=4 * S, ingress_count=2, is_retry=False
+    ):
+        self.last_request += 1
+        event = interface.Arrival(
+            self.last_request, class_id, plan, customer, ttl_ns, units, ingress_count, 0, is_retry
+        )
+        return self.last_request, self.handle(event, wait_ns)
 
-    def end(self, request, server, result, attempt=0, took=100 * MS, final=None, units=0.0, wait=0):
-        final = result == interface.Result.OK if final is None else final
-        return self.do(interface.Outcome(request, server, attempt, took, result, final, units), wait)
+    def end_attempt(self, request, server, result, attempt=0, took_ns=100 * MS, is_final=None, units=0.0, wait_ns=0):
+        is_final = result == interface.Result.OK if is_final is None else is_final
+        return self.handle(interface.Outcome(request, server, attempt, took_ns, result, is_final, units), wait_ns)
 
 
 def only(actions, kind):
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -6,7 +6,7 @@
 import threading
 
 import pytest
-from helpers import Gateway, S, only
+from helpers import IngressDriver, S, only
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from ingress import WAIT_S, Peer, message, read_message, running
@@ -211,17 +211,17 @@
 
 
 def test_the_time_of_a_request_that_is_coming_begins_with_its_last_byte():
-    g = Gateway()
-    acts = g.do(i.Arrival(1, 0, 2, 5, 4 * S, is_body_pending=True))
+    g = IngressDriver()
+    acts = g.handle(i.Arrival(1, 0, 2, 5, 4 * S, is_body_pending=True))
     (send,) = only(acts, i.Send)
     guards = [a for a in acts if type(a) is i.SetTimer and a.request == 1]
     assert guards == []
     later = 30 * S
-    (guard,) = [a for a in g.do(i.Whole(1), wait=later) if type(a) is i.SetTimer]
+    (guard,) = [a for a in g.handle(i.Whole(1), wait_ns=later) if type(a) is i.SetTimer]
     assert 0.9 * S < guard.after_ns <= S  # its aim: later answers of this class earn nothing
     server = g.brain.servers[send.server]
     assert server.attempts[(1, 0)][0] == g.now  # it holds the request since now
-    assert only(g.do(i.Timer(guard.token), wait=guard.after_ns), i.Refuse)  # safe to repeat: harmless
+    assert only(g.handle(i.Timer(guard.token), wait_ns=guard.after_ns), i.Refuse)  # safe to repeat: harmless
 
 
 # --- the program
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -1,395 +1,408 @@
-"""The module without the bench: the estimate by hand, each rule, each failure found."""
+"""The decision module: the estimate against hand-computed values, each rule, and regressions."""
 
 import pytest
-from helpers import MS, Gateway, S, only
+from helpers import MS, IngressDriver, S, only
 
-from mapleline.policy import interface as i
+from mapleline.policy import interface
 
-R = i.Result
+Result = interface.Result
 
 
-def counted(g, call, total, result=R.OK, took=2 * MS):
-    return g.do(i.Counted(call.name, result, total, took))
+def answer_call(ingress, call, total, result=Result.OK, took_ns=2 * MS):
+    return ingress.handle(interface.Counted(call.name, result, total, took_ns))
 
 
-def ask(g, **kw):
-    rid, acts = g.arrive(plan=kw.pop("plan", 0), **kw)
-    return rid, only(acts, i.Count)
+def ask(ingress, **options):
+    request, actions = ingress.arrive(plan=options.pop("plan", 0), **options)
+    return request, only(actions, interface.Count)
 
 
 # --- the two-window estimate; limit 8 units, window 4 s
 
 
 def test_one_call_carries_the_units():
-    _, calls = ask(Gateway(), units=3.0)
-    assert [c.amount for c in calls] == [3.0]
+    _, calls = ask(IngressDriver(), units=3.0)
+    assert [call.amount for call in calls] == [3.0]
 
 
 def test_admits_up_to_the_limit_and_refuses_above_it():
-    g = Gateway()
-    g.do(i.Timer(2), wait=4 * S - 1)  # the window's last instant: nothing of the previous one counts
-    _, (call,) = ask(g)
-    assert only(counted(g, call, 9.0), i.Send)  # 8 before this request: at the limit
-    _, (call,) = ask(g)
-    assert only(counted(g, call, 10.5), i.Refuse)  # 9.5 before it
+    ingress = IngressDriver()
+    # At the last instant of the window, nothing of the previous one counts.
+    ingress.handle(interface.Timer(2), wait_ns=4 * S - 1)
+    _, (call,) = ask(ingress)
+    assert only(answer_call(ingress, call, 9.0), interface.Send)  # 8 before this request: at the limit
+    _, (call,) = ask(ingress)
+    assert only(answer_call(ingress, call, 10.5), interface.Refuse)  # 9.5 before it
 
 
-def test_the_previous_window_counts_by_the_share_left():
+def test_the_previous_window_is_weighted_by_the_share_left_of_the_current_one():
     for before, sent in ((4.0, True), (4.5, False)):  # 8 x 1/2 + before against 8
-        g = Gateway()
-        _, (call,) = ask(g)
-        counted(g, call, 8.0)
-        _, (call,) = ask(g, wait=6 * S)  # half way through the next window
-        g.brain.customers[5].burst = 0.0
-        acts = counted(g, call, before + 1.0)
-        assert bool(only(acts, i.Send)) is sent
+        ingress = IngressDriver()
+        _, (call,) = ask(ingress)
+        answer_call(ingress, call, 8.0)
+        _, (call,) = ask(ingress, wait_ns=6 * S)  # half way through the next window
+        ingress.brain.customers[5].burst = 0.0
+        actions = answer_call(ingress, call, before + 1.0)
+        assert bool(only(actions, interface.Send)) is sent
 
 
 @pytest.mark.parametrize(
     ("seen", "asking", "sent"),
     [
-        (0, 1.1, True),  # its store was full again by the next window
-        (4 * S - 100 * MS, 1.1, False),  # and here not
-        (0, 0.9, False),  # with fewer calls than tries the totals are too old to go by
+        (0, 1.1, True),  # its bucket was full again by the next window
+        (4 * S - 100 * MS, 1.1, False),  # its bucket was not full again
+        (0, 0.9, False),  # with fewer calls than requests, the totals are too old
     ],
 )
-def test_a_burst_saved_up_counts_beside_the_two_windows(seen, asking, sent):
-    """On quiet days a quarter of the tries were refused with room in their quota: windows forget it."""
-    g = Gateway()
-    _, (call,) = ask(g, wait=seen)
-    counted(g, call, 6.0)
-    _, (call,) = ask(g, wait=6 * S - seen)  # half way through the next window
-    g.brain.sampling = asking
-    acts = counted(g, call, 7.0)  # 6 x 1/2 + 6 against 8
-    assert bool(only(acts, i.Send)) is sent
+def test_a_saved_burst_admits_beyond_the_two_windows(seen, asking, sent):
+    """The windows forget unused quota: on quiet days a quarter of the requests were rejected within their quota."""
+    ingress = IngressDriver()
+    _, (call,) = ask(ingress, wait_ns=seen)
+    answer_call(ingress, call, 6.0)
+    _, (call,) = ask(ingress, wait_ns=6 * S - seen)  # half way through the next window
+    ingress.brain.sampling = asking
+    actions = answer_call(ingress, call, 7.0)  # 6 x 1/2 + 6 against 8
+    assert bool(only(actions, interface.Send)) is sent
 
 
-def test_known_excess_only_reads():
-    g = Gateway()
-    g.do(i.Timer(2), wait=4 * S - 1)
-    _, (call,) = ask(g, units=2.0)
-    assert only(counted(g, call, 20.0), i.Refuse)
-    assert ask(g, units=2.0)[1][0].amount <= 0.0
+def test_a_call_of_a_customer_over_its_limit_adds_nothing():
+    ingress = IngressDriver()
+    ingress.handle(interface.Timer(2), wait_ns=4 * S - 1)
+    _, (call,) = ask(ingress, units=2.0)
+    assert only(answer_call(ingress, call, 20.0), interface.Refuse)
+    assert ask(ingress, units=2.0)[1][0].amount <= 0.0
 
 
-def test_settled_difference_rides_on_the_next_add():
-    g = Gateway()
-    rid, (call,) = ask(g, units=2.0)
-    (send,) = only(counted(g, call, 2.0), i.Send)
-    g.end(rid, send.server, R.OK, units=3.0)
-    assert ask(g, units=1.0)[1][0].amount == 2.0
+def test_the_next_call_adds_the_difference_to_the_units_used():
+    ingress = IngressDriver()
+    request, (call,) = ask(ingress, units=2.0)
+    (send,) = only(answer_call(ingress, call, 2.0), interface.Send)
+    ingress.end_attempt(request, send.server, Result.OK, units=3.0)
+    assert ask(ingress, units=1.0)[1][0].amount == 2.0
 
 
 # --- the counter fails
 
 
-def test_silent_counter_answers_before_the_client_suffers():
-    g = Gateway(counter_timeout_ns=100 * MS)
-    _, acts = g.arrive(plan=0)
-    (wait,) = [t for t in only(acts, i.SetTimer) if t.token % 8 == 1]
+def test_the_wait_for_a_silent_counter_is_short():
+    ingress = IngressDriver(counter_timeout_ns=100 * MS)
+    _, actions = ingress.arrive(plan=0)
+    (wait,) = [timer for timer in only(actions, interface.SetTimer) if timer.token % 8 == 1]
     assert wait.after_ns <= S / 16
-    assert only(g.do(i.Timer(wait.token), wait=wait.after_ns), i.Send)
+    assert only(ingress.handle(interface.Timer(wait.token), wait_ns=wait.after_ns), interface.Send)
 
 
-@pytest.mark.parametrize("result", [R.TIMEOUT, R.NO_CONNECTION, R.REJECTED])
-def test_dead_counter_gets_few_trials_and_does_not_open_the_door(result):
-    g, calls, sends = Gateway(), 0, 0
+@pytest.mark.parametrize("result", [Result.TIMEOUT, Result.NO_CONNECTION, Result.REJECTED])
+def test_a_counter_that_is_down_gets_few_calls_and_admission_stays_limited(result):
+    ingress, calls, sends = IngressDriver(), 0, 0
     for _ in range(400):
-        rid, acts = g.arrive(plan=0, wait=10 * MS)
-        for call in only(acts, i.Count):
+        request, actions = ingress.arrive(plan=0, wait_ns=10 * MS)
+        for call in only(actions, interface.Count):
             calls += 1
-            acts += g.do(i.Counted(call.name, result, 0.0, 50 * MS))
-        for send in only(acts, i.Send):
+            actions += ingress.handle(interface.Counted(call.name, result, 0.0, 50 * MS))
+        for send in only(actions, interface.Send):
             sends += 1
-            g.end(rid, send.server, R.OK)
+            ingress.end_attempt(request, send.server, Result.OK)
     assert 0 < calls < 120
-    assert 1 <= sends <= 12  # a half of 8 a window and its start, not 400
+    assert 1 <= sends <= 12  # half of 8 units in a window and in its start, not 400
 
 
 @pytest.mark.parametrize("emptied", [True, False])
-def test_an_emptied_counter_gets_back_what_this_gateway_had_put_there(emptied):
-    """Six units of its own and three of others; then only the last one stands there, or five still do."""
-    g = Gateway()
+def test_a_counter_that_lost_its_value_gets_this_ingresss_units_again(emptied):
+    """The counter held six units of this ingress and three of others; then it holds only the last, or still five."""
+    ingress = IngressDriver()
     for total in (2.0, 5.0, 9.0):
-        _, (call,) = ask(g, units=2.0, wait=MS)
-        counted(g, call, total)
-    _, (call,) = ask(g, wait=MS)
-    sent = only(counted(g, call, 1.0 if emptied else 5.0), i.Send)
-    assert bool(sent) is not emptied  # as full as it was known to be: 9 of 8 before this one, or 4
-    _, (call,) = ask(g, wait=MS)
-    assert call.amount == (6.0 if emptied else 2.0)  # its six again; else the one let in by a read, and this
+        _, (call,) = ask(ingress, units=2.0, wait_ns=MS)
+        answer_call(ingress, call, total)
+    _, (call,) = ask(ingress, wait_ns=MS)
+    sent = only(answer_call(ingress, call, 1.0 if emptied else 5.0), interface.Send)
+    assert bool(sent) is not emptied  # the last known total holds: 9 units of 8 before this request, or 4
+    _, (call,) = ask(ingress, wait_ns=MS)
+    assert call.amount == (
+        6.0 if emptied else 2.0
+    )  # its six again; otherwise the one admitted by a call that only read, and this one
 
 
-def test_an_answer_from_the_window_before_is_no_total_of_this_one():
-    """Else the next totals look like an emptied counter's, and units of the old window go to the new one."""
+def test_an_answer_from_the_previous_window_is_no_total_of_the_current_one():
+    """If it were, the counter would seem to have lost its value, and old units would be added to the new window."""
 
-    def asked(**kw):
-        g.brain.sampling = 9.0  # no lot
-        return ask(g, **kw)[1][0]
+    def asked(**options):
+        ingress.brain.sampling = 9.0  # each request calls
+        return ask(ingress, **options)[1][0]
 
-    g = Gateway()
+    ingress = IngressDriver()
     call = asked(units=6.0)
-    counted(g, call, 7.0)
-    late = asked(units=2.0, wait=4 * S - MS)
-    new = asked(wait=2 * MS)
-    counted(g, new, 1.0)
-    counted(g, late, 9.0)
-    c = g.brain.customers[5]
-    assert (c.added, c.total, c.pending, c.floor) == (1.0, 1.0, 0.0, 0.0)
-    g.now += S
+    answer_call(ingress, call, 7.0)
+    late = asked(units=2.0, wait_ns=4 * S - MS)
+    new = asked(wait_ns=2 * MS)
+    answer_call(ingress, new, 1.0)
+    answer_call(ingress, late, 9.0)
+    usage = ingress.brain.customers[5]
+    assert (usage.added, usage.total, usage.pending, usage.floor) == (1.0, 1.0, 0.0, 0.0)
+    ingress.now += S
     call = asked()
-    g.now += 4 * S  # it answers an edge later, with nobody having looked since
-    counted(g, call, 2.0)
-    assert c.added == c.total == 0.0
+    ingress.now += 4 * S  # it answers in the next window, without a request between
+    answer_call(ingress, call, 2.0)
+    assert usage.added == usage.total == 0.0
 
 
-def test_after_a_silence_the_total_is_not_taken_for_all_that_was_let_in():
-    """One unit let in unseen by this gateway, whose part is a half, means two in all."""
-    g = Gateway()
-    _, (call,) = ask(g, units=3.0)
-    counted(g, call, 6.0)
-    c, g.brain.sampling = g.brain.customers[5], 0.0
+def test_after_an_outage_the_total_is_not_taken_for_all_admitted_units():
+    """This ingress has half of the customer's use: one unit that it admitted without an answer stands for two."""
+    ingress = IngressDriver()
+    _, (call,) = ask(ingress, units=3.0)
+    answer_call(ingress, call, 6.0)
+    usage, ingress.brain.sampling = ingress.brain.customers[5], 0.0
     for _ in range(2):
-        ask(g, wait=MS)
-    assert c.unseen == 1.0  # the second no longer fits
-    g.brain.sampling, g.brain.down_at = 9.0, g.now
-    _, (call,) = ask(g, wait=MS)
-    counted(g, call, 6.0 + call.amount)
-    assert c.total >= 6.0 + 1.0 / c.share  # without `floor` 7.0: its own one only
-
-
-@pytest.mark.parametrize("result", [R.TIMEOUT, R.ERROR, R.RESET])
-def test_an_answer_spoilt_on_its_way_is_neither_added_again_nor_taken_for_load(result):
-    """The amount was added; each such answer also halved the share of tries that call the counter."""
-    g = Gateway()
+        ask(ingress, wait_ns=MS)
+    assert usage.unseen == 1.0  # the second no longer fits
+    ingress.brain.sampling, ingress.brain.down_at = 9.0, ingress.now
+    _, (call,) = ask(ingress, wait_ns=MS)
+    answer_call(ingress, call, 6.0 + call.amount)
+    assert usage.total >= 6.0 + 1.0 / usage.share  # without `floor` it would be 7.0, with its own unit only
+
+
+@pytest.mark.parametrize("result", [Result.TIMEOUT, Result.ERROR, Result.RESET])
+def test_a_damaged_answer_is_neither_added_again_nor_taken_for_load(result):
+    """The amount has been added.  A fault once halved the sampling probability with each such answer."""
+    ingress = IngressDriver()
     for _ in range(5):
-        _, (call,) = ask(g, units=1.0)
+        _, (call,) = ask(ingress, units=1.0)
         assert call.amount == 1.0
-        counted(g, call, 0.0, result)
-    assert g.brain.sampling == 1.5
-    _, (call,) = ask(g, units=1.0)
-    counted(g, call, 0.0, R.TIMEOUT, took=50 * MS)
-    assert g.brain.sampling < 1.5  # one that did not come in time does
+        answer_call(ingress, call, 0.0, result)
+    assert ingress.brain.sampling == 1.5
+    _, (call,) = ask(ingress, units=1.0)
+    answer_call(ingress, call, 0.0, Result.TIMEOUT, took_ns=50 * MS)
+    assert ingress.brain.sampling < 1.5  # an answer that does not come in time cuts it
 
 
 @pytest.mark.parametrize(("took", "grows"), [(2, True), (15, True), (25, False), (40, False)])
-def test_the_share_of_tries_that_call_follows_the_wait_for_the_counter(took, grows):
-    """It grew only on answers within a quarter of the patience: a slow counter stood idle for a third."""
-    g = Gateway(counter_timeout_ns=200 * MS, classes=[i.RequestClass(640 * MS, 4 * S)])  # a patience of 40 ms
-    g.brain.sampling = start = 0.5
+def test_the_sampling_probability_follows_the_counters_answer_times(took, grows):
+    """A slow counter was idle a third of the time when only answers within a quarter of the wait raised it."""
+    # The wait for the counter is 40 ms.
+    ingress = IngressDriver(counter_timeout_ns=200 * MS, classes=[interface.RequestClass(640 * MS, 4 * S)])
+    ingress.brain.sampling = start = 0.5
     for _ in range(20):
-        for call in ask(g, wait=10 * MS)[1]:
-            counted(g, call, 1.0, took=took * MS)
-    assert (g.brain.sampling > start) is grows
-    assert 0.2 < g.brain.sampling  # never by half for an answer that came
+        for call in ask(ingress, wait_ns=10 * MS)[1]:
+            answer_call(ingress, call, 1.0, took_ns=took * MS)
+    assert (ingress.brain.sampling > start) is grows
+    assert 0.2 < ingress.brain.sampling  # an answer that arrives never halves it
 
 
-def test_answer_after_the_end_sends_nothing():
-    g = Gateway()
-    rid, (call,) = ask(g)
-    g.do(i.Left(rid))
-    assert not only(counted(g, call, 1.0), i.Send)
+def test_a_counter_answer_after_the_requests_end_sends_nothing():
+    ingress = IngressDriver()
+    request, (call,) = ask(ingress)
+    ingress.handle(interface.Left(request))
+    assert not only(answer_call(ingress, call, 1.0), interface.Send)
 
 
-def test_the_calls_own_time_out_is_the_wait_where_it_is_no_longer():
-    g = Gateway()
-    _, acts = g.arrive(plan=0)
-    assert not [t for t in only(acts, i.SetTimer) if t.token % 8 == 1]
-    (call,) = only(acts, i.Count)
-    assert only(counted(g, call, 0.0, R.TIMEOUT, took=50 * MS), i.Send)
+def test_no_timer_is_set_where_the_calls_own_timeout_ends_the_wait():
+    ingress = IngressDriver()
+    _, actions = ingress.arrive(plan=0)
+    assert not [timer for timer in only(actions, interface.SetTimer) if timer.token % 8 == 1]
+    (call,) = only(actions, interface.Count)
+    assert only(answer_call(ingress, call, 0.0, Result.TIMEOUT, took_ns=50 * MS), interface.Send)
 
 
 @pytest.mark.parametrize("before", [9.0, 30.0])
-def test_a_refusal_tells_when_the_estimate_will_be_down_at_the_limit(before):
-    g = Gateway(max_retry_after_ns=60 * S)
-    _, (call,) = ask(g)
-    counted(g, call, 8.0)
-    _, (call,) = ask(g, wait=5 * S)  # a quarter into the next window: 8 x 3/4 weigh
-    g.brain.sampling = 0.9  # nothing but the two windows counts
-    (refusal,) = only(counted(g, call, 1.0 + min(before, 4.0) if before < 10 else before), i.Refuse)
+def test_a_rejection_advises_when_the_estimate_will_be_within_the_limit(before):
+    ingress = IngressDriver(max_retry_after_ns=60 * S)
+    _, (call,) = ask(ingress)
+    answer_call(ingress, call, 8.0)
+    _, (call,) = ask(ingress, wait_ns=5 * S)  # a quarter into the next window: 8 x 3/4 of the previous one count
+    ingress.brain.sampling = 0.9  # only the two windows count
+    (refusal,) = only(answer_call(ingress, call, 1.0 + min(before, 4.0) if before < 10 else before), interface.Refuse)
     assert refusal.over_quota
-    # 6 + 4 over 8: a quarter of the window more brings the previous total's part down to 4.
+    # 6 + 4 exceed 8: after another quarter of the window, only 4 of the previous total count.
     assert refusal.retry_in_ns == pytest.approx(S if before < 10 else 3 * S, abs=MS)
 
 
 def test_advice_stays_within_the_settings():
-    g = Gateway(max_retry_after_ns=2 * S)
-    _, (call,) = ask(g)
-    (refusal,) = only(counted(g, call, 30.0), i.Refuse)
+    ingress = IngressDriver(max_retry_after_ns=2 * S)
+    _, (call,) = ask(ingress)
+    (refusal,) = only(answer_call(ingress, call, 30.0), interface.Refuse)
     assert 0 < refusal.retry_in_ns <= 2 * S
 
 
 # --- attempts and final answers
 
 
-def test_unsafe_goes_again_only_if_it_never_ran():
-    g = Gateway()
-    rid, acts = g.arrive(cls=1)
-    (send,) = only(acts, i.Send)
-    (again,) = only(g.end(rid, send.server, R.NO_CONNECTION), i.Send)
-    acts = g.end(rid, again.server, R.ERROR, attempt=1)
-    assert only(acts, i.Fail) and not only(acts, i.Send) + only(acts, i.Refuse)
+def test_an_unsafe_request_is_retried_only_if_it_never_ran():
+    ingress = IngressDriver()
+    request, actions = ingress.arrive(class_id=1)
+    (send,) = only(actions, interface.Send)
+    (again,) = only(ingress.end_attempt(request, send.server, Result.NO_CONNECTION), interface.Send)
+    actions = ingress.end_attempt(request, again.server, Result.ERROR, attempt=1)
+    assert only(actions, interface.Fail) and not only(actions, interface.Send) + only(actions, interface.Refuse)
 
 
 @pytest.mark.parametrize(
-    ("scope", "wait", "again"), [(i.Scope.ALL, 0, True), (i.Scope.ALL, 2 * S, False), (i.Scope.CELL, 0, False)]
+    ("scope", "wait", "again"),
+    [(interface.Scope.ALL, 0, True), (interface.Scope.ALL, 2 * S, False), (interface.Scope.CELL, 0, False)],
 )
-def test_keyed_goes_again_only_while_all_servers_drop_the_repeat(scope, wait, again):
-    g = Gateway(classes=[i.RequestClass(S, 4 * S, i.Effect.KEYED, scope, 2 * S)])
-    rid, acts = g.arrive()
-    acts = g.end(rid, only(acts, i.Send)[0].server, R.ERROR, wait=wait)
-    assert bool(only(acts, i.Send)) is again and bool(only(acts, i.Fail)) is not again
-
-
-def test_safe_goes_again_elsewhere():
-    g = Gateway()
-    rid, acts = g.arrive()
-    (send,) = only(acts, i.Send)
-    (again,) = only(g.end(rid, send.server, R.ERROR), i.Send)
+def test_a_keyed_request_is_retried_only_while_all_servers_discard_the_repeat(scope, wait, again):
+    ingress = IngressDriver(classes=[interface.RequestClass(S, 4 * S, interface.Effect.KEYED, scope, 2 * S)])
+    request, actions = ingress.arrive()
+    actions = ingress.end_attempt(request, only(actions, interface.Send)[0].server, Result.ERROR, wait_ns=wait)
+    assert bool(only(actions, interface.Send)) is again and bool(only(actions, interface.Fail)) is not again
+
+
+def test_a_safe_request_is_retried_at_another_server():
+    ingress = IngressDriver()
+    request, actions = ingress.arrive()
+    (send,) = only(actions, interface.Send)
+    (again,) = only(ingress.end_attempt(request, send.server, Result.ERROR), interface.Send)
     assert again.server != send.server
 
 
-def test_guard_gives_the_one_answer_before_the_aim_passes():
-    g = Gateway()
-    rid, acts = g.arrive(cls=1)
-    (guard,) = [t for t in only(acts, i.SetTimer) if t.token % 8 == 0]
+def test_the_deadline_timer_answers_once_before_the_latency_target():
+    ingress = IngressDriver()
+    request, actions = ingress.arrive(class_id=1)
+    (guard,) = [timer for timer in only(actions, interface.SetTimer) if timer.token % 8 == 0]
     assert guard.after_ns < 2 * S
-    acts = g.do(i.Timer(guard.token), wait=guard.after_ns)
-    assert only(acts, i.Fail) and only(acts, i.Cancel)
-    assert not g.do(i.Timer(guard.token))
+    actions = ingress.handle(interface.Timer(guard.token), wait_ns=guard.after_ns)
+    assert only(actions, interface.Fail) and only(actions, interface.Cancel)
+    assert not ingress.handle(interface.Timer(guard.token))
 
 
-def test_first_tries_with_short_patience_are_not_taken_for_late_ones():
-    g = Gateway()
-    assert only(g.arrive(ttl=4 * S)[1], i.Send)
-    assert only(g.arrive(ttl=2 * S + 1)[1], i.Send)
-    assert only(g.arrive(ttl=2 * S, repeat=True)[1], i.Send)  # same patience: tells nothing
-    assert only(g.arrive(ttl=2 * S + S // 2, repeat=True)[1], i.Refuse)  # 1.5 s of 4 s gone, aim 1 s
+def test_first_tries_with_a_short_ttl_are_not_taken_for_late_ones():
+    ingress = IngressDriver()
+    assert only(ingress.arrive(ttl_ns=4 * S)[1], interface.Send)
+    assert only(ingress.arrive(ttl_ns=2 * S + 1)[1], interface.Send)
+    assert only(ingress.arrive(ttl_ns=2 * S, is_retry=True)[1], interface.Send)  # same TTL: not known to be late
+    assert only(
+        ingress.arrive(ttl_ns=2 * S + S // 2, is_retry=True)[1], interface.Refuse
+    )  # 1.5 s of 4 s gone, target 1 s
 
 
 def test_no_server_is_refused():
-    rid, acts = Gateway(servers=0).arrive()
-    assert only(acts, i.Refuse)
-
-
-def test_unknown_things_are_ignored():
-    g = Gateway()
-    for ev in (
-        i.Outcome(9, 9, 0, 1, R.OK, True),
-        i.Timer(72),
-        i.Counted(1, R.OK, 1.0, 1),
-        i.Left(3),
-        i.Begun(3, 0, 1),
-        i.Probed(1, R.OK),
-        i.Told(1, b""),
+    request, actions = IngressDriver(servers=0).arrive()
+    assert only(actions, interface.Refuse)
+
+
+def test_events_with_unknown_numbers_are_ignored():
+    ingress = IngressDriver()
+    for event in (
+        interface.Outcome(9, 9, 0, 1, Result.OK, True),
+        interface.Timer(72),
+        interface.Counted(1, Result.OK, 1.0, 1),
+        interface.Left(3),
+        interface.Begun(3, 0, 1),
+        interface.Probed(1, Result.OK),
+        interface.Told(1, b""),
     ):
-        assert g.do(ev) == []
+        assert ingress.handle(event) == []
 
 
-def test_nothing_forbidden_is_sent():
-    g = Gateway(may_count=False, may_cancel=False)
+def test_actions_that_the_settings_forbid_are_not_returned():
+    ingress = IngressDriver(may_count=False, may_cancel=False)
     seen = []
     for n in range(200):
-        rid, acts = g.arrive(plan=n % 3, wait=5 * MS)
-        seen += acts
-        seen += g.do(i.Timer(rid * 8), wait=MS)
-    assert not [a for a in seen if type(a) in (i.Count, i.Cancel, i.Probe, i.Tell)]
+        request, actions = ingress.arrive(plan=n % 3, wait_ns=5 * MS)
+        seen += actions
+        seen += ingress.handle(interface.Timer(request * 8), wait_ns=MS)
+    assert not [
+        action
+        for action in seen
+        if type(action) in (interface.Count, interface.Cancel, interface.Probe, interface.Tell)
+    ]
 
 
 # --- servers
 
 
 def test_drained_and_gone_servers_get_nothing_new():
-    g = Gateway(servers=2)
-    g.do(i.ServerNews(i.News.CHANGES, [i.Server(1, i.ServerState.DRAINING)]))
-    assert {s.server for _ in range(8) for s in only(g.arrive(wait=MS)[1], i.Send)} == {2}
-    g.do(i.ServerNews(i.News.FULL, [i.Server(1, i.ServerState.GONE)]))
-    assert not only(g.arrive()[1], i.Send)
+    ingress = IngressDriver(servers=2)
+    ingress.handle(interface.ServerNews(interface.News.CHANGES, [interface.Server(1, interface.ServerState.DRAINING)]))
+    assert {s.server for _ in range(8) for s in only(ingress.arrive(wait_ns=MS)[1], interface.Send)} == {2}
+    ingress.handle(interface.ServerNews(interface.News.FULL, [interface.Server(1, interface.ServerState.GONE)]))
+    assert not only(ingress.arrive()[1], interface.Send)
 
 
-def test_fast_failures_lose_the_load_and_get_it_back_by_trials():
-    g, bad = Gateway(), 0
+def test_a_server_that_fails_fast_loses_its_load_and_regains_it_by_trials():
+    ingress, bad = IngressDriver(), 0
     for _ in range(300):
-        rid, acts = g.arrive(wait=10 * MS)
-        for send in only(acts, i.Send):
+        request, actions = ingress.arrive(wait_ns=10 * MS)
+        for send in only(actions, interface.Send):
             failing = send.server == 2
             bad += failing
-            more = g.end(rid, send.server, R.ERROR if failing else R.OK, took=MS if failing else 100 * MS)
-            for again in only(more, i.Send):
-                g.end(rid, again.server, R.OK, attempt=1)
+            more = ingress.end_attempt(
+                request, send.server, Result.ERROR if failing else Result.OK, took_ns=MS if failing else 100 * MS
+            )
+            for again in only(more, interface.Send):
+                ingress.end_attempt(request, again.server, Result.OK, attempt=1)
     assert 1 <= bad < 15
     back = 0
     for n in range(4000):
         if n % 50 == 0:
-            g.do(i.Timer(2))
-        rid, acts = g.arrive(wait=10 * MS)
-        for send in only(acts, i.Send):
+            ingress.handle(interface.Timer(2))
+        request, actions = ingress.arrive(wait_ns=10 * MS)
+        for send in only(actions, interface.Send):
             back += send.server == 2
-            g.end(rid, send.server, R.OK)
+            ingress.end_attempt(request, send.server, Result.OK)
     assert back > 40
 
 
-def test_full_server_is_not_knocked_at_again_at_once():
-    g = Gateway(servers=1)
-    rid, acts = g.arrive()
-    g.end(rid, 1, R.REJECTED)
-    assert only(g.arrive(wait=MS)[1], i.Refuse)
-    assert only(g.arrive(wait=S)[1], i.Send)
+def test_a_full_server_is_not_tried_again_at_once():
+    ingress = IngressDriver(servers=1)
+    request, actions = ingress.arrive()
+    ingress.end_attempt(request, 1, Result.REJECTED)
+    assert only(ingress.arrive(wait_ns=MS)[1], interface.Refuse)
+    assert only(ingress.arrive(wait_ns=S)[1], interface.Send)
 
 
-def test_room_shrinks_when_answers_are_late_and_never_to_nothing():
-    g = Gateway()
+def test_late_answers_cut_the_capacity_down_to_its_minimum():
+    ingress = IngressDriver()
     for _ in range(200):
-        rid, acts = g.arrive(wait=5 * MS)
-        for send in only(acts, i.Send):
-            g.end(rid, send.server, R.OK, took=900 * MS)
-    assert g.brain.capacity == pytest.approx(2.0)  # one for each of 6 servers, over 3 gateways
-    assert only(g.arrive()[1], i.Send)
+        request, actions = ingress.arrive(wait_ns=5 * MS)
+        for send in only(actions, interface.Send):
+            ingress.end_attempt(request, send.server, Result.OK, took_ns=900 * MS)
+    assert ingress.brain.capacity == pytest.approx(2.0)  # one for each of 6 servers, over 3 ingresses
+    assert only(ingress.arrive()[1], interface.Send)
 
 
-def test_memory_is_bounded():
-    g = Gateway()
+def test_expired_state_is_deleted():
+    ingress = IngressDriver()
     for n in range(1000):
-        rid, acts = g.arrive(plan=1, customer=n, wait=MS)
-        for call in only(acts, i.Count):
-            for more in only(counted(g, call, 1.0), i.Count):
-                counted(g, more, 0.0)
-        if rid in g.brain.requests:
-            g.end(rid, 1, R.OK)
+        request, actions = ingress.arrive(plan=1, customer=n, wait_ns=MS)
+        for call in only(actions, interface.Count):
+            for more in only(answer_call(ingress, call, 1.0), interface.Count):
+                answer_call(ingress, more, 0.0)
+        if request in ingress.brain.requests:
+            ingress.end_attempt(request, 1, Result.OK)
     for server in range(1, 7):
-        g.brain.servers[server].attempts.clear()
-    g.do(i.ServerNews(i.News.FULL, [i.Server(9)]))
-    g.do(i.Timer(2), wait=120 * S)
-    b = g.brain
-    assert not b.customers and not b.requests and not b.calls and list(b.servers) == [9]
+        ingress.brain.servers[server].attempts.clear()
+    ingress.handle(interface.ServerNews(interface.News.FULL, [interface.Server(9)]))
+    ingress.handle(interface.Timer(2), wait_ns=120 * S)
+    brain = ingress.brain
+    assert not brain.customers and not brain.requests and not brain.calls and list(brain.servers) == [9]
 
 
-def test_what_a_draining_server_turned_away_costs_no_room():
-    """A release of 24 servers cost nine tenths of the room: each turned away before the list said why."""
-    g = Gateway(servers=1)
-    room = g.brain.capacity
+def test_rejections_of_a_draining_server_cost_no_capacity():
+    """A release of 24 servers cost nine tenths of the capacity: each rejected before the list showed it draining."""
+    ingress = IngressDriver(servers=1)
+    capacity = ingress.brain.capacity
     costs = []
     for _ in range(3):
-        rid, acts = g.arrive(wait=5 * S)  # past the hold on that server
-        (send,) = only(acts, i.Send)
-        before = g.brain.capacity
-        g.end(rid, send.server, i.Result.REJECTED, took=1 * MS)
-        costs.append(before - g.brain.capacity)
+        request, actions = ingress.arrive(wait_ns=5 * S)  # after the server's backoff
+        (send,) = only(actions, interface.Send)
+        before = ingress.brain.capacity
+        ingress.end_attempt(request, send.server, interface.Result.REJECTED, took_ns=1 * MS)
+        costs.append(before - ingress.brain.capacity)
     assert costs[0] > 0
-    g.do(i.ServerNews(i.News.CHANGES, [i.Server(1, i.ServerState.DRAINING)]))
-    assert g.brain.capacity == room
+    ingress.handle(interface.ServerNews(interface.News.CHANGES, [interface.Server(1, interface.ServerState.DRAINING)]))
+    assert ingress.brain.capacity == capacity
 
 
-def test_a_full_server_that_answers_between_costs_room_each_time_and_keeps_it():
-    g = Gateway(servers=1)
-    g.brain.capacity = 10.0
+def test_a_full_server_that_answers_in_between_costs_capacity_each_time_for_good():
+    ingress = IngressDriver(servers=1)
+    ingress.brain.capacity = 10.0
     for _ in range(2):
-        rid, acts = g.arrive(wait=5 * S)
-        before = g.brain.capacity
-        g.end(rid, 1, i.Result.REJECTED, took=1 * MS)
-        assert g.brain.capacity < before
-        rid, acts = g.arrive(wait=5 * S)
-        g.end(rid, 1, i.Result.OK, took=100 * MS)
-    lost = g.brain.capacity
-    g.do(i.ServerNews(i.News.CHANGES, [i.Server(1, i.ServerState.DRAINING)]))
-    assert g.brain.capacity == lost
+        request, actions = ingress.arrive(wait_ns=5 * S)
+        before = ingress.brain.capacity
+        ingress.end_attempt(request, 1, interface.Result.REJECTED, took_ns=1 * MS)
+        assert ingress.brain.capacity < before
+        request, actions = ingress.arrive(wait_ns=5 * S)
+        ingress.end_attempt(request, 1, interface.Result.OK, took_ns=100 * MS)
+    lost = ingress.brain.capacity
+    ingress.handle(interface.ServerNews(interface.News.CHANGES, [interface.Server(1, interface.ServerState.DRAINING)]))
+    assert ingress.brain.capacity == lost
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,12 +1,12 @@
-"""The five rules as properties over generated event sequences."""
+"""The rules on attempts and answers, as properties over generated event sequences."""
 
-from helpers import MS, Gateway, S, only
+from helpers import MS, IngressDriver, S, only
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mapleline.policy import interface as i
+from mapleline.policy import interface
 
-R = i.Result
+Result = interface.Result
 steps = st.lists(
     st.tuples(
         st.sampled_from(["arrive"] * 5 + ["end"] * 5 + ["count"] * 3 + ["wait"] * 4 + ["list", "left"]),
@@ -16,91 +16,99 @@
     min_size=20,
     max_size=150,
 )
-EFFECTS = [i.Effect.SAFE, i.Effect.UNSAFE, i.Effect.KEYED]
+EFFECTS = [interface.Effect.SAFE, interface.Effect.UNSAFE, interface.Effect.KEYED]
 
 
 def play(script, **changes):
-    """Runs a script and checks rules 1, 2, 3 and 5 at every step; returns all actions."""
+    """Run a script and check rules 1, 2, 3 and 5 at each step; return all actions."""
     classes = [
-        i.RequestClass(S, 4 * S),
-        i.RequestClass(2 * S, 5 * S, i.Effect.UNSAFE),
-        i.RequestClass(S, 4 * S, i.Effect.KEYED, i.Scope.CELL, 2 * S),
-        i.RequestClass(S, 4 * S, i.Effect.KEYED, i.Scope.ALL, 2 * S),
+        interface.RequestClass(S, 4 * S),
+        interface.RequestClass(2 * S, 5 * S, interface.Effect.UNSAFE),
+        interface.RequestClass(S, 4 * S, interface.Effect.KEYED, interface.Scope.CELL, 2 * S),
+        interface.RequestClass(S, 4 * S, interface.Effect.KEYED, interface.Scope.ALL, 2 * S),
     ]
-    g = Gateway(classes=classes, **changes)
-    owed, live, may_run, timers, calls, stores = {}, {}, {}, [], [], {}
-    life = dict.fromkeys(range(1, 7), i.ServerState.READY)
-    log, start = list(g.first), g.now
-
-    def note(acts):
-        log.extend(acts)
-        for a in acts:
-            if type(a) is i.SetTimer:
-                timers.append((g.now + a.after_ns, a.token))
-            elif type(a) is i.Count:
-                calls.append(a)
-            elif type(a) is i.Send:
-                assert a.request in owed, "sent after its end"
-                ev, sent = owed[a.request]
-                out = [n for r, n in live if r == a.request]
-                assert not out or changes.get("may_hedge"), "two attempts out"
-                assert life[a.server] == i.ServerState.READY, "sent to a drained server"
-                if ev.class_id == 1:
-                    assert not may_run.get(a.request) and not out, "unsafe work sent again"
-                if ev.class_id >= 2 and may_run.get(a.request):
-                    assert g.now - may_run[a.request] <= 2 * S, "key forgotten"
-                if sent == 0 and ev.plan == 1:
-                    level, at = stores.get(ev.customer, (0.0, start))
-                    level = min(10.0, level + 2.0 * (g.now - at) / 1e9) - ev.units
-                    assert level >= -0.001, "own part of the ceiling passed"
-                    stores[ev.customer] = (level, g.now)
-                live[(a.request, sent)] = (a.server, g.now)
-                owed[a.request] = (ev, sent + 1)
-            elif type(a) in (i.Refuse, i.Fail):
-                assert a.request in owed, "answered twice"
-                ev, _ = owed.pop(a.request)
-                if type(a) is i.Refuse and ev.class_id:
-                    assert not may_run.get(a.request), "refused though it may have run"
-                    assert not [1 for r, _ in live if r == a.request], "refused while out"
+    ingress = IngressDriver(classes=classes, **changes)
+    open_requests, in_flight, may_run, timers, calls, ceilings = {}, {}, {}, [], [], {}
+    states = dict.fromkeys(range(1, 7), interface.ServerState.READY)
+    log, start = list(ingress.first_actions), ingress.now
+
+    def note(actions):
+        log.extend(actions)
+        for action in actions:
+            if type(action) is interface.SetTimer:
+                timers.append((ingress.now + action.after_ns, action.token))
+            elif type(action) is interface.Count:
+                calls.append(action)
+            elif type(action) is interface.Send:
+                assert action.request in open_requests, "sent after the final answer"
+                event, sent = open_requests[action.request]
+                attempts = [n for r, n in in_flight if r == action.request]
+                assert not attempts or changes.get("may_hedge"), "two attempts in flight"
+                assert states[action.server] == interface.ServerState.READY, "sent to a drained server"
+                if event.class_id == 1:
+                    assert not may_run.get(action.request) and not attempts, "unsafe request sent again"
+                if event.class_id >= 2 and may_run.get(action.request):
+                    assert ingress.now - may_run[action.request] <= 2 * S, "sent again after the key expired"
+                if sent == 0 and event.plan == 1:
+                    level, updated_at = ceilings.get(event.customer, (0.0, start))
+                    level = min(10.0, level + 2.0 * (ingress.now - updated_at) / 1e9) - event.units
+                    assert level >= -0.001, "own part of the hard ceiling exceeded"
+                    ceilings[event.customer] = (level, ingress.now)
+                in_flight[(action.request, sent)] = (action.server, ingress.now)
+                open_requests[action.request] = (event, sent + 1)
+            elif type(action) in (interface.Refuse, interface.Fail):
+                assert action.request in open_requests, "answered twice"
+                event, _ = open_requests.pop(action.request)
+                if type(action) is interface.Refuse and event.class_id:
+                    assert not may_run.get(action.request), "refused though it may have run"
+                    assert not [1 for r, _ in in_flight if r == action.request], "refused with an attempt in flight"
 
     def fire(until):
         while due := sorted(t for t in timers if t[0] <= until)[:1]:
             timers.remove(due[0])
-            g.now = max(g.now, due[0][0])
-            note(g.do(i.Timer(due[0][1])))
-
-    for what, pick, wait in script:
-        fire(g.now + wait * MS)
-        g.now += 0 if timers and g.now > timers[0][0] else wait * MS
-        if what == "arrive":
-            g.next += 1
-            ev = i.Arrival(g.next, pick % 4, pick % 3, pick % 4, (2 + pick % 3) * S, 1.0 + pick % 4, 2)
-            owed[g.next] = (ev, 0)
-            note(g.do(ev))
-        elif what == "end" and live:
-            (rid, n), (server, at) = sorted(live.items())[pick % len(live)]
-            del live[(rid, n)]
-            result = list(R)[pick % 7]
-            if result not in i.NEVER_RAN:
-                may_run.setdefault(rid, at)
-            final = rid not in owed or result == R.OK
-            if result == R.OK:
-                owed.pop(rid, None)
-            note(g.do(i.Outcome(rid, server, n, g.now - at, result, final)))
-        elif what == "count" and calls:
+            ingress.now = max(ingress.now, due[0][0])
+            note(ingress.handle(interface.Timer(due[0][1])))
+
+    for step, pick, wait in script:
+        fire(ingress.now + wait * MS)
+        ingress.now += 0 if timers and ingress.now > timers[0][0] else wait * MS
+        if step == "arrive":
+            ingress.last_request += 1
+            event = interface.Arrival(
+                ingress.last_request, pick % 4, pick % 3, pick % 4, (2 + pick % 3) * S, 1.0 + pick % 4, 2
+            )
+            open_requests[ingress.last_request] = (event, 0)
+            note(ingress.handle(event))
+        elif step == "end" and in_flight:
+            (request, n), (server, sent_at) = sorted(in_flight.items())[pick % len(in_flight)]
+            del in_flight[(request, n)]
+            result = list(Result)[pick % 7]
+            if result not in interface.NEVER_RAN:
+                may_run.setdefault(request, sent_at)
+            final = request not in open_requests or result == Result.OK
+            if result == Result.OK:
+                open_requests.pop(request, None)
+            note(ingress.handle(interface.Outcome(request, server, n, ingress.now - sent_at, result, final)))
+        elif step == "count" and calls:
             call = calls.pop(0)
-            result = [R.OK, R.OK, R.TIMEOUT, R.REJECTED][pick % 4]
-            note(g.do(i.Counted(call.name, result, float(pick % 12), MS)))
-        elif what == "list":
-            life[1 + pick % 6] = i.ServerState(pick % 3)
-            note(g.do(i.ServerNews(i.News.CHANGES, [i.Server(1 + pick % 6, i.ServerState(pick % 3))])))
-        elif what == "left" and owed:
-            rid = sorted(owed)[pick % len(owed)]
-            del owed[rid]
-            note(g.do(i.Left(rid)))
-    fire(g.now + 6 * S)
-    assert not owed, "a request got no final answer"
-    assert not g.brain.requests
+            result = [Result.OK, Result.OK, Result.TIMEOUT, Result.REJECTED][pick % 4]
+            note(ingress.handle(interface.Counted(call.name, result, float(pick % 12), MS)))
+        elif step == "list":
+            states[1 + pick % 6] = interface.ServerState(pick % 3)
+            note(
+                ingress.handle(
+                    interface.ServerNews(
+                        interface.News.CHANGES, [interface.Server(1 + pick % 6, interface.ServerState(pick % 3))]
+                    )
+                )
+            )
+        elif step == "left" and open_requests:
+            request = sorted(open_requests)[pick % len(open_requests)]
+            del open_requests[request]
+            note(ingress.handle(interface.Left(request)))
+    fire(ingress.now + 6 * S)
+    assert not open_requests, "a request got no final answer"
+    assert not ingress.brain.requests
     return log
 
 
@@ -112,7 +120,7 @@
 
 @settings(max_examples=100, derandomize=True, deadline=None)
 @given(steps)
-def test_rules_hold_with_second_copies(script):
+def test_rules_hold_with_hedged_attempts(script):
     play(script, may_hedge=True)
 
 
@@ -122,19 +130,19 @@
     assert play(script) == play(script)
 
 
-def test_cold_server_gets_a_trickle_under_the_fall_multiple():
-    g = Gateway(servers=5)
-    g.do(i.ServerNews(i.News.CHANGES, [i.Server(6, started_ns=g.now)]))
-    began, sends = g.now, []
+def test_a_server_in_slow_start_gets_less_than_the_load_that_makes_it_fail():
+    ingress = IngressDriver(servers=5)
+    ingress.handle(interface.ServerNews(interface.News.CHANGES, [interface.Server(6, started_ns=ingress.now)]))
+    began, sends = ingress.now, []
     for _ in range(2000):
-        rid, acts = g.arrive(wait=5 * MS)
-        for send in only(acts, i.Send):
+        request, actions = ingress.arrive(wait_ns=5 * MS)
+        for send in only(actions, interface.Send):
             if send.server == 6:
-                sends.append(g.now)
-            g.end(rid, send.server, R.OK, took=100 * MS)
-    per_warm = 200 / 6  # requests a second
-    for at in sends:
-        window = [s for s in sends if at <= s < at + 2 * S]
-        part = 0.2 + 0.8 * min(1.0, (at - began) / (10 * S))
-        assert len(window) <= 2.5 * per_warm * part * 2 + 1
+                sends.append(ingress.now)
+            ingress.end_attempt(request, send.server, Result.OK, took_ns=100 * MS)
+    per_server = 200 / 6  # requests per second
+    for sent_at in sends:
+        window = [s for s in sends if sent_at <= s < sent_at + 2 * S]
+        part = 0.2 + 0.8 * min(1.0, (sent_at - began) / (10 * S))
+        assert len(window) <= 2.5 * per_server * part * 2 + 1
     assert sends
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -3,18 +3,18 @@
 from __future__ import annotations
 
 import pytest
-from helpers import MS, Gateway, S, only
+from helpers import MS, IngressDriver, S, only
 from hypothesis import given
 from hypothesis import settings as trials
 from hypothesis import strategies as st
 from rig import block, fault, fleet, when
 
 from mapleline.faults import checker
-from mapleline.policy import interface as i
+from mapleline.policy import interface
 from mapleline.settings import own
 from mapleline.zones import ZoneEjection, read_tiers
 
-R = i.Result
+Result = interface.Result
 TOLD = own.Zones(enabled=True, evidence_s=1.0, least_tries=3, hold_s=2.0, hold_most_s=8.0, flap_s=30.0)
 BEAT_S = 0.5
 
@@ -72,14 +72,14 @@
 @pytest.mark.parametrize(
     "results, failing",
     [
-        ({0: [R.OK] * 3, 1: [None] * 3}, [1]),
-        ({0: [R.OK] * 3, 1: [R.NO_CONNECTION, R.TIMEOUT, R.RESET]}, [1]),
-        ({0: [R.OK] * 3, 1: [R.CANCELLED] * 4}, [1]),
-        ({0: [R.OK] * 3, 1: [None] * 2}, []),  # too few
-        ({0: [R.OK], 1: [None] * 3}, []),  # the other's answer is older than half of the evidence
-        ({0: [R.OK] * 3, 1: [None, None, R.ERROR]}, []),  # an answer, if a bad one
-        ({0: [R.OK] * 3, 1: [R.REJECTED] * 4}, []),
-        ({0: [R.OK] * 3, 1: [R.MOOT] * 4}, []),  # never went
+        ({0: [Result.OK] * 3, 1: [None] * 3}, [1]),
+        ({0: [Result.OK] * 3, 1: [Result.NO_CONNECTION, Result.TIMEOUT, Result.RESET]}, [1]),
+        ({0: [Result.OK] * 3, 1: [Result.CANCELLED] * 4}, [1]),
+        ({0: [Result.OK] * 3, 1: [None] * 2}, []),  # too few
+        ({0: [Result.OK], 1: [None] * 3}, []),  # the other's answer is older than half of the evidence
+        ({0: [Result.OK] * 3, 1: [None, None, Result.ERROR]}, []),  # an answer, if a bad one
+        ({0: [Result.OK] * 3, 1: [Result.REJECTED] * 4}, []),
+        ({0: [Result.OK] * 3, 1: [Result.MOOT] * 4}, []),  # never went
         ({0: [None] * 3, 1: [None] * 3}, []),  # nothing answers: this one is the one cut off
         ({1: [None] * 3}, []),
     ],
@@ -92,9 +92,9 @@
 
 def test_who_was_cut_off_holds_nothing_against_the_zones_that_come_back_later():
     zones = seen(ZoneEjection(2, TOLD, BEAT_S), {0: [None] * 9, 1: [None] * 9})
-    zones.ended(0, R.OK, 15 * S)
+    zones.ended(0, Result.OK, 15 * S)
     assert zones.failing(15 * S) == []
-    seen(zones, {0: [R.OK] * 4, 1: [None] * 4}, at=15 * S)
+    seen(zones, {0: [Result.OK] * 4, 1: [None] * 4}, at=15 * S)
     assert zones.failing(16 * S) == [1]  # it was not that
 
 
@@ -153,9 +153,9 @@
     hear(zones, [3], zone=1)
     hear(zones, [1], zone=2)
     assert zones.probes(200 * S) == [0, 1, 2]  # the one nobody doubts to see that this member is not cut off
-    seen(zones, {0: [R.OK]}, at=200 * S)
+    seen(zones, {0: [Result.OK]}, at=200 * S)
     assert zones.probes(200 * S + S // 8) == [2]  # the one that is left once a period
-    seen(zones, {2: [R.OK]}, at=200 * S)
+    seen(zones, {2: [Result.OK]}, at=200 * S)
     assert zones.probes(200 * S + S // 2) == [1]  # its own eyes tell
     zones = ZoneEjection(2, TOLD, BEAT_S)
     zones.sent(0, 201 * S)
@@ -166,52 +166,52 @@
 
 
 def two_zones(**changes):
-    return Gateway(servers=6, zones=2, **changes)  # servers 2, 4, 6 in zone 0
+    return IngressDriver(servers=6, zones=2, **changes)  # servers 2, 4, 6 in zone 0
 
 
-def sends(g, count, cls=0):
-    """The zones of the servers that so many requests go to; each is answered at once."""
+def sends(ingress, count, class_id=0):
+    """Return the zones of the servers that `count` requests go to; each is answered at once."""
     out = []
     for _ in range(count):
-        rid, acts = g.arrive(cls=cls, wait=10 * MS)
-        for send in only(acts, i.Send):
+        request, actions = ingress.arrive(class_id=class_id, wait_ns=10 * MS)
+        for send in only(actions, interface.Send):
             out.append(send.server % 2)
-            g.end(rid, send.server, R.OK, took=5 * MS)
+            ingress.end_attempt(request, send.server, Result.OK, took_ns=5 * MS)
     return out
 
 
 def test_nothing_is_sent_to_a_zone_that_is_left_and_what_is_out_there_goes_elsewhere():
-    g = two_zones()
+    ingress = two_zones()
     out = {}
-    for cls in (0, 0, 0, 0, 1, 1, 1, 1):
-        rid, acts = g.arrive(cls=cls, wait=MS)
-        out[(rid, cls)] = only(acts, i.Send)[0].server
-    acts = g.do(i.ZoneTurn(1, True))
-    repeated = {a.request for a in only(acts, i.Cancel)}
+    for class_id in (0, 0, 0, 0, 1, 1, 1, 1):
+        request, actions = ingress.arrive(class_id=class_id, wait_ns=MS)
+        out[(request, class_id)] = only(actions, interface.Send)[0].server
+    actions = ingress.handle(interface.ZoneTurn(1, True))
+    repeated = {a.request for a in only(actions, interface.Cancel)}
     # what may have run goes again only where its class lets it
-    assert repeated == {rid for (rid, cls), server in out.items() if server % 2 == 1 and cls == 0}
+    assert repeated == {request for (request, class_id), server in out.items() if server % 2 == 1 and class_id == 0}
     assert repeated
-    rid = min(repeated)
-    server = next(server for (r, _), server in out.items() if r == rid)
-    again = only(g.end(rid, server, R.CANCELLED, final=False), i.Send)
+    request = min(repeated)
+    server = next(server for (r, _), server in out.items() if r == request)
+    again = only(ingress.end_attempt(request, server, Result.CANCELLED, is_final=False), interface.Send)
     assert [s.server % 2 for s in again] == [0]
-    g = two_zones()
-    g.do(i.ZoneTurn(1, True))
-    assert sends(g, 100) == [0] * 100
+    ingress = two_zones()
+    ingress.handle(interface.ZoneTurn(1, True))
+    assert sends(ingress, 100) == [0] * 100
 
 
 def test_servers_of_a_zone_that_is_back_are_cold_whatever_the_list_says():
-    g = two_zones()
-    g.do(i.ZoneTurn(1, True))
-    g.do(i.ZoneTurn(1, False))
-    early, late = sends(g, 300), []
-    g.do(i.Timer(2), wait=20 * S)
-    late = sends(g, 300)
+    ingress = two_zones()
+    ingress.handle(interface.ZoneTurn(1, True))
+    ingress.handle(interface.ZoneTurn(1, False))
+    early, late = sends(ingress, 300), []
+    ingress.handle(interface.Timer(2), wait_ns=20 * S)
+    late = sends(ingress, 300)
     assert 0 < sum(early) / len(early) < 0.25 < sum(late) / len(late)  # a fifth of a half, climbing; a half
 
 
-class Part:
-    """A member's parts: so many units of spill."""
+class FakeBudgets:
+    """Budgets with a number of units of spill, and without limit otherwise."""
 
     limit = 0
 
@@ -227,15 +227,17 @@
 
 
 def test_spill_goes_to_the_next_tier_as_far_as_the_budget_goes_the_rest_is_refused_at_once():
-    g = two_zones(classes=[i.RequestClass(S, 4 * S, value=1.0), i.RequestClass(S, 4 * S, value=4.0)])
-    g.brain.budgets, g.brain.tiers = Part(spill=20), read_tiers("b > a", ["a", "b"], 1)
-    assert set(sends(g, 50)) == {1} and g.brain.budgets.asked == []  # its own tier: no spill
-    g.do(i.ZoneTurn(1, True))
-    assert sends(g, 50) == [0] * 20
-    assert g.brain.budgets.asked[0] == (0, 3, 0.25)  # the receiving zone, its warm servers, the class's worth
-    _, acts = g.arrive(cls=1, wait=MS)
-    assert only(acts, i.Refuse)[0].retry_in_ns >= 0 and not only(acts, i.Send)
-    assert g.brain.budgets.asked[-1][2] == 1.0
+    ingress = two_zones(
+        classes=[interface.RequestClass(S, 4 * S, value=1.0), interface.RequestClass(S, 4 * S, value=4.0)]
+    )
+    ingress.brain.budgets, ingress.brain.tiers = FakeBudgets(spill=20), read_tiers("b > a", ["a", "b"], 1)
+    assert set(sends(ingress, 50)) == {1} and ingress.brain.budgets.asked == []  # its own tier: no spill
+    ingress.handle(interface.ZoneTurn(1, True))
+    assert sends(ingress, 50) == [0] * 20
+    assert ingress.brain.budgets.asked[0] == (0, 3, 0.25)  # the receiving zone, its warm servers, the class's worth
+    _, actions = ingress.arrive(class_id=1, wait_ns=MS)
+    assert only(actions, interface.Refuse)[0].retry_in_ns >= 0 and not only(actions, interface.Send)
+    assert ingress.brain.budgets.asked[-1][2] == 1.0
 
 
 # --- fleets of processes
