--- a/mapleline/policy/state.py
+++ b/mapleline/policy/state.py
@@ -52,7 +52,7 @@
         inside_rate: The share of its requests that were within the quota by the counter's answers, as a moving average;
             below 0 before the first answer.
         share: This ingress's share of the customer's use, 0 to 1; it scales own units to those of all ingresses while
-            the counter is down.
+            the counter is down.  With hundreds of ingresses, its part of the limit may be less than one request.
         ceiling: Units in the token bucket of this ingress's part of the hard ceiling.  The parts add up to the ceiling,
             so it holds whatever the other ingresses do.  The bucket is empty at the start, because an earlier process
             may have spent it.
@@ -149,7 +149,7 @@
         plan: The settings of its customer's plan.
         usage: Its customer's use.
         useful_until: An answer after this time has no value.
-        arrived_at: When it arrived; its times start anew when the last byte of its body has arrived.
+        arrived_at: When it arrived.  Its time, and its attempt's at the server, start with the last byte of its body.
         attempts: Attempts in flight: the server's number by attempt number.
         sent: How many attempts have been sent.
         first_sent_at: When the first one was sent.
