--- a/mapleline/balancer/transport/__init__.py
+++ b/mapleline/balancer/transport/__init__.py
@@ -1,1 +1,1 @@
-"""How ingresses talk to each other: messages, the stamps that fence them off, datagrams and calls."""
+"""Communication between ingresses: messages, the stamps that fence off stale ones, datagrams and calls."""
--- a/mapleline/balancer/transport/addresses.py
+++ b/mapleline/balancer/transport/addresses.py
@@ -9,7 +9,7 @@
     """Return an address in dotted notation as an integer.
 
     Raises:
-        OSError: It is no IPv4 address.
+        OSError: `host` is not an IPv4 address.
     """
     return int.from_bytes(socket.inet_aton(host), "big")
 
--- a/mapleline/balancer/transport/connections.py
+++ b/mapleline/balancer/transport/connections.py
@@ -1,4 +1,4 @@
-"""The sockets between ingresses: datagrams for what is small, a TCP connection a call for the rest."""
+"""The sockets between ingresses: UDP for small messages, and one TCP connection per call for the others."""
 
 from __future__ import annotations
 
@@ -22,50 +22,50 @@
     from . import messages
     from .fencing import Fence, OutstandingCall, ReceivedCall
 
-MAX_MESSAGE_BYTES = 16 << 20  #: of a call or a reply with its stamps
-TCP_USER_TIMEOUT_MS = 3000  #: a connection whose bytes go unacknowledged for so long is dropped by the kernel
+MAX_MESSAGE_BYTES = 16 << 20  #: bound of a call or a reply, stamps included
+TCP_USER_TIMEOUT_MS = 3000  #: the kernel drops a connection with bytes unacknowledged that long
 
 Result = TypeVar("Result")
-DatagramHandler: TypeAlias = "Callable[[int, messages.Datagram], None]"  #: gets the sender's address as well
+DatagramHandler: TypeAlias = "Callable[[int, messages.Datagram], None]"  #: gets the sender's address first
 CallHandler: TypeAlias = "Callable[[messages.Call], messages.Reply | Deferred[messages.Reply]]"
 
 
 class DatagramTransport(Protocol):
-    """What is used of Twisted's UDP transport, whose interface has no types."""
+    """The used part of Twisted's UDP transport, whose interface has no type annotations."""
 
     def write(self, data: bytes, address: tuple[str, int], /) -> object:
         """Send a datagram."""
 
 
 class StreamTransport(Protocol):
-    """What is used of Twisted's TCP transport, whose interface has no types."""
+    """The used part of Twisted's TCP transport, whose interface has no type annotations."""
 
     def setTcpNoDelay(self, enabled: bool, /) -> None:
-        """Send small segments at once, or wait for more."""
+        """Enable or disable `TCP_NODELAY`: whether small segments are sent at once."""
 
     def getHandle(self) -> socket.socket:
         """Return the socket."""
 
     def loseConnection(self) -> None:
-        """Close the connection once all that was written has been sent."""
+        """Close the connection after all written bytes have been sent."""
 
     def abortConnection(self) -> None:
         """Close the connection at once."""
 
 
 class DatagramSocket(DatagramProtocol):
-    """Sends and receives datagrams; those that the fence accepts go to the handler."""
+    """Sends and receives datagrams, and calls the handler with those that the fence accepts."""
 
     transport: DatagramTransport | None  # type: ignore[assignment]  # Twisted's type has no usable methods
 
     def __init__(self, port: int, fence: Fence, on_datagram: DatagramHandler) -> None:
-        """All ingresses use the same port."""
+        """Create a socket that sends to `port`, which is the same on all ingresses."""
         self._port = port
         self._fence = fence
         self._on_datagram = on_datagram
 
     def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Handle a datagram that came from a host and port."""
+        """Handle a datagram that was received from a host and port."""
         ip = ip_to_int(addr[0])
         received = self._fence.receive_datagram(ip, data)
         if received.refusal is not None:
@@ -80,12 +80,12 @@
     def _write(self, ip: int, data: bytes) -> None:
         if self.transport is None:
             return
-        with suppress(OSError):  # no route, or no room in the buffer: the same as a datagram that is lost
+        with suppress(OSError):  # no route, or a full socket buffer: equivalent to a lost datagram
             self.transport.write(data, (ip_from_int(ip), self._port))
 
 
 class MessageConnection(Int32StringReceiver):
-    """A connection on which a call and its reply travel, each with its length in front."""
+    """A connection for one call and its reply, each prefixed with its length."""
 
     MAX_LENGTH = MAX_MESSAGE_BYTES
     transport: StreamTransport  # type: ignore[assignment]  # set before any method is called
@@ -96,17 +96,17 @@
         self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
     def send_message(self, data: bytes) -> None:
-        """Send bytes with their length in front."""
+        """Send bytes with their length as a prefix."""
         self.sendString(data)  # type: ignore[no-untyped-call]  # Twisted does not annotate it
 
 
 class CalleeConnection(MessageConnection):
-    """The called side: carries out one call and sends the reply; a second call on a connection breaks it off."""
+    """The callee's end: carries out one call and sends the reply; a second call aborts the connection."""
 
     factory: CalleeFactory  #: set by the factory
 
     def __init__(self) -> None:
-        """Start before the call has come."""
+        """Create a connection that has not received a call yet."""
         self._call: ReceivedCall | None = None
 
     def stringReceived(self, data: bytes) -> None:
@@ -140,36 +140,36 @@
 
 
 class CalleeFactory(ServerFactory):
-    """Makes the called side of each connection that comes in."""
+    """Builds the callee's end of each accepted connection."""
 
-    protocol = CalleeConnection  # type: ignore[assignment]  # Twisted wants a type that sets the factory itself
+    protocol = CalleeConnection  # type: ignore[assignment]  # Twisted expects a type that sets the factory itself
     noisy = False
 
     def __init__(self, fence: Fence, on_call: CallHandler) -> None:
-        """Calls that the fence accepts go to the handler."""
+        """Create a factory; `on_call` is called with each call that the fence accepts."""
         self.fence = fence
         self.on_call = on_call
 
 
 class CallerConnection(MessageConnection):
-    """The calling side: waits for the reply and fires the call's Deferred with it."""
+    """The caller's end: waits for the reply and fires the call's Deferred with it."""
 
     connect_result: Deferred[CallerConnection] | None = None  #: fires once connected; set by `dial`
 
     def __init__(self, fence: Fence, call: OutstandingCall, done: Deferred[messages.Reply]) -> None:
-        """`done` fires with the reply to this call, or with why there is none."""
+        """Create the end of one call; `done` fires with the reply, or with the error that prevented one."""
         self._fence = fence
         self._call = call
         self._done: Deferred[messages.Reply] | None = done
 
     def connectionMade(self) -> None:
-        """Tell who dialed."""
+        """Report the established connection to `dial`."""
         super().connectionMade()
         if self.connect_result is not None:
             self.connect_result.callback(self)
 
     def stringReceived(self, data: bytes) -> None:
-        """Handle what is to be the reply, and close the connection."""
+        """Handle the first message as the reply, and close the connection."""
         done, self._done = self._done, None
         self.transport.loseConnection()
         try:
@@ -182,16 +182,16 @@
             done.callback(reply)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Fail the call if it has no reply."""
+        """Fail the call if no reply was received."""
         if self._done is not None and not self._done.called:
             self._done.errback(reason)
 
 
 class OutgoingCall:
-    """One call: dials, sends the request, and gives up after a time-out."""
+    """One call: dials, sends the request, and fails after a time-out."""
 
     def __init__(self, fence: Fence, ip: int, message: messages.Call) -> None:
-        """Stamp the request; nothing is sent yet."""
+        """Stamp the request without sending it."""
         self._fence = fence
         self._ip = ip
         self._call, self._request = fence.stamp_call(ip, message)
@@ -199,9 +199,9 @@
         self._connection: CallerConnection | None = None
 
     def start(self, reactor: Reactor, port: int, timeout_s: float) -> Deferred[messages.Reply]:
-        """Dial; the result fires with the reply, or with why there is none within the time-out."""
+        """Dial; the result fires with the reply, or with an error if none was received within the time-out."""
         address = ip_from_int(self._ip), port
-        make_connection: Any = self._make_connection  # `dial` is typed for HTTP streams, and uses `up` alone
+        make_connection: Any = self._make_connection  # `dial` is typed for HTTP streams, but sets `connect_result` only
         self._dialing = dial(reactor, address, make_connection, timeout_s)
         self._timer = reactor.callLater(timeout_s, self._time_out)
         self._dialing.addCallbacks(self._send_request, self._fail)
@@ -219,7 +219,7 @@
             self._done.errback(reason)
 
     def _time_out(self) -> None:
-        """Break the call off; the end of the connection, or of dialing, fails it."""
+        """Abort the connection or cancel dialing; either makes the call fail."""
         if self._done.called:
             return
         if self._connection is not None:
--- a/mapleline/balancer/transport/errors.py
+++ b/mapleline/balancer/transport/errors.py
@@ -1,4 +1,4 @@
-"""Why something that came from another ingress is dropped, and the errors of the transport."""
+"""Reasons for dropping messages of other ingresses, and the errors of the transport."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 
 class DropReason(StrEnum):
-    """Why a datagram, call or reply is dropped; the value is its name in the log."""
+    """The reason why a datagram, call or reply is dropped; the value is its name in the log."""
 
-    TRUNCATED = "truncated"  #: shorter than its stamps
-    UNDECODABLE = "undecodable"  #: no message of the expected kind
-    FOREIGN_SYSTEM = "foreign_system"  #: another system's; not even refused
-    STALE_SENDER = "stale_sender"  #: from an incarnation that is known to be over
-    OTHER_INCARNATION = "other_incarnation"  #: meant for another incarnation of this process
-    REFUSED = "refused"  #: a refusal: stamps without a message
-    OUT_OF_ORDER = "out_of_order"  #: a later message of a sequence has come before
-    SURPLUS_REPLY = "surplus_reply"  #: the call has had a reply
-    OTHER_CALL = "other_call"  #: a reply to another call, or from another ingress
-    CALLEE_RESTARTED = "callee_restarted"  #: a reply from another incarnation than was called
+    TRUNCATED = "truncated"  #: the message is shorter than its stamps
+    UNDECODABLE = "undecodable"  #: the bytes are not a message of the expected kind
+    FOREIGN_SYSTEM = "foreign_system"  #: the sender belongs to another system; no refusal is sent
+    STALE_SENDER = "stale_sender"  #: a newer incarnation of the sender is known
+    OTHER_INCARNATION = "other_incarnation"  #: the message is addressed to another incarnation of this process
+    REFUSED = "refused"  #: the message is a refusal: stamps without a body
+    OUT_OF_ORDER = "out_of_order"  #: a later message of the same sequence was received before
+    SURPLUS_REPLY = "surplus_reply"  #: the call has a reply already
+    OTHER_CALL = "other_call"  #: the reply belongs to another call, or comes from another ingress
+    CALLEE_RESTARTED = "callee_restarted"  #: the reply comes from another incarnation than the one called
 
 
 class TransportError(Exception):
-    """Base of the transport's errors."""
+    """Base class of the transport's errors."""
 
 
 class UnexpectedReplyError(TransportError):
-    """What came back is not the reply to the call that is out.
+    """The received message is not the reply to the outstanding call.
 
     Attributes:
-        reason: Why it was dropped.
+        reason: Why the message was dropped.
     """
 
     def __init__(self, reason: DropReason) -> None:
-        """The text is the name of the reason."""
+        """Use the value of the reason as the text of the error."""
         super().__init__(reason.value)
         self.reason = reason
--- a/mapleline/balancer/transport/fencing.py
+++ b/mapleline/balancer/transport/fencing.py
@@ -1,9 +1,10 @@
-"""Which messages of other ingresses a process accepts, by the stamps on them (pure).
+"""The fence: decides by their stamps which messages of other ingresses a process accepts (pure).
 
-Every message carries the system's identity, the sender's incarnation and the one of the receiver that it is meant for,
-0 where these are not known.  Who gets a message for another incarnation of itself, or from one that it knows to be
-over, drops it and sends back the bare stamps: this refusal tells the sender what it has wrong.  Calls carry a number
-and the caller's address as well, which the reply repeats.  Message by message: docs/design/fencing.md.
+Every message carries the identity of the system, the sender's incarnation and the receiver's incarnation that it is
+addressed to; unknown values are 0.  A process that receives a message addressed to another incarnation of itself, or
+sent by an outdated incarnation, drops it and returns stamps without a body.  This refusal shows the sender which
+incarnation it has wrong.  Calls also carry a number and the caller's address; the reply repeats the number.
+docs/design/fencing.md describes each message.
 """
 
 from __future__ import annotations
@@ -22,15 +23,15 @@
 if TYPE_CHECKING:
     from ..membership.table import MembershipTable
 
-ANY_INCARNATION = 0  #: in the place of the receiver's
+ANY_INCARNATION = 0  #: stands for the receiver's incarnation where none is known or any will do
 _UINT32_MASK = 0xFFFFFFFF
 
 
 class ReceivedDatagram(NamedTuple):
-    """What is to be done with a datagram that has come."""
+    """The decision on a received datagram."""
 
-    message: messages.Datagram | None  #: to be handled; None if it was dropped
-    refusal: bytes | None = None  #: to be sent back at once
+    message: messages.Datagram | None  #: the message to handle; None if the datagram was dropped
+    refusal: bytes | None = None  #: the refusal to send back at once; None if there is none
 
 
 @dataclass(slots=True)
@@ -38,10 +39,10 @@
     """A call that was sent and has no reply yet.
 
     Attributes:
-        ip: Whom it asks.
-        receiver_incarnation: The one it asks; `ANY_INCARNATION` if none was known.
-        call_number: Its number.
-        has_reply: Something came back for it: any more is dropped.
+        ip: The address of the callee.
+        receiver_incarnation: The called incarnation; `ANY_INCARNATION` if none was known.
+        call_number: The number of the call.
+        has_reply: Whether something was received in reply; anything further is dropped.
     """
 
     ip: int
@@ -52,14 +53,14 @@
 
 @dataclass(slots=True)
 class ReceivedCall:
-    """A call that has come.
+    """A received call.
 
     Attributes:
-        message: To be carried out; None if the call was dropped.
-        refusal: What is sent back for a dropped call; empty if the connection is to be closed without an answer.
-        caller_ip: Who calls.
-        caller_incarnation: The caller's incarnation.
-        call_number: The caller's number of the call.
+        message: The call to carry out; None if it was dropped.
+        refusal: The refusal to send for a dropped call; empty if the connection is to be closed without an answer.
+        caller_ip: The address of the caller.
+        caller_incarnation: The incarnation of the caller.
+        call_number: The number that the caller gave to the call.
     """
 
     message: messages.Call | None
@@ -70,39 +71,39 @@
 
 
 class Fence:
-    """The fence of one process: stamps what goes out, accepts or drops what comes in.
+    """The fence of one process: stamps outgoing messages, and accepts or drops incoming ones.
 
-    It learns the incarnations of senders from what it accepts; the membership table keeps them.
+    It learns the incarnations of senders from their stamps and stores them in the membership table.
 
     Attributes:
         system_id: The identity agreed on when the system was founded, 32 bits; 0 until it is known.
-        dropped: What was dropped since the start, counted by reason.
-        membership: Keeps the incarnations.
+        dropped: The number of messages dropped since the start, by reason.
+        membership: The table that stores the incarnations.
     """
 
     def __init__(self, membership: MembershipTable, system_id: int = 0) -> None:
-        """Start with nothing dropped."""
+        """Create a fence that has dropped nothing."""
         self.system_id = system_id
         self.dropped: Counter[DropReason] = Counter()
         self.membership = membership
         self._local_member = membership.local_member
         self._reported_drops = 0
-        # Processes that started at one moment share an incarnation: their call numbers must differ.
+        # Processes that started at the same moment have the same incarnation, so their call numbers must differ.
         self._call_number = crc32(b"%d %d" % (self._local_member.ip, self._local_member.incarnation))
         self._sequence = 0
-        self._last_sequences: dict[int, tuple[int, int]] = {}  #: by sender: incarnation and sequence number
+        self._last_sequences: dict[int, tuple[int, int]] = {}  #: sender -> (incarnation, sequence)
 
     # -- datagrams -----------------------------------------------------------------------------------------
 
     def stamp_datagram(self, ip: int, message: messages.Datagram) -> bytes:
-        """Return a datagram as it goes out to an ingress."""
-        # Heartbeats teach incarnations, so they must come through to a receiver that has a new one.
+        """Return the bytes of a datagram to an ingress, stamps included."""
+        # Heartbeats announce the sender's incarnation, so a receiver that has restarted meanwhile must accept them too.
         is_for_any = isinstance(message, messages.Heartbeat)
         receiver_incarnation = ANY_INCARNATION if is_for_any else self.membership.incarnation(ip)
         return self._datagram_stamps(receiver_incarnation) + messages.encode(message)
 
     def receive_datagram(self, ip: int, data: bytes) -> ReceivedDatagram:
-        """Accept or drop a datagram that came from an address."""
+        """Accept or drop a datagram that was received from an address."""
         if len(data) < DATAGRAM_STAMPS_BYTES:
             return self._drop_datagram(DropReason.TRUNCATED)
         stamps = DatagramStamps.decode(data)
@@ -119,7 +120,7 @@
             return self._drop_datagram(DropReason.UNDECODABLE)
 
     def _receive_refusal(self, ip: int, stamps: DatagramStamps) -> DropReason:
-        """Learn from a refusal; it is dropped in any case and never answered, so nothing bounces."""
+        """Learn from a refusal.  It is always dropped and never answered, so that refusals cannot loop."""
         reason = self._check_stamps(ip, stamps, ANY_INCARNATION)
         if reason is not None:
             return reason
@@ -129,14 +130,17 @@
     def _check_stamps(
         self, ip: int, stamps: DatagramStamps | CallStamps, receiver_incarnation: int
     ) -> DropReason | None:
-        """Return why a message is to be dropped, None if it isn't; its sender's incarnation is learnt either way."""
+        """Return why a message is to be dropped, or None to accept it.
+
+        The sender's incarnation is recorded also when the message is addressed to another incarnation.
+        """
         if stamps.system_id and self.system_id and stamps.system_id != self.system_id:
             return DropReason.FOREIGN_SYSTEM
         if stamps.sender_incarnation < self.membership.incarnation(ip):
             return DropReason.STALE_SENDER
         self.membership.observe_incarnation(ip, stamps.sender_incarnation)
         if receiver_incarnation not in (ANY_INCARNATION, self._local_member.incarnation):
-            self.membership.refute(receiver_incarnation)  # after a clock was set back an earlier one is the newer
+            self.membership.refute(receiver_incarnation)  # after the clock was set back, an earlier one may be higher
             return DropReason.OTHER_INCARNATION
         return None
 
@@ -153,14 +157,14 @@
     # -- sequences -----------------------------------------------------------------------------------------
 
     def next_sequence(self) -> int:
-        """Return the number of the next message of a kind of which each replaces the one before."""
+        """Return the next sequence number, for messages each of which replaces the one before."""
         self._sequence += 1
         return self._sequence
 
     def accept_sequence(self, ip: int, sequence: int) -> bool:
-        """Return whether no message of this number or a later one has come from there before; else it is dropped.
+        """Return whether this sequence number is higher than any received from the sender; if not, count a drop.
 
-        Numbers start anew with each incarnation of the sender.
+        Numbering restarts with each incarnation of the sender.
         """
         position = self.membership.incarnation(ip), sequence
         if position <= self._last_sequences.get(ip, (-1, 0)):
@@ -172,13 +176,13 @@
     # -- calls ---------------------------------------------------------------------------------------------
 
     def stamp_call(self, ip: int, message: messages.Call) -> tuple[OutstandingCall, bytes]:
-        """Return a new call to an ingress and its bytes."""
+        """Return a new call to an ingress, and its bytes with stamps."""
         self._call_number = (self._call_number + 1) & _UINT32_MASK
         call = OutstandingCall(ip, self.membership.incarnation(ip), self._call_number)
         return call, self._call_stamps(call.receiver_incarnation, call.call_number) + messages.encode(message)
 
     def receive_call(self, data: bytes) -> ReceivedCall:
-        """Accept or drop a call that has come."""
+        """Accept or drop a received call."""
         if len(data) < CALL_STAMPS_BYTES:
             return self._drop_call(DropReason.TRUNCATED)
         stamps = CallStamps.decode(data)
@@ -195,14 +199,14 @@
         return ReceivedCall(message, b"", stamps.sender_ip, stamps.sender_incarnation, stamps.call_number)
 
     def stamp_reply(self, call: ReceivedCall, reply: messages.Reply) -> bytes:
-        """Return the reply to a call as it goes out."""
+        """Return the bytes of the reply to a call, stamps included."""
         return self._call_stamps(call.caller_incarnation, call.call_number) + messages.encode(reply)
 
     def receive_reply(self, call: OutstandingCall, data: bytes) -> messages.Reply:
-        """Return the reply to a call that is out; only what comes first for a call is considered.
+        """Return the reply to an outstanding call; only the first message received for a call is considered.
 
         Raises:
-            UnexpectedReplyError: It is not the reply to this call.
+            UnexpectedReplyError: The message is not the reply to this call.
         """
         reason = self._check_reply(call, data)
         call.has_reply = True
@@ -242,10 +246,10 @@
         self.dropped[reason] += 1
         return ReceivedCall(None, refusal)
 
-    # -- the log -------------------------------------------------------------------------------------------
+    # -- reporting -----------------------------------------------------------------------------------------
 
     def new_drops(self) -> dict[str, int]:
-        """Return what was dropped since the start, by reason, if that is more than at the last call; else nothing."""
+        """Return the drops since the start by reason; empty if there are none since the last call of this method."""
         total = self.dropped.total()
         if total <= self._reported_drops:
             return {}
--- a/mapleline/balancer/transport/messages/__init__.py
+++ b/mapleline/balancer/transport/messages/__init__.py
@@ -1,7 +1,8 @@
 """The messages between ingresses, and their encoding: MessagePack arrays that begin with a tag.
 
-Fields have names in the sources and places on the wire: a name may change, the order, types, defaults and tags may
-not.  A new field goes to the end and has a default, so that both sides of an update understand each other.
+On the wire, fields are identified by their positions: their names may change, but their order, types, defaults and the
+tags may not.  A new field goes to the end and has a default, so that old and new versions understand each other during
+an update.
 """
 
 from __future__ import annotations
@@ -70,9 +71,9 @@
     | Vote
     | LeaseRequest
     | LeaseGrant
-)  #: may be lost, doubled, delayed and reordered; the handlers bear that (docs/design/fencing.md)
-Call = Prepare | Accept | Propose | FetchState  #: over a connection of its own
-Reply = Promised | Accepted | Proposed | FetchedState  #: to the calls in this order
+)  #: may be lost, duplicated, delayed and reordered; the handlers tolerate that (docs/design/fencing.md)
+Call = Prepare | Accept | Propose | FetchState  #: each is sent over its own connection
+Reply = Promised | Accepted | Proposed | FetchedState  #: the replies to the calls above, in the same order
 
 encode = msgspec.msgpack.Encoder().encode
 decode_datagram = msgspec.msgpack.Decoder(Datagram).decode
--- a/mapleline/balancer/transport/messages/control.py
+++ b/mapleline/balancer/transport/messages/control.py
@@ -1,4 +1,4 @@
-"""Messages of the control plane: queries of replicas, the consensus protocol, forwarded commands and state transfer."""
+"""Messages of the control plane: state queries, the consensus protocol, forwarded commands and state transfer."""
 
 from __future__ import annotations
 
@@ -10,96 +10,96 @@
 
 
 class StateQuery(msgspec.Struct, array_like=True, tag=2):
-    """From an ingress to each replica, or to another ingress that reaches them: what do you hold?"""
+    """From an ingress to each replica, or to another ingress that reaches the replicas: asks for a `StateReport`."""
 
-    nonce: int  #: 31 bits; the report has it as well
-    receiver_disk_id: int = 0  #: of the disk that the sender last heard of there; 0 for none
-    receiver_record_version: int = 0  #: the highest that this disk has reported to the sender
+    nonce: int  #: 31 bits; the report repeats it
+    receiver_disk_id: int = 0  #: the receiver's disk as last reported to the sender; 0 for none
+    receiver_record_version: int = 0  #: the highest record version reported for that disk
 
 
 class StateReport(msgspec.Struct, array_like=True, tag=3):
-    """The answer to a `StateQuery`: what is on the sender's disk, and what it knows.
+    """The answer to a `StateQuery`: the states on the sender's disk, and those that it knows.
 
-    Numbers are those of control states; 0 stands for none.
+    The `*_number` fields are numbers of control states; 0 stands for none.
     """
 
-    nonce: int  #: of the query
-    disk_id: int  #: 0: the sender has no disk
-    record_version: int  #: of the replica's record on the disk
-    accepted_number: int  #: accepted last, whether chosen or not
-    committed_number: int  #: the newest that is known to be chosen
-    durable_number: int  #: the newest known to be chosen that is on the disk
-    staleness_ms: int = -1  #: all that was chosen so long ago or earlier is held here; -1: not known
+    nonce: int  #: the nonce of the query
+    disk_id: int  #: the sender's disk; 0 if it has none
+    record_version: int  #: the version of the replica's record on the disk
+    accepted_number: int  #: the state accepted last, whether chosen or not
+    committed_number: int  #: the newest state known to be chosen
+    durable_number: int  #: the newest state on the disk that is known to be chosen
+    staleness_ms: int = -1  #: the sender has all states chosen at least this long ago; -1 if unknown
     receiver_disk_id: int = 0  #: as in `StateQuery`
     receiver_record_version: int = 0  #: as in `StateQuery`
-    is_verified: bool = True  #: others have confirmed that the sender's disk lacks nothing: its votes count
+    is_verified: bool = True  #: others have confirmed that the sender's disk is complete, so its votes count
 
 
 class Prepare(msgspec.Struct, array_like=True, tag=10):
-    """From a proposer to a replica: promise to accept nothing of a lower ballot (Paxos, phase 1a)."""
+    """From a proposer to a replica: asks it to promise to accept nothing under a lower ballot (Paxos, phase 1a)."""
 
     ballot: Ballot
-    known_number: int  #: of the state that the sender knows to be chosen
+    known_number: int  #: the number of the state that the sender knows to be chosen
     known_content: int = 0  #: digest of the configuration whose body the sender has
 
 
 class Promised(msgspec.Struct, array_like=True, tag=11):
-    """The reply to `Prepare` (phase 1b): whether it is promised, and what the replica has accepted before."""
+    """The reply to `Prepare` (phase 1b): whether the promise is given, and which state the replica has accepted."""
 
-    is_granted: bool  #: and the promise is on that disk
-    disk_id: int  #: 0: the replica takes no part
-    promised_ballot: Ballot = NO_BALLOT  #: the highest
+    is_granted: bool  #: the promise is given, and stored on the disk `disk_id`
+    disk_id: int  #: the replica's disk; 0 if it does not take part
+    promised_ballot: Ballot = NO_BALLOT  #: the highest ballot promised
     accepted_ballot: Ballot = NO_BALLOT
     accepted_state: State | None = None  #: accepted under `accepted_ballot`
-    configuration_body: bytes | None = None  #: of that state's configuration, unless that is `Prepare.known_content`
-    record_version: int = 0  #: of the record on the disk; 0 where nothing was promised
+    configuration_body: bytes | None = None  #: of that state; None if its digest is `Prepare.known_content`
+    record_version: int = 0  #: the version of the record on the disk; 0 if no promise was given
 
 
 class Accept(msgspec.Struct, array_like=True, tag=14):
-    """From a proposer to a replica: accept this state (phase 2a)."""
+    """From a proposer to a replica: asks it to accept this state (phase 2a)."""
 
     ballot: Ballot
     state: State
-    configuration_body: bytes | None = None  #: of the state's configuration, where it is a new one
+    configuration_body: bytes | None = None  #: the body of the state's configuration if that is new
 
 
 class Accepted(msgspec.Struct, array_like=True, tag=15):
     """The reply to `Accept` (phase 2b)."""
 
-    is_granted: bool  #: and the state is on that disk
-    disk_id: int  #: 0: the replica takes no part
-    promised_ballot: Ballot = NO_BALLOT  #: the highest
-    needs_body: bool = False  #: nothing is accepted before the configuration's body comes along
-    record_version: int = 0  #: of the record on the disk
+    is_granted: bool  #: the state is accepted, and stored on the disk `disk_id`
+    disk_id: int  #: the replica's disk; 0 if it does not take part
+    promised_ballot: Ballot = NO_BALLOT  #: the highest ballot promised
+    needs_body: bool = False  #: the replica cannot accept the state without the configuration's body
+    record_version: int = 0  #: the version of the record on the disk
 
 
 class Chosen(msgspec.Struct, array_like=True, tag=16):
-    """From a proposer to the replicas: what was accepted under this ballot is chosen."""
+    """From a proposer to the replicas: the state accepted under this ballot is chosen."""
 
     ballot: Ballot
     state_number: int
 
 
 class Propose(msgspec.Struct, array_like=True, tag=17):
-    """From an ingress to a replica: propose this command of an operator.  It is idempotent."""
+    """From an ingress to a replica: asks it to propose this idempotent command of an operator."""
 
     command: Command
-    configuration_body: bytes | None = None  #: of the configuration that the command names
+    configuration_body: bytes | None = None  #: the body of the configuration that the command names
 
 
 class Proposed(msgspec.Struct, array_like=True, tag=18):
     """The reply to `Propose`, once the command's outcome is chosen."""
 
-    status: int  #: for the operator, as of HTTP: 200, 409, or 503 where the outcome is not known
-    text: str = ""  #: for people
+    status: int  #: the HTTP status for the operator: 200, 409, or 503 if the outcome is unknown
+    text: str = ""  #: the explanation for the operator
 
 
 class FetchState(msgspec.Struct, array_like=True, tag=12):
-    """From an ingress to one that holds something newer: send it."""
+    """From an ingress to another that has newer data: asks for the data."""
 
-    known_number: int = 0  #: only a newer state is wanted
+    known_number: int = 0  #: only a state with a higher number is sent
     known_content: int = 0  #: digest of the configuration whose body the sender has
-    wants_full_state: bool = False  #: as a replica keeps it; else without what only replicas need
+    wants_full_state: bool = False  #: the state as a replica stores it; else without the parts that only replicas need
     wants_state: bool = True
     wants_endpoints: bool = False
 
@@ -107,7 +107,7 @@
 class FetchedState(msgspec.Struct, array_like=True, tag=13):
     """The reply to `FetchState`."""
 
-    state: State | None = None  #: None: none wanted, or none newer
-    configuration_body: bytes | None = None  #: of that state's configuration, unless the receiver has it
-    endpoints_body: bytes = b""  #: the endpoint list; empty: none wanted, or none known
-    endpoints_age_ms: int = 0  #: since it was asked for at the platform
+    state: State | None = None  #: None if none was wanted or there is none newer
+    configuration_body: bytes | None = None  #: the body of that state's configuration, unless the receiver has it
+    endpoints_body: bytes = b""  #: the endpoint list; empty if none was wanted or none is known
+    endpoints_age_ms: int = 0  #: time since the list was requested from the platform
--- a/mapleline/balancer/transport/messages/membership.py
+++ b/mapleline/balancer/transport/messages/membership.py
@@ -6,24 +6,24 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True, tag=1):
-    """From each ingress to a few others, by turns to all: what exists, and how new what the sender holds is."""
+    """From each ingress to a few others, in turn to all: the sender's membership table and the age of its data."""
 
     member_rows: bytes  #: the sender's membership table (`heartbeat_codec`), its own row first
-    state_number: int  #: of the newest control state that the sender knows to be chosen; 0 for none
-    endpoints_digest: int  #: 32 bits, of the sender's endpoint list; 0 for none
-    endpoints_age_ms: int  #: since that list was asked for at the platform
+    state_number: int  #: the newest control state that the sender knows to be chosen; 0 for none
+    endpoints_digest: int  #: 32-bit checksum of the sender's endpoint list; 0 for none
+    endpoints_age_ms: int  #: time since that list was requested from the platform
     wants_reply: bool = False  #: the receiver is to send a heartbeat back
-    leader_term: int = 0  #: of the leader that the sender knows (`membership/leadership.py`)
-    leader_ip: int = 0  #: who polls the platform in that term; 0 for none
+    leader_term: int = 0  #: the term of the leader that the sender knows (`membership/leadership.py`)
+    leader_ip: int = 0  #: the ingress that polls the platform in that term; 0 for none
 
 
 class VoteRequest(msgspec.Struct, array_like=True, tag=8):
-    """From a candidate to each voter: vote for the sender as the leader."""
+    """From a candidate to each voter: asks for a vote for the sender as leader."""
 
-    term: int  #: the candidate's
+    term: int  #: the term in which the candidate would lead
 
 
 class Vote(msgspec.Struct, array_like=True, tag=9):
-    """From a voter to the candidate that asked; a vote that is not granted is not answered."""
+    """From a voter to the candidate: grants the vote.  A request that is not granted gets no answer."""
 
-    term: int  #: as requested
+    term: int  #: the term of the request
--- a/mapleline/balancer/transport/messages/proxy.py
+++ b/mapleline/balancer/transport/messages/proxy.py
@@ -9,24 +9,24 @@
 
 
 class LoadReport(msgspec.Struct, array_like=True, tag=7):
-    """From an ingress to all others of its region: what it has in flight and sees fail, when that has changed."""
+    """From an ingress to all others of its region when its load changes: requests in flight and failure rates."""
 
-    in_flight: dict[int, int]  #: requests by server; none for a server that is not named
-    failure_tenths: dict[int, int]  #: share of requests that fail by server, in tenths: 3 to 10, or not named
-    sequence: int = 0  #: the sender's count of these: a report that is overtaken by a later one is dropped
+    in_flight: dict[int, int]  #: server -> requests in flight; servers without any are left out
+    failure_tenths: dict[int, int]  #: server -> share of failing requests in tenths, 3 to 10; lower shares are left out
+    sequence: int = 0  #: counts the sender's reports; the receiver drops a report older than one it has
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, tag=40):
-    """From an ingress to each voter: grant or renew leases on servers in slow start."""
+    """From an ingress to each voter: asks it to grant or renew leases on servers in slow start."""
 
-    nonce: int  #: 31 bits; the grant has it as well
+    nonce: int  #: 31 bits; the grant repeats it
     incarnation: int  #: a random number drawn at the start of the sender's process, 31 bits
-    lease_ids: list[int]  #: of the servers
+    lease_ids: list[int]  #: the servers for which leases are requested
 
 
 class LeaseGrant(msgspec.Struct, array_like=True, tag=41):
-    """The answer of a voter."""
+    """From a voter to the ingress that sent the `LeaseRequest`."""
 
-    nonce: int  #: of the request
-    voter_count: int  #: as the sender knows it: the leases of more than half of them are one
-    lease_ids: list[int]  #: those that it grants
+    nonce: int  #: the nonce of the request
+    voter_count: int  #: number of voters known to the sender; a lease needs grants of more than half of them
+    lease_ids: list[int]  #: the servers for which the voter grants the lease
--- a/mapleline/balancer/transport/messages/quota.py
+++ b/mapleline/balancer/transport/messages/quota.py
@@ -1,4 +1,4 @@
-"""Messages of the quota counters: between ingresses and a counter's replicas, and among these."""
+"""Messages of the quota counters: between ingresses and a counter's replicas, and among the replicas."""
 
 from __future__ import annotations
 
@@ -8,36 +8,37 @@
 
 
 class CounterIncrement(msgspec.Struct, array_like=True, tag=4):
-    """From an ingress to a replica of a counter: add to it and return its value.  A repeat, by the nonce, adds nothing.
+    """From an ingress to a replica of a counter: asks it to add to the counter and to return its value.
 
-    Where `is_addition` is false: take off what was added under this nonce, or do not add it if it comes later.
+    A repeated message, recognised by its nonce, adds nothing.  If `is_addition` is false, the message reverts the
+    addition with this nonce, also when that addition arrives later.
     """
 
-    nonce: int  #: 31 bits, unique among those of the sender's incarnation
+    nonce: int  #: 31 bits, unique within the sender's incarnation
     tenant: str
-    sender_slot: int  #: by the sender's clock; earlier versions count by it, and send another index in its place
+    sender_slot: int  #: by the sender's clock; earlier versions count by it, and send another index here
     units: float
-    home_regions: list[str]  #: sorted; where the tenant may be served, empty for everywhere
-    window_limit: float  #: of units in one window: how exact the value has to be
+    home_regions: list[str]  #: sorted; the regions where the tenant may be served, empty for all
+    window_limit: float  #: the limit in units per window; determines how exact the value has to be
     is_addition: bool = True
-    window_slots: int = 0  #: the length of the windows that the value is wanted for; 0: from an earlier version
+    window_slots: int = 0  #: the length in slots of the windows to report; 0 from an earlier version
 
 
 class CounterValue(msgspec.Struct, array_like=True, tag=5):
-    """From a replica to the ingress that has added to the counter."""
+    """From a replica to the ingress that added to the counter: the counter's value."""
 
-    nonce: int  #: of the increment
-    units_before: float  #: in the window, without the increment
+    nonce: int  #: the nonce of the increment
+    units_before: float  #: the units in the current window, without the increment
     previous_window_units: float
-    remaining_permille: int = -1  #: of the window, by the replica's clock; -1: from an earlier version
-    quota_window_units: int = 0  #: in the quota's own window, without the increment, rounded up
+    remaining_permille: int = -1  #: the rest of the window by the replica's clock; -1 from an earlier version
+    quota_window_units: int = 0  #: the units in the quota's own window, without the increment, rounded up
 
 
 class ReplicaCount(NamedTuple):
-    """What one replica of a counter has counted itself; the counter's value is the sum over its replicas."""
+    """The units that one replica of a counter counted itself; the counter's value is the sum over its replicas."""
 
-    replica: int  #: address and incarnation (`MembershipTable.session_key`)
-    version: int  #: of two counts of one replica the higher version wins
+    replica: int  #: the replica's address and incarnation (`MembershipTable.session_key`)
+    version: int  #: of two counts of the same replica, the one with the higher version wins
     units: float
 
 
@@ -45,15 +46,15 @@
     """One counter as a replica knows it."""
 
     tenant: str
-    slot: int  #: by the clock of the replica that sends this
+    slot: int  #: the slot by the clock of the sending replica
     rows: list[ReplicaCount]
 
 
 class CounterSync(msgspec.Struct, array_like=True, tag=6):
-    """From one replica to another: the counters that they share.  It is answered by one that is not answered itself."""
+    """From one replica to another: the counters that they share.  The receiver answers once, with `is_answer` set."""
 
     counters: list[CounterRows]
     is_answer: bool = False
-    sender_unix_ms: int = 0  #: the time of day by the sender's clock, by which it numbers slots; 0: not told again
-    wants_past: bool = False  #: the answer is to have all rows of these tenants
-    known_tenants: list[str] = []  #: the sender knows all that was counted of these, and sends it herewith
+    sender_unix_ms: int = 0  #: the sender's time of day, by which it numbers slots; 0 if not repeated
+    wants_past: bool = False  #: the answer must contain all rows of these tenants
+    known_tenants: list[str] = []  #: the sender knows all counts of these tenants, and sends them here
--- a/tests/balancer/transport/fences.py
+++ b/tests/balancer/transport/fences.py
@@ -1,4 +1,4 @@
-"""Fences and messages for the tests of the transport."""
+"""Builders of fences, and sample messages, for the tests of the transport."""
 
 from unittest import mock
 
@@ -14,7 +14,7 @@
 
 
 def make_fence(ip, incarnation, known=None, system_id=0):
-    """Return the fence of an ingress; `known` has the incarnations of other members by address."""
+    """Return the fence of an ingress; `known` maps the addresses of other members to their incarnations."""
     membership = MembershipTable(Member(ip, 0, 0, incarnation, 1, 0.0), 0.5)
     for other, other_incarnation in (known or {}).items():
         flags = MemberFlags.READY | MemberFlags.HAS_DISK
@@ -23,5 +23,5 @@
 
 
 def own_incarnation(fence):
-    """Return the incarnation that a fence's process has now."""
+    """Return the current incarnation of a fence's process."""
     return fence.membership.local_member.incarnation
--- a/tests/balancer/transport/test_connections.py
+++ b/tests/balancer/transport/test_connections.py
@@ -1,4 +1,8 @@
-"""Connections that carry one call and its reply: both ends with their bytes moved by hand, and the caller's timer."""
+"""Connections for one call and its reply.
+
+Guards against calls carried out twice, replies taken for another call, and calls that never end.  The tests pass the
+bytes between the two ends themselves.
+"""
 
 import unittest
 from unittest import mock
@@ -47,14 +51,14 @@
         self.assertEqual(self.carried_out, [FetchState(7)])
         self.callee.transport.abortConnection.assert_called_once()
 
-    def test_what_is_no_reply_to_the_call_fails_it(self):
+    def test_a_message_that_is_not_the_reply_fails_the_call(self):
         for change in (lambda data: data[:16] + b"\x07" + data[17:], lambda data: data[:4] + b"\x05"):
             self.setUp()
             self.callee.dataReceived(written(self.caller))
             self.caller.stringReceived(change(written(self.callee)[4:]))
             self.assertEqual((self.replies, len(self.errors)), ([], 1))
 
-    def test_a_restarted_callee_refuses_and_carries_nothing_out(self):
+    def test_a_restarted_callee_refuses_a_call_without_carrying_it_out(self):
         self.callee_fence.membership.local_member.incarnation = 21
         self.callee.dataReceived(written(self.caller))
         self.caller.dataReceived(written(self.callee))
@@ -77,7 +81,7 @@
 
 
 class StandInReactor(Clock):
-    """Virtual time, and connections that a test makes."""
+    """Virtual time, and connections that the test establishes."""
 
     def connectTCP(self, host, port, factory, timeout):  # noqa: N802  # Twisted's name
         self.dialed, self.factory, self.connector = (host, port, timeout), factory, mock.Mock()
@@ -120,7 +124,7 @@
         self.assertIsInstance(self.results[0].value, ConnectionRefusedError)
         self.assertEqual(self.reactor.getDelayedCalls(), [])
 
-    def test_a_call_without_a_reply_in_time_is_broken_off(self):
+    def test_a_call_without_a_reply_in_time_is_aborted(self):
         connection = self.connect()
         self.reactor.advance(TIMEOUT_S)
         connection.transport.abortConnection.assert_called_once()
--- a/tests/balancer/transport/test_counter_messages.py
+++ b/tests/balancer/transport/test_counter_messages.py
@@ -1,4 +1,7 @@
-"""Messages of the quota counters that come twice, late or out of order; each fault is found without its defence."""
+"""Messages of the quota counters that are duplicated, delayed or reordered must not change a counter's value.
+
+Each test also disables the protection and checks that the fault then shows.
+"""
 
 import random
 import unittest
@@ -14,7 +17,7 @@
 
 
 class TestCounters(unittest.TestCase):
-    """A counter's value is what stands, however often, late or in which order messages come."""
+    """A counter's value does not depend on the number, delay or order of the messages."""
 
     FIRST, SECOND, CLIENT = 1 << 32 | 10, 2 << 32 | 20, 9 << 32 | 90  # session keys
 
@@ -22,7 +25,7 @@
         def values_in_any_order():
             values = set()
             steps = ["add", "add", "revert", "revert", "add another"]
-            for order in set(permutations(steps)) | set(permutations(steps[2:])):  # or what is reverted never comes
+            for order in set(permutations(steps)) | set(permutations(steps[2:])):  # or the addition never comes
                 table = CounterTable(self.FIRST)
                 table.add(Operation(self.CLIENT, 1), "t", 8, 1.0)
                 for step in order:
@@ -40,30 +43,30 @@
         with mock.patch.object(CounterTable, "revert", revert_blindly):
             self.assertGreater(len(values_in_any_order()), 1)
 
-    def test_rows_that_come_twice_and_out_of_order_count_once_also_those_of_a_restarted_replica(self):
-        def play(seed, sessions):
+    def test_duplicated_and_reordered_rows_count_once_also_those_of_a_restarted_replica(self):
+        def values_after_random_messages(seed, session_keys):
             rng = random.Random(seed)
-            replicas, sent, nonce = {1: CounterTable(sessions[0]), 2: CounterTable(self.SECOND)}, [], 0
+            replicas, sent, nonce = {1: CounterTable(session_keys[0]), 2: CounterTable(self.SECOND)}, [], 0
             for step in range(40):
                 if step == 20:
                     sent += [(2, replicas[1].updates_for(0.0, 2, {"t"}, complete=True))]  # all, before its restart
-                    replicas[1] = CounterTable(sessions[1])
+                    replicas[1] = CounterTable(session_keys[1])
                 nonce += 1
                 replicas[rng.choice((1, 2))].add(Operation(self.CLIENT, nonce), "t", 8, 1.0)
-                to = rng.choice((1, 2))
-                sent.append((to, replicas[3 - to].updates_for(0.0, to, {"t"}, complete=True)))
+                receiver = rng.choice((1, 2))
+                sent.append((receiver, replicas[3 - receiver].updates_for(0.0, receiver, {"t"}, complete=True)))
                 for _ in range(rng.randrange(3)):
-                    to, parts = rng.choice(sent)
-                    replicas[to].merge(parts, 8)
-            for to, parts in rng.sample(sent, len(sent)):
-                replicas[to].merge(parts, 8)
-            for to in (2, 1, 2):
-                replicas[to].merge(replicas[3 - to].updates_for(0.0, to, {"t"}, complete=True), 8)
+                    receiver, parts = rng.choice(sent)
+                    replicas[receiver].merge(parts, 8)
+            for receiver, parts in rng.sample(sent, len(sent)):
+                replicas[receiver].merge(parts, 8)
+            for receiver in (2, 1, 2):
+                replicas[receiver].merge(replicas[3 - receiver].updates_for(0.0, receiver, {"t"}, complete=True), 8)
             return {table.read("t", 8).current for table in replicas.values()}
 
         for seed in range(20):
-            self.assertEqual(play(seed, (self.FIRST, self.FIRST + 1)), {40.0}, f"seed {seed}")
-        keyed_by_address = [play(seed, (self.FIRST, self.FIRST)) for seed in range(20)]
+            self.assertEqual(values_after_random_messages(seed, (self.FIRST, self.FIRST + 1)), {40.0}, f"seed {seed}")
+        keyed_by_address = [values_after_random_messages(seed, (self.FIRST, self.FIRST)) for seed in range(20)]
         self.assertTrue([found for found in keyed_by_address if found != {40.0}])
 
     def test_increments_of_a_restarted_client_with_the_nonces_of_its_predecessor_count(self):
@@ -90,8 +93,8 @@
         table, row_counts = CounterTable(self.FIRST), []
         table.add(Operation(self.CLIENT, 1), "t", 8, 1.0)
         table.add(Operation(self.CLIENT, 2), "t", 8, 1.0)
-        for now, to in ((0.0, self.SECOND), (0.01, self.SECOND), (0.02, self.SECOND + 1), (0.03, self.SECOND + 1)):
-            row_counts.append(len(table.updates_for(now, to, {"t"})))
+        for now, key in ((0.0, self.SECOND), (0.01, self.SECOND), (0.02, self.SECOND + 1), (0.03, self.SECOND + 1)):
+            row_counts.append(len(table.updates_for(now, key, {"t"})))
         self.assertEqual(row_counts, [1, 0, 1, 0])
 
     def test_a_value_counts_only_from_a_replica_that_was_asked(self):
--- a/tests/balancer/transport/test_fencing.py
+++ b/tests/balancer/transport/test_fencing.py
@@ -1,4 +1,7 @@
-"""Stamps of datagrams, calls and replies: what is dropped, and that it would be accepted without the fence."""
+"""Stale, foreign and misrouted datagrams, calls and replies must be dropped.
+
+The tests also check that each would be accepted without the fence.
+"""
 
 import unittest
 from unittest import mock
@@ -19,7 +22,7 @@
         return receiver.receive_datagram(sender.membership.local_member.ip, data).message is not None
 
     def assert_dropped(self, reason, receiver, sender, data):
-        """Check that it is dropped and counted, and would not be without the fence; return what is sent back."""
+        """Check that a datagram is dropped and counted, but accepted without the fence; return the refusal."""
         with without_stamps:
             self.assertTrue(self.is_accepted(receiver, sender, data))
         received = receiver.receive_datagram(sender.membership.local_member.ip, data)
@@ -32,7 +35,7 @@
         data = sender.stamp_datagram(2, INCREMENT)
         self.assertIsNone(self.assert_dropped(DropReason.FOREIGN_SYSTEM, receiver, sender, data))
 
-    def test_a_system_that_is_not_known_yet_is_not_another(self):
+    def test_a_datagram_is_accepted_while_either_side_does_not_know_its_system(self):
         sender = make_fence(1, 10, system_id=0xAAAA)
         for system_id in (0, 0xAAAA):
             receiver = make_fence(2, 20, system_id=system_id)
@@ -44,17 +47,17 @@
     def test_a_late_datagram_of_an_earlier_incarnation_is_dropped(self):
         earlier, receiver = make_fence(1, 10), make_fence(2, 20)
         late = earlier.stamp_datagram(2, INCREMENT)
-        restarted = make_fence(1, 11)  # no member of the receiver's table yet
+        restarted = make_fence(1, 11)  # not in the receiver's table yet
         self.assertTrue(self.is_accepted(receiver, earlier, restarted.stamp_datagram(2, HEARTBEAT)))
         self.assert_dropped(DropReason.STALE_SENDER, receiver, earlier, late)
 
-    def test_a_refusal_teaches_the_sender_the_receivers_new_incarnation(self):
+    def test_a_sender_learns_the_receivers_new_incarnation_from_a_refusal(self):
         sender, restarted = make_fence(1, 10, {2: 20}), make_fence(2, 21)
         data = sender.stamp_datagram(2, INCREMENT)
         refusal = self.assert_dropped(DropReason.OTHER_INCARNATION, restarted, sender, data)
         self.assertEqual(sender.receive_datagram(2, refusal), (None, None))  # a refusal is not refused
         self.assertTrue(self.is_accepted(restarted, sender, sender.stamp_datagram(2, INCREMENT)))
-        member = sender.membership.members[2]  # of the new incarnation nothing is known but that it keeps its disk
+        member = sender.membership.members[2]  # only the disk flag is kept for the new incarnation
         self.assertEqual((member.incarnation, member.heartbeat_count, member.flags), (21, 0, MemberFlags.HAS_DISK))
         sender.receive_datagram(2, refusal)
         self.assertEqual(own_incarnation(sender), 10)
@@ -63,7 +66,7 @@
         sender, restarted = make_fence(1, 10, {2: 20}), make_fence(2, 21)
         self.assertTrue(self.is_accepted(restarted, sender, sender.stamp_datagram(2, HEARTBEAT)))
 
-    def test_a_sender_whose_clock_was_set_back_becomes_the_newest_by_one_refusal(self):
+    def test_a_sender_whose_clock_was_set_back_raises_its_incarnation_after_one_refusal(self):
         sender, receiver = make_fence(1, 5), make_fence(2, 20, {1: 10})
         data = sender.stamp_datagram(2, INCREMENT)
         refusal = self.assert_dropped(DropReason.STALE_SENDER, receiver, sender, data)
@@ -75,7 +78,7 @@
             other.receive_datagram(2, DatagramStamps(0, 20, 10).encode())
         self.assertEqual(own_incarnation(other), 5)
 
-    def test_what_is_truncated_or_cannot_be_decoded_is_dropped_without_a_refusal(self):
+    def test_a_truncated_or_undecodable_datagram_is_dropped_without_a_refusal(self):
         receiver = make_fence(2, 20, {1: 10})
         self.assertEqual(receiver.receive_datagram(1, b"short"), (None, None))
         self.assertEqual(receiver.receive_datagram(1, DatagramStamps(0, 11, 0).encode() + b"\xc1"), (None, None))
@@ -87,7 +90,7 @@
         accepted = [receiver.accept_sequence(1, numbers[index]) for index in (0, 2, 1, 2)]
         self.assertEqual(accepted, [True, True, False, False])
         receiver.receive_datagram(1, make_fence(1, 11).stamp_datagram(2, HEARTBEAT))
-        self.assertTrue(receiver.accept_sequence(1, 1))  # another incarnation counts anew
+        self.assertTrue(receiver.accept_sequence(1, 1))  # numbering restarts with the incarnation
 
     def test_drops_are_reported_once_by_reason(self):
         receiver = make_fence(2, 20)
@@ -102,12 +105,12 @@
         self.caller, self.callee = make_fence(1, 10, {2: 20}), make_fence(2, 20)
 
     def call(self, callee=None):
-        """Return a call that is out, and what the callee (or another ingress) has received."""
+        """Return an outstanding call, and the call as received by the callee or another ingress."""
         outstanding, data = self.caller.stamp_call(2, FetchState())
         return outstanding, (callee or self.callee).receive_call(data)
 
     def assert_dropped(self, reason, outstanding, data):
-        """Check that a reply is dropped and counted, and would not be without the fence."""
+        """Check that a reply is dropped and counted, but accepted without the fence."""
         has_reply = outstanding.has_reply
         with mock.patch.object(Fence, "_check_reply", return_value=None):
             self.assertEqual(self.caller.receive_reply(outstanding, data), REPLY)
@@ -157,7 +160,7 @@
         self.callee.membership.local_member.incarnation = 21
         self.assert_dropped(DropReason.CALLEE_RESTARTED, outstanding, self.callee.stamp_reply(received, REPLY))
         outstanding.has_reply, outstanding.receiver_incarnation = False, 0
-        self.assert_dropped(DropReason.STALE_SENDER, outstanding, late)  # the callee was over before its reply came
+        self.assert_dropped(DropReason.STALE_SENDER, outstanding, late)  # the callee restarted before its reply arrived
 
     def test_a_call_to_an_earlier_incarnation_is_not_carried_out_and_fails_at_once(self):
         restarted = make_fence(2, 21)
--- a/tests/balancer/transport/test_fencing_of_nodes.py
+++ b/tests/balancer/transport/test_fencing_of_nodes.py
@@ -1,4 +1,7 @@
-"""Whole nodes in the simulation, with the faults of a network; each fault is found without its defence."""
+"""Duplicated, delayed and misrouted messages between whole nodes must not break a rule.
+
+The nodes run in the simulation.  Each test also disables the protection and checks that the fault then shows.
+"""
 
 import logging
 import unittest
@@ -22,7 +25,7 @@
 
 
 class TestNodes(unittest.TestCase):
-    """Whole nodes on a network that duplicates, delays and misroutes what they send."""
+    """Whole nodes on a network that duplicates, delays and misroutes their messages."""
 
     def setUp(self):
         logging.disable(logging.CRITICAL)
@@ -36,21 +39,21 @@
 
     def test_a_late_heartbeat_makes_no_endpoint_list_seem_fresh(self):
         world = self.world()
-        one, other = [m for m in world.machines.values() if m.disk is None][:2]
-        late = one.node.heartbeats.make_heartbeat()
-        world.platform.unreachable_from |= set(world.machines)  # from here on no list is fresh
+        sender, receiver = [m for m in world.machines.values() if m.disk is None][:2]
+        late = sender.node.heartbeats.make_heartbeat()
+        world.platform.unreachable_from |= set(world.machines)  # from here on no node can fetch a fresh list
         world.run(3.0)
 
         def fetched():
-            before = other.node.endpoints.fetched_at
-            other.node.dispatcher.receive(one.ip, late)
-            return other.node.endpoints.fetched_at - before
+            before = receiver.node.endpoints.fetched_at
+            receiver.node.dispatcher.receive(sender.ip, late)
+            return receiver.node.endpoints.fetched_at - before
 
         self.assertEqual(fetched(), 0.0)
 
         def merge_undated(self, now, rows, merge=MembershipTable.merge):
-            fresh, self.last_merge_sent_at = merge(self, now, rows), now
-            return fresh
+            has_joined, self.last_merge_sent_at = merge(self, now, rows), now
+            return has_joined
 
         with (
             mock.patch.object(MembershipTable, "is_superseded", return_value=False),
@@ -60,29 +63,29 @@
 
     def test_a_load_report_that_was_overtaken_is_dropped(self):
         def reported():
-            one, other = [m for m in self.world().machines.values() if m.zone == "a1"]
+            sender, receiver = [m for m in self.world().machines.values() if m.zone == "a1"]
             for report in (LoadReport({7: 3}, {}, 1), LoadReport({7: 5}, {}, 2), LoadReport({7: 3}, {}, 1)):
-                other.node.dispatcher.receive(one.ip, report)
-            return other.node.proxy.load_reports.received[one.ip].report.in_flight
+                receiver.node.dispatcher.receive(sender.ip, report)
+            return receiver.node.proxy.load_reports.received[sender.ip].report.in_flight
 
         self.assertEqual(reported(), {7: 5})
         with mock.patch.object(Fence, "accept_sequence", return_value=True):
             self.assertEqual(reported(), {7: 3})
 
-    def test_a_machine_whose_clock_was_set_back_is_the_newest_after_its_first_exchange(self):
+    def test_a_machine_whose_clock_was_set_back_has_the_newest_incarnation_after_its_first_exchange(self):
         def is_newest_at_once():
             world = self.world()
-            one = next(m for m in world.machines.values() if m.disk is None)
-            earlier = one.node.membership.local_member.incarnation
-            one.kill()
-            world.run(9.0)  # nobody sends it heartbeats any more
-            one.clock_skew_s = -100.0
-            one.start()
+            machine = next(m for m in world.machines.values() if m.disk is None)
+            earlier = machine.node.membership.local_member.incarnation
+            machine.kill()
+            world.run(9.0)  # now no node sends it heartbeats
+            machine.clock_skew_s = -100.0
+            machine.start()
             world.run(0.8)
-            at_once = one.node.membership.local_member.incarnation > earlier
+            at_once = machine.node.membership.local_member.incarnation > earlier
             world.run(1.5)
             for other in world.machines.values():
-                self.assertIn(one.ip, {m.ip for m in other.node.membership.alive(world.now)})
+                self.assertIn(machine.ip, {m.ip for m in other.node.membership.alive(world.now)})
             return at_once
 
         self.assertTrue(is_newest_at_once())
@@ -114,9 +117,9 @@
                     return is_admitted
 
                 consultation.ask.done = count_admitted
-                return real(self, consultation, usage, answered_by)
+                return complete_consultation(self, consultation, usage, answered_by)
 
-            real = QuotaClient._complete
+            complete_consultation = QuotaClient._complete
             nothing_expires = mock.patch.object(TenantCounter, "expire", lambda self, oldest: None)
             with mock.patch.object(QuotaClient, "_complete", complete), nothing_expires:
                 result = run_scenario(3, faults, RunOptions(12.0, FinalFault.NONE, load=2.0))
@@ -126,9 +129,9 @@
                 quota_client = machine.node.quota_client
                 for name, counter in quota_client.replica.table.counters.items():
                     if machine.ip not in quota_client.placement.replicas_of(name, ()):
-                        continue  # it stood in for a suspected replica, and is told no more since
+                        continue  # it replaced a suspected replica for a while, and gets no more updates
                     units_by_slot = {number: slot.units(None) for number, slot in counter.slots.items()}
-                    values.setdefault(name, []).append({n: units for n, units in units_by_slot.items() if units})
+                    values.setdefault(name, []).append({slot: units for slot, units in units_by_slot.items() if units})
             self.assertGreater(sum(admitted[name] for name in values), 20)
             self.assertEqual({len(counts) for counts in values.values()}, {2})
             return found, [
@@ -140,7 +143,7 @@
         self.assertEqual(mismatches(), ([], []))
 
         def forget(self, operation, applied):
-            """Nothing is remembered."""
+            """Remember no operation."""
 
         with mock.patch.object(CounterTable, "_remember", forget):
             self.assertTrue(mismatches()[1])
@@ -152,10 +155,10 @@
             world.network.delayed_rate = 0.03
             world.network.misrouted_reply_rate = 0.3
             scenario.clients.load_factors["t1"] = 6.0
-            one = next(m for m in world.machines.values() if m.disk is None)
-            for n in range(4):
-                world.after(0.5 + 1.5 * n, scenario.operators.replace_at_two_machines)
-            world.after(2.0, scenario.faults.kill, [one], 0.5)
+            machine = next(m for m in world.machines.values() if m.disk is None)
+            for index in range(4):
+                world.after(0.5 + 1.5 * index, scenario.operators.replace_at_two_machines)
+            world.after(2.0, scenario.faults.kill, [machine], 0.5)
 
         for final_fault in (FinalFault.KILL, FinalFault.WIPE):
             result = run_scenario(3, faults, RunOptions(9.0, final_fault))
@@ -176,7 +179,7 @@
             earlier, others = {}, [m for m in replicas if m is not first]
 
             def misroute(to, data):
-                """A replica that refuses seems to send what it sent when it granted."""
+                """Replace the reply of a replica that refuses by its earlier reply that granted."""
                 reply = messages.decode_reply(data[CALL_STAMPS_BYTES:])
                 kind = CallStamps.decode(data).sender_ip, type(reply)
                 if to != first.name or not isinstance(reply, Promised | Accepted):
