--- a/mapleline/balancer/membership/__init__.py
+++ b/mapleline/balancer/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which ingresses exist and which of them leads: heartbeats, incarnations and the leader election."""
+"""Membership of the ingresses and election of a leader: heartbeats, incarnations and votes."""
--- a/mapleline/balancer/membership/electorate.py
+++ b/mapleline/balancer/membership/electorate.py
@@ -1,4 +1,4 @@
-"""Whose votes elect the leader of a singleton role and grant leases (pure)."""
+"""The set of voters that elect the leader of a singleton role and grant leases (pure)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Electorate:
-    """The control plane's voters; while none are known, every known member."""
+    """The voters of the control plane; while none are known, every known member is a voter."""
 
     def __init__(self, committed_voters: Callable[[], list[int]], membership: MembershipTable) -> None:
         """`committed_voters` returns the addresses of the committed state's voters."""
@@ -18,9 +18,9 @@
         self._membership = membership
 
     def is_committed(self) -> bool:
-        """Return whether the control plane has voters as far as is known here."""
+        """Return whether this node knows voters of the control plane."""
         return bool(self._committed_voters())
 
     def addresses(self) -> list[int]:
-        """Return the addresses of all whose votes count."""
+        """Return the addresses of all voters."""
         return self._committed_voters() or sorted(self._membership.members)
--- a/mapleline/balancer/membership/heartbeat_codec.py
+++ b/mapleline/balancer/membership/heartbeat_codec.py
@@ -1,4 +1,4 @@
-"""The membership table as bytes, as heartbeats carry it: one row of 16 bytes a member, the sender's own first."""
+"""Encoding of the membership table in heartbeats: one row of 16 bytes per member, the sender's own row first."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from .member import Member
 
 _ROW_FORMAT = struct.Struct("<IIIBBH")
-_AGE_UNITS_PER_S = 100  # ages travel in units of 10 ms
-MAX_AGE = 0xFFFF  #: the age of a row whose newest heartbeat is 655 s old or more, or was never seen; units of 10 ms
+_AGE_UNITS_PER_S = 100  # ages are encoded in units of 10 ms
+MAX_AGE = 0xFFFF  #: in units of 10 ms; the newest heartbeat is 655 s old or more, or was never seen
 
 
 class MemberRow(NamedTuple):
-    """One member on the wire; the fields are in the order of the bytes."""
+    """One member as encoded in a heartbeat; the fields are in wire order."""
 
     ip: int
     incarnation: int
     heartbeat_count: int
     zone: int
     flags: int  #: bits of `MemberFlags`
-    age: int  #: of the newest heartbeat, in units of 10 ms, at most `MAX_AGE`
+    age: int  #: the age of the newest heartbeat in units of 10 ms, at most `MAX_AGE`
 
     @property
     def age_s(self) -> float:
@@ -30,7 +30,7 @@
 
 
 def encode_rows(members: Iterable[Member], now: float) -> bytes:
-    """Return the rows of these members, in their order, with ages as of `now`."""
+    """Return the encoded rows of these members, in their order, with ages as of `now` in seconds."""
     rows = []
     for member in members:
         age = min(MAX_AGE, max(0, int((now - member.last_heartbeat) * _AGE_UNITS_PER_S)))
@@ -41,16 +41,16 @@
 
 
 def decode_rows(data: bytes) -> Iterator[MemberRow]:
-    """Return the rows in their order.
+    """Return the decoded rows, in their order.
 
     Raises:
-        struct.error: The length is no multiple of a row's.
+        struct.error: The length is not a multiple of a row's length.
     """
     return map(MemberRow._make, _ROW_FORMAT.iter_unpack(data))
 
 
 def decode_first_row(data: bytes) -> MemberRow | None:
-    """Return the sender's own row; None where there is none."""
+    """Return the first row, which is the sender's own; None if there is no row."""
     if len(data) < _ROW_FORMAT.size:
         return None
     return MemberRow._make(_ROW_FORMAT.unpack_from(data))
--- a/mapleline/balancer/membership/heartbeat_ring.py
+++ b/mapleline/balancer/membership/heartbeat_ring.py
@@ -1,8 +1,10 @@
-"""Whom an ingress sends its heartbeats to: members at growing distances on a hash ring (pure).
+"""Selection of the recipients of a heartbeat: members at growing distances on a hash ring (pure).
 
-Of the members of the region, in the order of their ring positions, two get each heartbeat: those that lie 1, 2, 4, ...
-places further, by turns.  News has reached all of n members after about log2(n) heartbeats.  Links between regions are
-dear, so of all other regions one member is enough, and not with each heartbeat.
+The members of the region form a ring, ordered by their ring positions.  Each heartbeat goes to two of them; the
+distances to these cycle through 1, 2, 4, ... places.  An update reaches all of n members after about log2(n)
+heartbeats.
+Links between regions are expensive, so of all other regions at most one member is a recipient, and not of every
+heartbeat.
 """
 
 from __future__ import annotations
@@ -15,13 +17,13 @@
 def heartbeat_targets(
     local_ip: int, region: Iterable[Member], elsewhere: Iterable[Member], heartbeat_number: int
 ) -> list[int]:
-    """Return the addresses that a heartbeat goes to, without the sender's own.
+    """Return the addresses of a heartbeat's recipients, without the sender's own.
 
     Args:
-        local_ip: The sender.
+        local_ip: The address of the sender.
         region: The live members of its region, the sender included.
-        elsewhere: The sender and the live members of other regions; empty where this heartbeat stays in the region.
-        heartbeat_number: Counts the sender's heartbeats.
+        elsewhere: The sender and the live members of other regions; empty if this heartbeat stays in the region.
+        heartbeat_number: The number of this heartbeat, counted by the sender.
     """
     ring = _in_ring_order(region)
     distances = max(1, len(ring).bit_length() - 1)
@@ -37,7 +39,7 @@
 
 
 def _successors(ring: list[Member], local_ip: int, steps: set[int]) -> list[int]:
-    """Return who lies so many places after the local member; a member that is not on the ring stands first."""
+    """Return the members at these distances after the local one; a local member not on the ring counts as the first."""
     local_index = next((index for index, member in enumerate(ring) if member.ip == local_ip), 0)
     found = []
     for step in sorted(steps):
--- a/mapleline/balancer/membership/leadership.py
+++ b/mapleline/balancer/membership/leadership.py
@@ -1,10 +1,10 @@
-"""Leader election for one singleton role, here: who fetches the endpoint list from the platform (pure).
+"""Leader election for one singleton role: fetching the endpoint list from the platform (pure).
 
-A leader that shuts down names its successor; one that is lost is replaced by whoever gets the votes of more than half
-of the voters, one vote a voter and term, as in Raft (Ongaro and Ousterhout, 2014).  Term and leader travel with each
-heartbeat.  Terms only rise; of two leaders of one term (a voter lost its memory) the higher address wins, so that
-heartbeats alone make all agree.  Until then two may lead; the role bears that: both ask the platform
-(docs/design/system.md).
+A leader that shuts down names its successor.  A lost leader is replaced by the candidate that gets the votes of more
+than half of the voters; each voter has one vote per term, as in Raft (Ongaro and Ousterhout, 2014).  Each heartbeat
+carries the term and the leader.  Terms only rise.  Two leaders can have the same term if a voter lost its memory; then
+the higher address wins, so that heartbeats suffice for agreement.  Until all agree there may be two leaders.  The role
+tolerates that: both fetch the list (docs/design/system.md).
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 from .member import Member
 
-NO_LEADER = 0  #: in the place of an address
+NO_LEADER = 0  #: stands for the leader's address if there is none
 
 
 def choose_successor(candidates: Iterable[Member]) -> int:
-    """Return the address of the next leader: members with a disk first, then by ring position; 0 if there is none."""
+    """Return the address of the best candidate: one with a disk, then the lowest ring position; else 0."""
     successor = min(candidates, key=lambda member: (not member.has_disk, member.ring_position), default=None)
     return successor.ip if successor is not None else NO_LEADER
 
 
 class Leadership:
-    """One ingress's knowledge of the leader, its vote, and its own candidacy.
+    """The state of one ingress: the leader that it knows, its vote, and its own candidacy.
 
     Attributes:
         term: The highest term with a known leader.
@@ -31,13 +31,13 @@
     """
 
     def __init__(self, local_ip: int) -> None:
-        """Start without a leader."""
+        """Create the state of an ingress that knows no leader."""
         self.term = 0
         self.leader_ip = NO_LEADER
         self._local_ip = local_ip
         self._voted_term = 0  #: the highest term for which this ingress has voted
         self._candidate_term = 0  #: the term of the last election that this ingress started
-        self._votes: set[int] = set()  #: who voted for it then
+        self._votes: set[int] = set()  #: the voters of this ingress in that election
 
     @property
     def is_leader(self) -> bool:
@@ -45,7 +45,7 @@
         return self.leader_ip == self._local_ip
 
     def observe_leader(self, term: int, leader_ip: int) -> bool:
-        """Take the leader that another ingress knows, if it is newer; return whether it is."""
+        """Adopt the leader that another ingress knows if it is newer; return whether it was adopted."""
         if (term, leader_ip) <= (self.term, self.leader_ip):
             return False
         self.term = term
@@ -53,19 +53,19 @@
         return True
 
     def transfer_leadership(self, successor_ip: int) -> None:
-        """Name the successor in a new term; does nothing on who is not the leader, or where there is no successor."""
+        """Name the successor in a new term; does nothing unless this ingress leads and there is a successor."""
         if self.is_leader and successor_ip != NO_LEADER:
             self.term += 1
             self.leader_ip = successor_ip
 
     def start_election(self) -> int:
-        """The leader is lost: return the new term for which the voters are to be asked."""
+        """Become a candidate after the leader was lost; return the new term, for which votes are to be requested."""
         self._candidate_term = max(self.term, self._voted_term, self._candidate_term) + 1
         self._votes = set()
         return self._candidate_term
 
     def grant_vote(self, term: int, is_leader_lost: bool) -> bool:
-        """Return whether this ingress votes for a candidate: once a term, and only where it misses the leader too."""
+        """Return whether this ingress votes for a candidate: once per term, and only if it has lost the leader too."""
         if not is_leader_lost or term <= max(self.term, self._voted_term):
             return False
         self._voted_term = term
--- a/mapleline/balancer/membership/member.py
+++ b/mapleline/balancer/membership/member.py
@@ -1,4 +1,4 @@
-"""One ingress as another one knows it: the record of the membership table."""
+"""The record of one ingress in the membership table of another."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from enum import IntFlag
 from zlib import crc32
 
-NEVER = -1e9  #: the time of something that has not happened: far before any reading of a steady clock, in seconds
+NEVER = -1e9  #: in seconds, far before any reading of a steady clock; the time of an event that has not happened
 
 
 class MemberFlags(IntFlag):
-    """What an ingress says of itself with each heartbeat; one byte on the wire."""
+    """The state that an ingress reports of itself with each heartbeat; one byte on the wire."""
 
     READY = 1  #: it serves requests
     LEAVING = 2  #: it is shutting down gracefully
@@ -18,7 +18,7 @@
     CAN_PROPOSE = 8  #: its replica has a vote, and the disk accepts writes
 
 
-# As plain integers: operators of an enumeration cost some 30 times those of `int`, and flags are tested per request.
+# Plain integers: flags are tested per request, and operators of an enumeration cost some 30 times those of `int`.
 _READY = int(MemberFlags.READY)
 _LEAVING = int(MemberFlags.LEAVING)
 _HAS_DISK = int(MemberFlags.HAS_DISK)
@@ -27,15 +27,15 @@
 
 @dataclass(slots=True)
 class Member:
-    """One ingress as it is known here.
+    """One ingress as known to the ingress that holds the table.
 
     Attributes:
         ip: Its IPv4 address as an integer; the key of the table.
         zone: The index of its zone in the sorted names of the zones.
         flags: Bits of `MemberFlags`, as a plain integer.
-        incarnation: Rises with each start of its process; 0 while none is known.
-        heartbeat_count: Heartbeats that it has sent in this incarnation.
-        last_heartbeat: When the newest known one was sent, in seconds of this ingress's clock.
+        incarnation: Number that rises with each start of its process; 0 while unknown.
+        heartbeat_count: Number of heartbeats that it has sent in this incarnation.
+        last_heartbeat: When the newest known heartbeat was sent, in seconds on the clock of the table's holder.
     """
 
     ip: int
--- a/mapleline/balancer/membership/table.py
+++ b/mapleline/balancer/membership/table.py
@@ -1,9 +1,10 @@
-"""The membership table: which ingresses exist, in which incarnation, and when each was last heard of.
+"""The membership table: the known ingresses, their incarnations, and the times of their newest heartbeats.
 
-A heartbeat-style gossip (van Renesse et al., "A gossip-style failure detection service", 1998) with incarnations as in
-SWIM (Das et al., 2002).  Each ingress counts its own heartbeats and sends its whole table along a ring
-(`heartbeat_ring`).  A row counts only with a higher (incarnation, heartbeat count), and carries the age of the newest
-heartbeat, so that what came by detours is as old as it is.  Pure: times are arguments, in seconds of a steady clock.
+It implements a heartbeat-style gossip (van Renesse et al., "A gossip-style failure detection service", 1998) with
+incarnations as in SWIM (Das et al., 2002).  Each ingress counts its own heartbeats and sends its whole table along a
+ring (`heartbeat_ring`).  A received row replaces the known one only if its (incarnation, heartbeat count) is higher.
+It carries the age of the newest heartbeat, so that a row relayed by other ingresses does not seem fresher than it is.
+Pure: times are arguments, in seconds of a steady clock.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 from .incarnations import UnlistedIncarnations
 from .member import NEVER, Member, MemberFlags
 
-FORGET_AFTER_S = 60.0  #: without a heartbeat, unless the member is retained
-MISSED_HEARTBEATS = 2.75  #: that may be lost before a member counts as failed, beside those its news takes on the ring
-OWN_HEARTBEATS_KEPT = 200  #: whose times are remembered: 100 s, more than any datagram that is believed can be late
+FORGET_AFTER_S = 60.0  #: a member without a heartbeat for longer is removed, unless it is retained
+MISSED_HEARTBEATS = 2.75  #: tolerated before a member counts as failed, beside those an update takes on the ring
+OWN_HEARTBEATS_KEPT = 200  #: number of send times kept: 100 s, longer than any accepted datagram can be delayed
 MAX_INCARNATION = 0xFFFFFFFF  #: 32 bits on the wire
 _KEPT_BY_A_RESTART = int(MemberFlags.HAS_DISK | MemberFlags.CAN_PROPOSE)
 _HAS_DISK = int(MemberFlags.HAS_DISK)
@@ -28,13 +29,14 @@
 
     Attributes:
         local_member: This ingress's own row.
+        heartbeat_interval_s: The time between two heartbeats of a member, in seconds.
         members: All known ingresses by address, this one included.
-        retained_ips: Members that are never forgotten: the voters.
-        last_merge_sent_at: The table that was merged last was sent at this time or later.
+        retained_ips: The addresses of the voters, which are never removed.
+        last_merge_sent_at: Lower bound of the time at which the table merged last was sent.
     """
 
     def __init__(self, local_member: Member, heartbeat_interval_s: float) -> None:
-        """Start with the own row alone."""
+        """Create a table that has only the own row."""
         self.local_member = local_member
         self.heartbeat_interval_s = heartbeat_interval_s
         self.members: dict[int, Member] = {local_member.ip: local_member}
@@ -45,14 +47,14 @@
 
     @property
     def failure_timeout_s(self) -> float:
-        """Without a heartbeat for so long, a member counts as failed.
+        """The time without a heartbeat after which a member counts as failed.
 
-        News takes about log2(n) heartbeats, half of that on average, and some of them may be lost.
+        An update takes up to about log2(n) heartbeats, half of that on average, and some of them may be lost.
         """
         return self.heartbeat_interval_s * (MISSED_HEARTBEATS + log2(max(2, len(self.members))) / 2)
 
     def add_member(self, ip: int, zone: int, flags: int) -> None:
-        """Add a member that a record on the disk names; it is not alive until a heartbeat of it is known."""
+        """Add a member named by a record on the disk; it is not alive until one of its heartbeats is known."""
         self.members.setdefault(ip, Member(ip, zone, flags))
 
     # -- incarnations --------------------------------------------------------------------------------------
@@ -63,13 +65,13 @@
         return member.incarnation if member is not None else self._unlisted.get(ip)
 
     def session_key(self, ip: int) -> int:
-        """Return one number, 64 bits, for an ingress in its newest known incarnation."""
+        """Return a 64-bit number that identifies an ingress in its newest known incarnation."""
         return ip << 32 | self.incarnation(ip)
 
     def observe_incarnation(self, ip: int, incarnation: int) -> None:
-        """Note that an ingress has sent something in this incarnation.
+        """Record that an ingress has sent a message in this incarnation.
 
-        No heartbeat of a new one is known yet: it is neither ready nor leaving by what the earlier one said.
+        While no heartbeat of a new incarnation is known, the ready and leaving flags of the earlier one do not apply.
         """
         member = self.members.get(ip)
         if member is None:
@@ -80,10 +82,10 @@
             member.flags &= _KEPT_BY_A_RESTART
 
     def refute(self, incarnation: int, heartbeat_count: int = 0) -> None:
-        """Raise the own incarnation above one that another ingress has seen of this address, if that is the newer.
+        """Raise the own incarnation above one that another ingress has seen of this address, if that one is newer.
 
-        A clock set back must not make this process the older one; and nobody can know a later heartbeat of this
-        incarnation than was sent.
+        A clock that was set back must not make this process seem the older one.  A heartbeat count above the own one
+        belongs to another process, because this one has not sent that heartbeat.
         """
         local = self.local_member
         if (incarnation, heartbeat_count) > (local.incarnation, local.heartbeat_count):
@@ -92,7 +94,7 @@
     # -- heartbeats ----------------------------------------------------------------------------------------
 
     def record_heartbeat(self, now: float, flags: int) -> None:
-        """Count a heartbeat of this ingress, with what it says of itself; forget members that are gone for long."""
+        """Count a heartbeat of this ingress with its flags, and remove members that failed long ago."""
         local = self.local_member
         local.heartbeat_count += 1
         local.last_heartbeat = now
@@ -108,11 +110,11 @@
                 del self.members[ip]
 
     def encode(self, now: float) -> bytes:
-        """Return the whole table as a heartbeat carries it, the own row first."""
+        """Return the whole table as encoded in a heartbeat, the own row first."""
         return encode_rows(self.members.values(), now)
 
     def is_superseded(self, sender_ip: int, rows: bytes) -> bool:
-        """Return whether a newer heartbeat of the sender is known than the one that carried this table."""
+        """Return whether a newer heartbeat of the sender is known than the one that carried these rows."""
         member = self.members.get(sender_ip)
         row = decode_first_row(rows)
         if member is None or row is None or row.ip != sender_ip:
@@ -120,10 +122,10 @@
         return (row.incarnation, row.heartbeat_count) < (member.incarnation, member.heartbeat_count)
 
     def merge(self, now: float, rows: bytes) -> bool:
-        """Merge the table of another ingress; return whether a member appeared or came back.
+        """Merge the table of another ingress; return whether a member is new or alive again.
 
         Raises:
-            struct.error: The bytes are no whole number of rows; nothing is merged.
+            struct.error: The bytes are not a whole number of rows; nothing is merged.
         """
         has_joined = False
         self.last_merge_sent_at = NEVER
@@ -135,11 +137,12 @@
         return has_joined
 
     def _merge_local(self, now: float, row: MemberRow) -> None:
-        """Date the table by the own row in it, and refute an incarnation that is higher than this one.
+        """Determine when the table was sent from the own row in it, and refute an incarnation above the own one.
 
-        The table may have waited on its way, or here, for long.  It names one of this ingress's own heartbeats and the
-        age of that one where the table was sent, which is the true one less what the heartbeat took to get there: so
-        much later than the heartbeat, or more, the table was sent.
+        The table may have been delayed for long, on the network or in this process.  The own row names a heartbeat of
+        this ingress and its age when the table was sent.  The sender measured that age from the heartbeat's arrival, so
+        the true age is higher by the heartbeat's delay.  Hence the table was sent at the sum of the heartbeat's send
+        time and the reported age, or later.
         """
         if row.incarnation == self.local_member.incarnation and row.age < MAX_AGE:
             heartbeat_sent_at = self._own_heartbeat_times.get(row.heartbeat_count, NEVER)
@@ -147,7 +150,7 @@
         self.refute(row.incarnation, row.heartbeat_count)
 
     def _merge_other(self, now: float, row: MemberRow) -> bool:
-        """Take a row that is newer than the known one; return whether its member appeared or came back."""
+        """Adopt a row that is newer than the known one; return whether its member is new or alive again."""
         has_joined = False
         member = self.members.get(row.ip)
         if member is None:
@@ -166,10 +169,10 @@
         member.flags = row.flags
         return has_joined
 
-    # -- who is there --------------------------------------------------------------------------------------
+    # -- queries -------------------------------------------------------------------------------------------
 
     def alive(self, now: float, flags: int = 0) -> list[Member]:
-        """Return the members that have not failed and have all of these flags, this ingress included."""
+        """Return the live members that have all of these flags; this ingress may be one of them."""
         required = int(flags)
         timeout_s = self.failure_timeout_s
         return [
@@ -179,28 +182,28 @@
         ]
 
     def unreachable_ips(self, now: float) -> list[int]:
-        """Return the members that count as failed: asked now and then, for a partition may have ended."""
+        """Return the addresses of failed members, which are contacted at times because a partition may have ended."""
         timeout_s = self.failure_timeout_s
         return sorted(member.ip for member in self.members.values() if now - member.last_heartbeat > timeout_s)
 
     def isolation_factor(self, now: float) -> float:
-        """Return members heard of in the last minute over live ones, if these are no more than half of those; else 1.
+        """Return the ratio of members heard of in the last minute to live ones if it is 2 or more, else 1.
 
-        Behind a partition the others are there as well, and admit what they would.  Counts of this side are multiplied
-        by it, so that both sides together admit no more than one would.
+        The members on the other side of a partition still run, and admit requests by their own counts.  The counts of
+        this side are multiplied by the factor, so that both sides together admit no more than one would.
         """
         known = sum(
             1
             for member in self.members.values()
             if now - member.last_heartbeat <= FORGET_AFTER_S and not member.is_leaving
         )
-        live = max(1, len(self.alive(now)))  # a process that was frozen has no fresh heartbeat of its own either
+        live = max(1, len(self.alive(now)))  # after a freeze not even the own heartbeat is fresh
         return known / live if 2 * live <= known else 1.0
 
     def heartbeat_targets(
         self, now: float, region_zones: set[int], heartbeat_number: int, include_other_regions: bool
     ) -> list[int]:
-        """Return the addresses that this heartbeat goes to (`heartbeat_ring`); zones are given by their index."""
+        """Return the addresses of this heartbeat's recipients (`heartbeat_ring`); zones are given by their index."""
         live = self.alive(now)
         region = [member for member in live if member.zone in region_zones]
         elsewhere = []
--- a/tests/balancer/membership/test_electorate.py
+++ b/tests/balancer/membership/test_electorate.py
@@ -1,4 +1,4 @@
-"""Whose votes count, with and without committed voters."""
+"""Votes must count for the committed voters only, and for every member while no voters are known."""
 
 import unittest
 
--- a/tests/balancer/membership/test_leadership.py
+++ b/tests/balancer/membership/test_leadership.py
@@ -1,4 +1,4 @@
-"""Leader election: succession of a leader that leaves, votes for the one that replaces a lost leader."""
+"""Leader election: no term may have two leaders, and a leader that shuts down must have a successor."""
 
 import unittest
 
@@ -17,18 +17,18 @@
         self.assertTrue(second.observe_leader(first.term, first.leader_ip))
         self.assertFalse(second.observe_leader(first.term, first.leader_ip))
         first.transfer_leadership(3)
-        first.transfer_leadership(2)  # no longer the leader: it has none to name
+        first.transfer_leadership(2)  # has no effect: it is not the leader any more
         self.assertTrue(second.observe_leader(first.term, first.leader_ip))
         self.assertTrue(third.observe_leader(first.term, first.leader_ip))
         self.assertTrue(third.is_leader)
-        self.assertFalse(third.observe_leader(2, 1))  # what is older comes late
+        self.assertFalse(third.observe_leader(2, 1))  # a delayed message with an older term
 
-    def test_a_voter_that_hears_of_the_leader_does_not_vote_it_out(self):
+    def test_a_voter_that_knows_a_live_leader_grants_no_vote(self):
         voter = Leadership(2)
         voter.observe_leader(2, 3)
         self.assertFalse(voter.grant_vote(voter.start_election(), is_leader_lost=False))
 
-    def test_a_voter_votes_once_a_term(self):
+    def test_a_voter_votes_once_per_term(self):
         voter = Leadership(2)
         voter.observe_leader(2, 3)
         self.assertTrue(voter.grant_vote(3, is_leader_lost=True))
@@ -41,7 +41,9 @@
             for candidate in requests:
                 if members[voter].grant_vote(terms[candidate], is_leader_lost=True):
                     members[candidate].receive_vote(terms[candidate], voter, VOTERS)
-        self.assertEqual([members[ip].is_leader for ip in (1, 2)], [False, False])  # two votes each: neither
+        self.assertEqual(
+            [members[ip].is_leader for ip in (1, 2)], [False, False]
+        )  # each has two of four votes, no majority
         self.assertGreater(members[1].start_election(), terms[1])
 
 
