--- a/mapleline/balancer/discovery/directory.py
+++ b/mapleline/balancer/discovery/directory.py
@@ -1,4 +1,4 @@
-"""The directory service: tells clients the addresses of the ingresses nearest to them (`GET /lookup`)."""
+"""The directory service: answers clients with the addresses of the nearest ingresses (`GET /lookup`)."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     from ..proxy.client_connection import ClientConnection
     from ..settings import Settings
 
-#: Addresses in one answer, at most.
+#: Maximum number of addresses in one answer.
 MAX_ADDRESSES = 64
 
-#: With fewer ingresses in a client's zone, the whole region is named, and with fewer there all.
+#: An answer has the ingresses of the client's region if its zone has fewer, and all ingresses if the region has fewer.
 MIN_ADDRESSES = 2
 
-#: How long clients may keep an answer, unless `protocol_bounds.ttl_max` is less.
+#: How long clients may cache an answer, unless `protocol_bounds.ttl_max` is less.
 TTL_S = 2.0
 
 JSON_HEADER = b"Content-Type: application/json\r\n"
@@ -44,7 +44,7 @@
         rng: Random,
         has_read_lease: Callable[[], bool],
     ) -> None:
-        """`has_read_lease`: without a read lease the table may be outdated, and no client is sent anywhere."""
+        """Create the service; without a read lease the table may be outdated, so it answers with no addresses."""
         self.clock = clock
         self.settings = settings
         self.membership = membership
@@ -68,7 +68,7 @@
             return
         if len(found) > MAX_ADDRESSES:
             found = self.rng.sample(found, MAX_ADDRESSES)
-        _, port = front_addr  # the same on each ingress
+        _, port = front_addr  # each ingress uses the same port
         client_conn.reply(200, self._encode_answer(found, port), JSON_HEADER)
 
     def _ready_members(self) -> list[Member]:
@@ -76,9 +76,9 @@
         return [member for member in ready if not member.is_leaving]
 
     def _nearest(self, members: list[Member], zone: str, region: str) -> list[Member]:
-        """Return the members of the zone and one of another zone of the region, for a zone may be lost at once.
+        """Return the members of the zone, and one of another zone of the region because a whole zone may fail at once.
 
-        With fewer than `MIN_ADDRESSES` in the zone, those of the region; with fewer there, all.
+        If the zone has fewer than `MIN_ADDRESSES`, return those of the region; if the region has fewer, return all.
         """
         in_zone = [member for member in members if self._zone_names[member.zone] == zone]
         in_other_zones = [
--- a/mapleline/balancer/discovery/endpoint_poller.py
+++ b/mapleline/balancer/discovery/endpoint_poller.py
@@ -1,6 +1,6 @@
-"""Who asks the platform for the endpoint list, and when: the leader by election, others when the list grows old.
+"""Polling of the platform for the endpoint list: by an elected leader, and by other nodes when the list is stale.
 
-One node polls for all; docs/design/system.md, "The polling leader", gives the rules and what was weighed.
+One node polls for all.  docs/design/system.md, "The polling leader", has the rules and the alternatives considered.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 logger = logging.getLogger(__name__)
 
 JITTER_LOW, JITTER_HIGH = 0.9, 1.1
-"""Bounds of the factor by which the polling interval varies."""
+"""Bounds of the random factor of the polling interval."""
 SECOND_CANDIDATE_AFTER_S = 1.4
-"""Age of the list from which the second candidate polls as well: the leader may be cut off from the platform."""
-NO_VOTERS_AFTER_S = 5.0
-"""Time after the start from which no control plane is assumed, if none was heard of."""
+"""Age of the list above which the second candidate polls too: the leader may be unable to reach the platform."""
+NO_CONTROL_PLANE_AFTER_S = 5.0
+"""Time after the start at which a node that has learnt of no voters assumes that there is no control plane."""
 FALLBACK_POLLERS = 2
-"""How many nodes poll a turn, on average, once the list is stale everywhere."""
+"""Average number of nodes that poll per interval once the list is stale on all of them."""
 
 
 class EndpointPoller:
-    """Drives the election of the polling leader, and the polling."""
+    """Runs the election of the polling leader, and the polling."""
 
     def __init__(
         self,
@@ -42,9 +42,9 @@
         electorate: Electorate,
         fetch: Callable[[], None],
     ) -> None:
-        """`fetch` starts one retrieval of the list from the platform, unless one is under way."""
+        """Create a poller; `fetch` starts to fetch the list from the platform, unless a fetch is in progress."""
         self._context = context
-        self._my_ip = context.membership.local_member.ip
+        self._local_ip = context.membership.local_member.ip
         self._endpoints = endpoints
         self._leadership = leadership
         self._electorate = electorate
@@ -52,7 +52,7 @@
         self._is_stopped = False
 
     def run(self) -> None:
-        """Poll the platform if it is this node's turn, and set the timer of the next turn."""
+        """Poll the platform if polling is due here, and set the timer for the next interval."""
         now = self._context.now()
         interval_s = POLL_INTERVAL_S if self._endpoints.digest else EMPTY_POLL_INTERVAL_S
         jitter = self._context.rng.uniform(JITTER_LOW, JITTER_HIGH)
@@ -66,12 +66,12 @@
             self._fetch()
 
     def stop(self) -> None:
-        """End polling, and hand the leadership on if it lies here."""
+        """Stop polling; if this node is the leader, transfer the leadership."""
         self._is_stopped = True
         self._leadership.transfer_leadership(choose_successor(self._candidates(self._context.now())))
 
     def handle_vote_request(self, ip: int, request: VoteRequest) -> None:
-        """Vote for the candidate if the leader is missing here as well."""
+        """Vote for the candidate if this node has lost the leader too."""
         if self._leadership.grant_vote(request.term, self._is_leader_missing(self._context.now())):
             self._context.send(ip, Vote(request.term))
 
@@ -80,7 +80,7 @@
         self._count_vote(ip, vote.term)
 
     def _count_vote(self, ip: int, term: int) -> None:
-        """With a majority this node is the leader, and polls at once."""
+        """Count a vote; with a majority this node becomes the leader and polls at once."""
         if self._leadership.receive_vote(term, ip, self._electorate.addresses()):
             logger.info("elected leader of endpoint polling", extra={"term": term})
             self._fetch()
@@ -95,36 +95,36 @@
         return self._leadership.leader_ip not in {member.ip for member in self._candidates(now)}
 
     def _update_leadership(self, now: float, candidates: list[Member]) -> None:
-        """Stand for election if the leader is missing and this node is next, or hand on to a better candidate."""
-        is_next = choose_successor(candidates) == self._my_ip
-        is_electorate_known = self._electorate.is_committed() or self._uptime(now) > NO_VOTERS_AFTER_S
+        """Start an election if the leader is lost and this node is the best candidate, or transfer to a better one."""
+        is_next = choose_successor(candidates) == self._local_ip
+        is_electorate_known = self._electorate.is_committed() or self._uptime(now) > NO_CONTROL_PLANE_AFTER_S
         if is_next and is_electorate_known and self._is_leader_missing(now):
             self._request_votes()
         elif self._leadership.is_leader and not is_next:
-            # replicas first: all nodes fetch the list from the leader
+            # Nodes with a disk are better candidates, because all nodes fetch the list from the leader.
             self._leadership.transfer_leadership(choose_successor(candidates))
 
     def _request_votes(self) -> None:
         term = self._leadership.start_election()
         for ip in self._electorate.addresses():
-            if ip != self._my_ip:
+            if ip != self._local_ip:
                 self._context.send(ip, VoteRequest(term))
             elif self._leadership.grant_vote(term, True):
                 self._count_vote(ip, term)
 
     def _is_polling_due(self, now: float, candidates: list[Member]) -> bool:
-        """Return whether this node polls in this turn.  Draws a random number if the list is stale."""
+        """Return whether this node polls in this interval.  Draws a random number if the list is stale."""
         list_age_s = now - self._endpoints.fetched_at
-        is_fallback = (
+        is_fallback_due = (
             list_age_s > STALE_AFTER_S
             and self._uptime(now) > 2 * EMPTY_POLL_INTERVAL_S
             and self._context.rng.random() < FALLBACK_POLLERS / (1 + len(candidates))
         )
-        is_second = list_age_s > SECOND_CANDIDATE_AFTER_S and self._is_second(candidates)
-        is_next = choose_successor(candidates) == self._my_ip
-        return self._leadership.is_leader or is_next or is_second or is_fallback
+        is_second_candidate_due = list_age_s > SECOND_CANDIDATE_AFTER_S and self._is_second_candidate(candidates)
+        is_next = choose_successor(candidates) == self._local_ip
+        return self._leadership.is_leader or is_next or is_second_candidate_due or is_fallback_due
 
-    def _is_second(self, candidates: list[Member]) -> bool:
-        """Return whether this node is the best candidate beside the leader."""
+    def _is_second_candidate(self, candidates: list[Member]) -> bool:
+        """Return whether this node is the best candidate apart from the leader."""
         others = (member for member in candidates if member.ip != self._leadership.leader_ip)
-        return choose_successor(others) == self._my_ip
+        return choose_successor(others) == self._local_ip
--- a/mapleline/balancer/discovery/endpoints.py
+++ b/mapleline/balancer/discovery/endpoints.py
@@ -1,7 +1,7 @@
-"""The endpoint list: which instances of which services exist, as the platform listed them last.
+"""The endpoint list: the instances of all services, as last listed by the platform.
 
-One node fetches the list; all others take it over from their peers.  `EndpointList` does no input or output, and its
-times are on the clock of its own node.  When an instance counts as warming up: docs/design/slow-start.md.
+One node fetches the list; all others copy it from their peers.  `EndpointList` does no input or output, and its times
+are in seconds on the clock of its own node.  docs/design/slow-start.md defines when an instance counts as warming up.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 
 from ..settings import parse_duration
 
-#: The end of an instance that is not known to be warming up.
+#: The end of the warm-up of an instance that is not known to be warming up.
 NOT_WARMING_UP = float("-inf")
 
-#: The ends of one warm-up, as two fetches report them, lie apart by less.
+#: Two fetches report ends of the same warm-up that differ by less than this.
 SAME_END_TOLERANCE_S = 0.05
 
-#: Ages beyond an hour are reported as an hour.
+#: Older lists are reported with this age, an hour.
 MAX_AGE_MS = 3_600_000
 MS_PER_S = 1000
 
 
 class ListedInstance(msgspec.Struct, array_like=False):
-    """One entry of the list, as the platform sends it and as nodes pass it on; the field names are its keys.
+    """One entry of the list, in the format of the platform and of the nodes; the field names are its keys.
 
     Attributes:
-        instance_id: The name of one run of a server; a restart has another.
+        instance_id: The id of one run of a server; after a restart the server has another.
         target_service: The service that it belongs to.
         address: Host and port.
         zone: Its zone.
-        state: `ready`, or why no requests may be sent to it.
-        slot_count: Requests that it works on at once.
-        cold_left: How long it still warms up, such as `300ms`.
-        turn: How often it was seen to start warming up again before it was warm; counted here, not by the platform.
+        state: `ready`, or the reason why no requests may be sent to it.
+        slot_count: The number of requests that it processes concurrently.
+        cold_left: The remaining time of its warm-up, such as `300ms`.
+        turn: How often its warm-up restarted before it was over; counted by the nodes, not by the platform.
     """
 
     instance_id: str
@@ -49,7 +49,7 @@
 
 
 class InstancePage(msgspec.Struct):
-    """One page of the platform's answer; `next_token` names the next one."""
+    """One page of the platform's answer; `next_token` requests the next page, and None ends the list."""
 
     instance_list: list[ListedInstance]
     next_token: str | None = None
@@ -65,14 +65,14 @@
     """One run of a server.
 
     Attributes:
-        id: Its name in the platform's list.
+        id: Its id in the platform's list.
         service: The service that it belongs to.
         address: Host and port.
         zone: Its zone.
-        slots: Requests that it works on at once.
+        slots: The number of requests that it processes concurrently, at least 1.
         ready: Whether requests may be sent to it at all.
-        warming_until: When the warm-up that is under way ends; `NOT_WARMING_UP` without one.
-        warm_up_count: How often it started warming up again before it was warm.
+        warming_until: When the current warm-up ends; `NOT_WARMING_UP` if there is none.
+        warm_up_count: How often its warm-up restarted before it was over.
         warm_up_ended_at: When its last warm-up ends or ended; `NOT_WARMING_UP` if none was seen.
     """
 
@@ -91,14 +91,15 @@
     """The newest list that is known at this node.
 
     Attributes:
-        instances: By id, in the order of the list.
+        max_lag_s: How much older than its fetch the platform's list may be.
+        instances: The instances by id, in the order of the list.
         fetched_at: When the list was fetched from the platform.
-        body: The list as it is passed on to peers.
-        digest: A checksum of all but remaining times; 0 before the first list.
+        body: The list in the encoding that is sent to peers.
+        digest: A checksum of everything except remaining times; 0 before the first list.
     """
 
     def __init__(self, max_lag_s: float = 0.8) -> None:
-        """`max_lag_s`: how much older than its fetch the platform's list may be."""
+        """Create an empty list."""
         self.max_lag_s = max_lag_s
         self.instances: dict[str, Instance] = {}
         self.fetched_at = float("-inf")
@@ -106,38 +107,38 @@
         self.digest = 0
 
     def age_ms(self, now: float) -> int:
-        """Return the time since the list was fetched, an hour at most."""
+        """Return the time since the list was fetched, at most `MAX_AGE_MS`."""
         return int(min(MAX_AGE_MS, (now - self.fetched_at) * MS_PER_S))
 
     def update_from_platform(self, fetched_at: float, listed: list[ListedInstance]) -> bool:
-        """Replace the list by one that was fetched here.
+        """Replace the list by one that this node fetched from the platform.
 
         Returns:
-            Whether anything but remaining times has changed; False as well for a list that is older.
+            Whether anything except remaining times has changed; False also if the list is not newer.
         """
         by_id = sorted(listed, key=lambda entry: entry.instance_id)
         counted = [msgspec.structs.replace(entry, turn=self._warm_up_count(fetched_at, entry)) for entry in by_id]
         return self._replace(fetched_at, counted, _encode_list(counted))
 
     def update_from_peer(self, fetched_at: float, body: bytes) -> bool:
-        """Replace the list by one that another node fetched; returns as `update_from_platform`.
+        """Replace the list by one that another node fetched; the result is that of `update_from_platform`.
 
         Raises:
-            msgspec.DecodeError: The body is no list.
+            msgspec.DecodeError: The body is not an encoded list.
         """
         return self._replace(fetched_at, _decode_list(body), body)
 
     def confirm(self, fetched_at: float, digest: int) -> None:
-        """Take note that another node fetched a list with that digest; if it is ours, ours is as new."""
+        """Set the age of the list to that of another node's list if both have the same digest."""
         if digest == self.digest and fetched_at > self.fetched_at:
             self.fetched_at = fetched_at
 
     def _warm_up_count(self, fetched_at: float, entry: ListedInstance) -> int:
-        """Return the count for an entry that was fetched here: one more where it ends later than was known.
+        """Return the warm-up count of an entry fetched here; it rises if the warm-up ends later than known so far.
 
-        Peers that know the earlier end have to hear of the later one, and the count changes the digest.  The platform
-        may report up to `max_lag_s` late, which looks the same; so ends of counted warm-ups are taken that much later
-        (`_warming_until`), and a late report is no new end.
+        The count is part of the digest, so peers that know the earlier end fetch the list with the later one.  A
+        report of the platform that is up to `max_lag_s` late also seems to end later.  Therefore the ends of counted
+        warm-ups are set later by that time (`_warming_until`), and a late report does not raise the count again.
         """
         known = self.instances.get(entry.instance_id)
         if known is None:
@@ -180,7 +181,7 @@
         )
 
     def _warming_until(self, fetched_at: float, entry: ListedInstance, known: Instance | None) -> float:
-        """Return the end of the warm-up that an entry reports; never earlier than known of the same warm-up."""
+        """Return the end of the warm-up that an entry reports, but not before the known end of the same warm-up."""
         remaining_s = parse_duration(entry.cold_left)
         if remaining_s <= 0:
             return NOT_WARMING_UP
@@ -191,7 +192,7 @@
 
 
 def _digest(instances: dict[str, Instance], now: float) -> int:
-    """Return a checksum of what routing depends on; never 0.  All nodes have to compute the same."""
+    """Return a checksum of the fields that routing depends on, never 0.  All nodes have to compute the same value."""
     rows = [
         (
             instance.id,
--- a/mapleline/balancer/discovery/platform_client.py
+++ b/mapleline/balancer/discovery/platform_client.py
@@ -1,6 +1,6 @@
 """Client of the platform's instance list: fetches it page by page, one fetch at a time.
 
-All nodes share the platform's rate limit, so only the leader of the list fetches it regularly (`node.py`).
+All nodes share the platform's rate limit, so only the leader fetches the list regularly (`endpoint_poller`).
 """
 
 from __future__ import annotations
@@ -26,35 +26,35 @@
     from ..settings import Settings
     from .endpoints import EndpointList
 
-#: A page that has not come by then is given up, and the fetch with it.
+#: A page that takes longer is aborted, and the fetch fails.
 REQUEST_TIMEOUT_S = 1.0
 
-#: Between two fetches of the leader (docs/design/system.md, Bounds, DRAIN: a change is known everywhere in under 3 s).
+#: Between two fetches of the leader: all nodes must know a change in under 3 s (docs/design/system.md, Bounds, DRAIN).
 POLL_INTERVAL_S = 0.8
 
-#: The same before the first list is known.
+#: Between two fetches before the first list is known.
 EMPTY_POLL_INTERVAL_S = 0.2
 
-#: With a list that old a node may fetch itself: the leader is lost, or cut off from it.
+#: A node with an older list may fetch it itself: the leader is lost, or cannot be reached from here.
 STALE_AFTER_S = 2.0
 
-#: Bound of one page, in bytes.
+#: Bound of one page.
 MAX_RESPONSE_BYTES = 1 << 24
 
-#: Connections are not reused, so few buffers are kept.
+#: Number of free buffers kept; connections are not reused, so few are needed.
 KEPT_BUFFERS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class _Fetch:
-    """A fetch under way: when it began, and what earlier pages listed."""
+    """A fetch in progress: when it began, in seconds, and the instances of the pages received so far."""
 
     began_at: float
     instances: list[ListedInstance] = field(default_factory=list)
 
 
 class _PageConnection(Stream):
-    """One connection, for one page; `on_response` is called once, with None if there is no complete answer."""
+    """A connection for one page; `on_response` is called once, with None if there is no complete response."""
 
     transport: Any  # Twisted's interfaces declare methods without self, which mypy takes for attributes
 
@@ -68,7 +68,7 @@
         self.send(data)
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted's: bytes have arrived."""
+        """Handle received bytes (called by Twisted)."""
         for _, response in self._http.receive(data):
             self.transport.loseConnection()
             self._finish(response)
@@ -77,7 +77,7 @@
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted's: the connection has ended."""
+        """Handle the end of the connection (called by Twisted)."""
         super().connectionLost(reason)
         self._finish(None)
 
@@ -89,12 +89,12 @@
 
 
 class PlatformClient:
-    """Fetches the list into `endpoints`."""
+    """Fetches the list and stores it in `endpoints`."""
 
     def __init__(
         self, reactor: Reactor, settings: Settings, endpoints: EndpointList, on_listed: Callable[[bool], None]
     ) -> None:
-        """`on_listed` is called after each complete fetch, with whether the list has changed."""
+        """Create an idle client; `on_listed` is called after each complete fetch, with whether the list has changed."""
         self.reactor = reactor
         self.settings = settings
         self.endpoints = endpoints
@@ -103,7 +103,7 @@
         self._is_fetching = False
 
     def fetch(self) -> None:
-        """Begin to fetch the complete list, unless a fetch is under way."""
+        """Start to fetch the complete list, unless a fetch is in progress."""
         if not self._is_fetching:
             self._is_fetching = True
             self._request_page(_Fetch(self.reactor.seconds()), "")
--- a/tests/balancer/discovery/test_directory.py
+++ b/tests/balancer/discovery/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory: which ingresses a client is told of."""
+"""The directory must send clients only to ready ingresses near them, and to enough of these."""
 
 import json
 import random
@@ -17,8 +17,8 @@
 
 class TestDirectory(unittest.TestCase):
     def look_up(self, zone_sizes, query="zone=z1&region=r1", has_read_lease=True, method=b"GET", path="/lookup"):
-        """Ask an ingress that knows so many ready ones in z1, z2 and z3; returns status, answer and header lines."""
-        members = [Member(256 * (zone + 1) + n, zone, 0) for zone, size in enumerate(zone_sizes) for n in range(size)]
+        """Ask an ingress that knows `zone_sizes` ready ones in z1, z2, z3; return status, body and header lines."""
+        members = [Member(256 * (zone + 1) + i, zone, 0) for zone, size in enumerate(zone_sizes) for i in range(size)]
         membership = MembershipTable(Member(1, 0, 0, last_heartbeat=-1e9), 0.5)
         for member in members:
             member.flags, member.last_heartbeat = MemberFlags.READY, NOW
@@ -32,17 +32,17 @@
         return client_conn.reply.call_args.args
 
     def zones_found(self, *zone_sizes, query="zone=z1&region=r1"):
-        """The numbers of addresses in z1, z2 and z3."""
+        """Return the numbers of addresses in z1, z2 and z3."""
         status, body, _ = self.look_up(zone_sizes, query)
         self.assertEqual(status, 200)
         addresses = json.loads(body)["address_list"]
         return [sum(address.startswith(f"0.0.{zone}.") for address in addresses) for zone in (1, 2, 3)]
 
-    def test_the_zone_and_one_of_another_zone_of_the_region(self):
+    def test_an_answer_has_the_zone_and_one_ingress_of_another_zone_of_the_region(self):
         self.assertEqual(self.zones_found(3, 4, 5), [3, 0, 1])
         self.assertEqual(self.zones_found(3, 4, 0), [3, 0, 0])
 
-    def test_with_too_few_in_the_zone_the_region_and_then_all(self):
+    def test_with_too_few_in_the_zone_an_answer_has_the_region_and_then_all(self):
         self.assertEqual(self.zones_found(1, 4, 5), [1, 0, 5])
         self.assertEqual(self.zones_found(1, 4, 0), [1, 4, 0])
         self.assertEqual(self.zones_found(1, 1, 1, query=""), [1, 1, 1])
@@ -55,7 +55,7 @@
     def test_an_answer_is_bounded(self):
         self.assertEqual(sum(self.zones_found(MAX_ADDRESSES + 20, 0, 5)), MAX_ADDRESSES)
 
-    def test_without_a_read_lease_or_a_ready_ingress_nobody_is_named(self):
+    def test_without_a_read_lease_or_a_ready_ingress_an_answer_has_no_address(self):
         refused = (503, b"no ingress is ready, or no contact with the core", b"Retry-After: 0.3\r\n")
         self.assertEqual(self.look_up((3, 3, 3), has_read_lease=False), refused)
         self.assertEqual(self.look_up((0, 0, 0)), refused)
--- a/tests/balancer/discovery/test_endpoints.py
+++ b/tests/balancer/discovery/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: how new it is, and the ends of warm-ups as peers learn them."""
+"""The endpoint list: delayed heartbeats must not make it seem fresh, and peers must learn later ends of warm-ups."""
 
 import unittest
 
@@ -8,33 +8,33 @@
 
 
 class TestListAge(unittest.TestCase):
-    def test_a_list_is_not_newer_for_a_heartbeat_that_was_delayed(self):
-        one, other = (MembershipTable(Member(ip, 0, 0, incarnation=5), 0.5) for ip in (1, 2))
-        one.record_heartbeat(10.0, 0)
-        other.merge(10.02, one.encode(10.0))
-        heartbeat = other.encode(10.30)
-        one.merge(10.32, heartbeat)
-        self.assertTrue(10.25 < one.last_merge_sent_at <= 10.30)
-        one.record_heartbeat(13.0, 0)
-        one.merge(13.0, heartbeat)  # it lay here while this process stood still
-        self.assertTrue(10.25 < one.last_merge_sent_at <= 10.30)
-        one.local_member.incarnation = 6  # another incarnation has made other heartbeats
-        one.merge(13.0, heartbeat)
-        self.assertLess(one.last_merge_sent_at, 0.0)
+    def test_a_delayed_heartbeat_does_not_make_a_list_newer(self):
+        table, peer = (MembershipTable(Member(ip, 0, 0, incarnation=5), 0.5) for ip in (1, 2))
+        table.record_heartbeat(10.0, 0)
+        peer.merge(10.02, table.encode(10.0))
+        heartbeat = peer.encode(10.30)
+        table.merge(10.32, heartbeat)
+        self.assertTrue(10.25 < table.last_merge_sent_at <= 10.30)
+        table.record_heartbeat(13.0, 0)
+        table.merge(13.0, heartbeat)  # it was queued while this process was suspended
+        self.assertTrue(10.25 < table.last_merge_sent_at <= 10.30)
+        table.local_member.incarnation = 6  # now the row names a heartbeat of an earlier incarnation
+        table.merge(13.0, heartbeat)
+        self.assertLess(table.last_merge_sent_at, 0.0)
 
 
 class TestWarmUps(unittest.TestCase):
     def setUp(self):
-        self.fetching, self.peer = EndpointList(), EndpointList()
+        self.fetcher, self.peer = EndpointList(), EndpointList()
 
-    def fetch(self, at, remaining_s):
-        """One node fetches the list, and its peer hears of it."""
+    def fetch(self, now, remaining_s):
+        """Fetch the list at one node, and update its peer."""
         cold_left = f"{remaining_s:.3f}s"
-        self.fetching.update_from_platform(at, [ListedInstance("i-a", "s1", "10.0.0.1:80", "z1", cold_left=cold_left)])
-        if self.fetching.digest == self.peer.digest:
-            self.peer.confirm(at, self.fetching.digest)
+        self.fetcher.update_from_platform(now, [ListedInstance("i-a", "s1", "10.0.0.1:80", "z1", cold_left=cold_left)])
+        if self.fetcher.digest == self.peer.digest:
+            self.peer.confirm(now, self.fetcher.digest)
         else:
-            self.peer.update_from_peer(at, self.fetching.body)
+            self.peer.update_from_peer(now, self.fetcher.body)
 
     def warming_until(self):
         return self.peer.instances["i-a"].warming_until
@@ -46,8 +46,8 @@
         self.fetch(101.6, 4.0)
         self.assertGreaterEqual(self.warming_until(), 105.6)
         body = self.peer.body
-        for at in (102.4, 103.2):
-            self.fetch(at, 105.6 + 0.7 - at)  # reported late: nothing new
+        for now in (102.4, 103.2):
+            self.fetch(now, 105.6 + 0.7 - now)  # a late report of the same warm-up
         self.assertIs(self.peer.body, body)
         self.fetch(104.0, 0.0)
         self.assertLess(self.warming_until(), 104.0)
--- a/tests/balancer/discovery/test_platform_client.py
+++ b/tests/balancer/discovery/test_platform_client.py
@@ -1,4 +1,4 @@
-"""The platform's client: pages are joined, faults end a fetch, and one fetch is under way at a time."""
+"""The client of the platform: a failed fetch must neither change the list nor block the next fetch."""
 
 import json
 import unittest
@@ -15,7 +15,7 @@
 
 
 class StandInTransport:
-    """A socket that takes all that is written."""
+    """A socket that accepts all written bytes."""
 
     def __init__(self):
         self.written = b""
@@ -34,10 +34,11 @@
         self.is_aborted = True
 
 
-def page(ids, next_token=None, status=b"200 OK"):
-    """An answer of the platform."""
+def page(instance_ids, next_token=None, status=b"200 OK"):
+    """Return an HTTP response of the platform with one page."""
     instances = [
-        {"instance_id": id, "target_service": "s1", "address": "10.9.0.1:80", "zone": "z1", "extra": 1} for id in ids
+        {"instance_id": instance_id, "target_service": "s1", "address": "10.9.0.1:80", "zone": "z1", "extra": 1}
+        for instance_id in instance_ids
     ]
     body = json.dumps({"instance_list": instances, "next_token": next_token}).encode()
     return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body)
@@ -54,16 +55,16 @@
         patched.start()
         self.addCleanup(patched.stop)
 
-    def dial(self, reactor, address, make, timeout_s):
+    def dial(self, reactor, address, make_connection, timeout_s):
         self.assertEqual((address, timeout_s), (ADDRESS, REQUEST_TIMEOUT_S))
         connected = Deferred()
-        self.dials.append((make, connected))
+        self.dials.append((make_connection, connected))
         return connected
 
     def connect(self):
-        """The newest dial succeeds; returns its connection."""
-        make, connected = self.dials[-1]
-        connection = make()
+        """Let the newest dial succeed and return its connection."""
+        make_connection, connected = self.dials[-1]
+        connection = make_connection()
         connection.transport, connection.connected = StandInTransport(), 1
         connected.callback(connection)
         return connection
@@ -87,7 +88,7 @@
         self.clock.run_until(105.0)
         self.assertFalse(first.transport.is_aborted or second.transport.is_aborted)
 
-    def test_one_fetch_is_under_way_at_a_time(self):
+    def test_one_fetch_is_in_progress_at_a_time(self):
         self.client.fetch()
         self.client.fetch()
         self.assertEqual(len(self.dials), 1)
@@ -101,7 +102,7 @@
                 self.client.fetch()
                 self.connect().dataReceived(fault)
                 self.assertEqual((self.listed, self.endpoints.instances), ([], {}))
-        self.client.fetch()  # the next one is not held up
+        self.client.fetch()  # the failed fetch does not block the next one
         self.assertEqual(len(self.dials), 3)
 
     def test_a_lost_connection_or_none_ends_the_fetch(self):
