--- a/mapleline/balancer/__init__.py
+++ b/mapleline/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""The global load balancer: one program, the role is a subcommand (docs/design/system.md)."""
+"""The global load balancer: one program, whose subcommands are its roles (docs/design/system.md)."""
--- a/mapleline/balancer/clock.py
+++ b/mapleline/balancer/clock.py
@@ -1,4 +1,4 @@
-"""Structural types for time and timers, so that pure parts and drivers need no reactor to be tested.
+"""Structural types for time and timers, so that tests need no reactor.
 
 The reactor of a real process and the virtual clock of `mapleline.simulation` both have these methods; the names are
 Twisted's (`IReactorTime`).
@@ -14,10 +14,10 @@
 
 
 class DelayedCall(Protocol):
-    """A timer that was set by `Clock.callLater`."""
+    """A timer set by `Clock.callLater`."""
 
     def active(self) -> bool:
-        """Return whether the call is still to come: neither made nor cancelled."""
+        """Return whether the call is pending: neither made nor cancelled."""
 
     def cancel(self) -> None:
         """Cancel the call; it must be active."""
@@ -27,14 +27,14 @@
     """A steady clock with timers."""
 
     def seconds(self) -> float:
-        """Return the time in seconds since an arbitrary moment; it never goes back."""
+        """Return the time in seconds since an arbitrary moment; it never decreases."""
 
     def callLater(self, delay: float, function: Callable[..., object], /, *args: object) -> DelayedCall:
-        """Call `function(*args)` in `delay` seconds."""
+        """Call `function(*args)` after `delay` seconds."""
 
 
 class Reactor(Clock, Protocol):
-    """What a node needs of its event loop beside the clock."""
+    """The methods of an event loop that a node uses, apart from the clock."""
 
     def listenTCP(self, port: int, factory: ServerFactory, backlog: int = 50, interface: str = "") -> object:
         """Accept connections on a port of an address."""
--- a/mapleline/balancer/configuration.py
+++ b/mapleline/balancer/configuration.py
@@ -1,7 +1,7 @@
 """The operator's configuration: routes, services, limits and tenants, parsed and validated.
 
-It arrives as one JSON document by `POST /config/replace` (PROTOCOL.md, The operator).  Field names are its keys;
-unknown keys are ignored.  Durations are `1500ms` or `2.5s` in the document and seconds here.
+The operator sends it as one JSON document by `POST /config/replace` (PROTOCOL.md, The operator).  Field names are the
+keys of the document; unknown keys are ignored.  Durations are written as `1500ms` or `2.5s` and parsed to seconds.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 
 Seconds = Annotated[float, BeforeValidator(parse_duration)]
 
-#: A latency target that far beyond the time-out is taken for a typing error (PROTOCOL.md, The operator).
+#: A latency target this far above the time-out is rejected as a typing error (PROTOCOL.md, The operator).
 MAX_TARGET_BEYOND_TIMEOUT_S = 60.0
 
-#: Named in place of a key where the document as a whole is at fault.
+#: Stands for the key in an error that concerns the whole document.
 WHOLE_DOCUMENT = "the configuration"
 
 
 class ConfigurationError(InvalidInputError):
-    """A configuration that is invalid."""
+    """The configuration is invalid."""
 
 
 class ConfigurationSection(BaseModel):
-    """Base of the document's sections: immutable, unknown keys ignored."""
+    """Base class of the document's sections: immutable, unknown keys ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
 class WeightedService(ConfigurationSection):
-    """One service of a weighted split; weights are relative to their sum."""
+    """One service of a weighted split; its share is its weight divided by the sum of weights."""
 
     target_service: str
     weight: float = Field(ge=0)
 
 
 class Route(ConfigurationSection):
-    """Which requests go to which service, and how long they may take (`timeout`, `target_latency` in seconds)."""
+    """A rule that assigns requests to services and limits their duration (`timeout`, `target_latency` in seconds)."""
 
     host_name: str = Field(min_length=1)
     path_prefix: str = Field(pattern=r"^/(.*/)?$")
@@ -56,7 +56,7 @@
 
     @property
     def shares(self) -> list[tuple[str, float]]:
-        """Services and their weights; a single service has weight 1."""
+        """The services and their weights; a single service has weight 1."""
         if self.weighted_split:
             return [(share.target_service, share.weight) for share in self.weighted_split]
         return [(self.target_service or "", 1.0)]
@@ -73,9 +73,10 @@
 
 
 class Service(ConfigurationSection):
-    """How a service's servers are used.
+    """Properties of a service's servers.
 
-    `cold_start` is how long a server warms up, in seconds; `cold_rate_s` the requests a second that it bears meanwhile.
+    `cold_start` is the duration of a server's warm-up in seconds, and `cold_rate_s` its capacity during the warm-up in
+    requests per second.
     """
 
     health_path: str = "/health"
@@ -85,7 +86,7 @@
 
 
 class ClientLimits(ConfigurationSection):
-    """What a client may send (bytes), and how long it may take over a header or stay idle (seconds)."""
+    """Limits for clients: sizes in bytes, and times for sending a header and for staying idle in seconds."""
 
     max_header_bytes: int = Field(default=16384, ge=1)
     max_body_bytes: int = Field(default=64 << 20, ge=0)
@@ -94,7 +95,7 @@
 
 
 class Tenant(ConfigurationSection):
-    """A customer: its keys, its quota (requests a second, burst in requests) and its home regions."""
+    """A customer: its API keys, its quota (requests per second, burst in requests) and its home regions."""
 
     api_keys: list[str] = []
     priority: int | None = None
@@ -104,7 +105,7 @@
 
 
 class Configuration(ConfigurationSection):
-    """One version of the configuration, complete."""
+    """One complete version of the configuration."""
 
     config_version: int
     route_table: dict[str, Route]
@@ -119,7 +120,7 @@
         return self
 
     def _check_routes(self) -> None:
-        """Each service that a route names exists, and no two routes match the same host and prefix."""
+        """Check that each route's services exist, and that no two routes match the same host and prefix."""
         route_by_match: dict[tuple[str, str], str] = {}
         for name, route in self.route_table.items():
             for service, _ in route.shares:
@@ -130,7 +131,7 @@
                 raise ValueError(f"route_table.{name} has the place of route_table.{other}")
 
     def _check_api_keys(self) -> None:
-        """No two tenants share a key."""
+        """Check that no two tenants share a key."""
         tenant_by_key: dict[str, str] = {}
         for name, tenant in self.tenant_table.items():
             for key in tenant.api_keys:
@@ -142,7 +143,7 @@
     """Parse and validate a configuration.
 
     Raises:
-        ConfigurationError: The document breaks a rule; only the first fault is reported.
+        ConfigurationError: The document is invalid; only the first fault is reported.
     """
     try:
         return Configuration.model_validate_json(text)
--- a/mapleline/balancer/configuration_applier.py
+++ b/mapleline/balancer/configuration_applier.py
@@ -1,4 +1,4 @@
-"""Puts a newly committed control state in force in the data plane."""
+"""Applies newly committed control states to the data plane."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 logger = logging.getLogger(__name__)
 
-#: Tenants with changed limits that one line names at most.
+#: Maximum number of tenants with changed limits that one log line names.
 MAX_TENANTS_NAMED = 5
 
 
 class ConfigurationApplier:
-    """Applies configuration and evacuations of the committed state."""
+    """Applies the configuration and the evacuations of the committed state."""
 
     def __init__(
         self,
@@ -34,14 +34,14 @@
         front: Listener,
         on_home_regions_changed: Callable[[str, list[str]], None],
     ) -> None:
-        """Apply nothing yet.
+        """Create an applier that has not applied anything.
 
         Args:
-            control_plane: has the committed state.
-            fence: is told the system's identity.
-            proxy: serves by the configuration.
-            front: the clients' listener, whose limits are part of the configuration.
-            on_home_regions_changed: called for each tenant whose home regions change, with the former ones.
+            control_plane: provides the committed state.
+            fence: gets the system's identity.
+            proxy: gets the routing table and the evacuated zones.
+            front: the clients' listener, which gets the limits of the configuration.
+            on_home_regions_changed: called with each tenant whose home regions change, and its former home regions.
         """
         self._control_plane = control_plane
         self._fence = fence
@@ -50,9 +50,9 @@
         self._on_home_regions_changed = on_home_regions_changed
 
     def apply(self, before: State | None) -> None:
-        """Put the committed state in force; `before` is the one that it replaces."""
+        """Apply the committed state; `before` is the state that it replaces, None for the first."""
         state = self._control_plane.state
-        assert state is not None  # the control plane calls this once there is one
+        assert state is not None  # the control plane calls this only if there is one
         self._fence.system_id = state.system
         if not self._apply_configuration(before, state):
             return
@@ -60,10 +60,10 @@
         changed_before = before.changed if before is not None else ()
         for zone, _ in {*state.changed} - {*changed_before}:
             if zone not in state.evacuated:
-                self._proxy.on_evacuation_ended(zone)  # also where the evacuation's beginning was never heard of
+                self._proxy.on_evacuation_ended(zone)  # also if this node missed its beginning
 
     def _apply_configuration(self, before: State | None, state: State) -> bool:
-        """Serve by the state's configuration if it is new; return False if it cannot be read."""
+        """Apply the state's configuration if it is new; return False if it cannot be parsed."""
         body = self._control_plane.committed.body
         is_new = before is None or before.config != state.config or self._proxy.table is None
         if body is None or not is_new:
@@ -106,7 +106,7 @@
 
 
 def _tenants_with_other_limits(before: RoutingTable, after: RoutingTable) -> list[str]:
-    """Return the tenants that both have, with another rate or burst."""
+    """Return the tenants in both tables whose rate or burst differs."""
     return [
         name
         for name, tenant in after.tenants.items()
--- a/mapleline/balancer/context.py
+++ b/mapleline/balancer/context.py
@@ -1,4 +1,4 @@
-"""What the drivers of one node share: its clock, settings, environment, membership and random numbers."""
+"""The objects that the drivers of one node share: clock, settings, environment, membership and random numbers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     membership: MembershipTable
     rng: random.Random
     started_at: float
-    """When the node was made, in seconds on its steady clock."""
+    """When the node was created, in seconds on its steady clock."""
 
     @property
     def local_ip(self) -> int:
--- a/mapleline/balancer/dispatcher.py
+++ b/mapleline/balancer/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatch of datagrams: each message goes to the part of the node that handles it."""
+"""Dispatch of received datagrams to the parts of the node that handle them."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DatagramReceivers:
-    """The parts of a node that take datagrams."""
+    """The parts of a node that handle datagrams."""
 
     heartbeats: HeartbeatExchange
     control_plane: ControlPlane
@@ -46,10 +46,10 @@
 
 
 class DatagramDispatcher:
-    """Hands each datagram to its handler, by the message's type."""
+    """Passes each datagram to the handler of its type."""
 
     def __init__(self, context: NodeContext, fence: Fence, receivers: DatagramReceivers) -> None:
-        """`fence` tells which load reports were overtaken by newer ones."""
+        """Create the table of handlers; `fence` detects load reports that arrive after newer ones."""
         self._context = context
         self._fence = fence
         self._replica = receivers.control_plane.replica
@@ -71,14 +71,14 @@
         }
 
     def receive(self, ip: int, message: Datagram) -> None:
-        """Handle a datagram that the fence has let in; `ip` is its sender."""
+        """Handle a datagram that the fence has accepted; `ip` is its sender's address."""
         self._handlers[type(message)](ip, message)
 
     def _receive_chosen_state(self, _ip: int, message: Chosen) -> None:
         self._replica.handle_chosen(message)
 
     def _receive_load_report(self, ip: int, report: LoadReport) -> None:
-        if self._fence.accept_sequence(ip, report.sequence):  # reports may overtake one another
+        if self._fence.accept_sequence(ip, report.sequence):  # reports may arrive out of order
             self._proxy.receive_load_report(ip, report, self._context.now())
 
     def _handle_lease_request(self, ip: int, request: LeaseRequest) -> None:
--- a/mapleline/balancer/environment.py
+++ b/mapleline/balancer/environment.py
@@ -1,7 +1,7 @@
-"""What one process has of the outside: sockets, threads, a disk and the time of day.
+"""The interface of one process to the outside: sockets, threads, a disk and the time of day.
 
-`process_environment` implements it for a real process; the simulation implements it with virtual ones, so that whole
-nodes run on a clock of their own.
+`process_environment` implements it for a real process.  The simulation implements it with virtual resources, so that
+whole nodes run on virtual time.
 """
 
 from __future__ import annotations
@@ -26,31 +26,31 @@
 
 
 class Environment(Protocol):
-    """The outside of one process."""
+    """The interface of one process to the outside."""
 
     def listen(self, fence: Fence, on_datagram: DatagramHandler, on_call: CallHandler) -> None:
-        """Receive what other ingresses send; the fence decides what of it reaches the handlers."""
+        """Receive messages of other ingresses; those that the fence accepts are passed to the handlers."""
 
     def send(self, ip: int, message: messages.Datagram) -> None:
         """Send a datagram to an ingress; it may be lost on its way."""
 
     def call(self, ip: int, message: messages.Call, timeout_s: float) -> Deferred[messages.Reply]:
-        """Call an ingress; the result fires with the reply, or with why there is none within the time-out."""
+        """Call an ingress; the result fires with the reply, or with an error if there is none within the time-out."""
 
     def run_in_thread(self, work: Callable[..., Result], *args: object) -> Deferred[Result]:
-        """Run what waits for the disk in a thread; the result fires in the reactor's."""
+        """Run blocking work, such as disk access, in a thread; the result fires in the reactor's thread."""
 
     def unix_time(self) -> float:
-        """Return the time of day in seconds since 1970; it may step, and differ from other machines'."""
+        """Return the time of day in seconds since 1970; it may step, and may differ between machines."""
 
     def snapshot_store(self) -> ReplicaStore | None:
-        """Return the store of the control state; None without a disk."""
+        """Return the store of the control state; None if the process has no disk."""
 
     def audit_log(self) -> AuditLog | None:
-        """Return the audit log of commands; None where none is kept."""
+        """Return the audit log of commands; None if the process keeps none."""
 
     def upstream_pool(self, pool: BufferPool) -> UpstreamPool:
-        """Return the connections to the servers; their buffers are taken from the pool."""
+        """Return the pool of connections to the servers; their buffers are taken from `pool`."""
 
     def platform_client(self, endpoints: EndpointList, on_listed: Callable[[bool], None]) -> PlatformClient:
-        """Return the client that fetches the endpoint list; the callback gets whether a new list differs."""
+        """Return the client that fetches the endpoint list; the callback gets whether the list has changed."""
--- a/mapleline/balancer/errors.py
+++ b/mapleline/balancer/errors.py
@@ -1,18 +1,18 @@
-"""The base of errors in what operators and the platform hand in: settings files and configurations."""
+"""The base class of errors in input of operators and the platform: settings files and configurations."""
 
 from __future__ import annotations
 
 
 class InvalidInputError(Exception):
-    """An input that breaks a rule.
+    """The input is invalid.
 
     Attributes:
         key: The dotted path of the value at fault, such as `route_table.r2.timeout`.
-        problem: What is wrong with it.
+        problem: The description of the fault.
     """
 
     def __init__(self, key: str, problem: str) -> None:
-        """Store both; the text of the error is `<key>: <problem>`."""
+        """Create an error with the text `<key>: <problem>`."""
         super().__init__(f"{key}: {problem}")
         self.key = key
         self.problem = problem
--- a/mapleline/balancer/graceful_shutdown.py
+++ b/mapleline/balancer/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: out of the directory first, then the requests in flight, then the end of the process."""
+"""Graceful shutdown: leave the directory, finish the requests in flight, then end the process."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 logger = logging.getLogger(__name__)
 
 FIRST_CHECK_SHARE = 0.25
-"""Share of `grace_period` after which the end is first considered."""
+"""Share of `grace_period` after which the process first checks whether it can end."""
 EARLIEST_END_SHARE = 0.45
-"""Share of `grace_period` before which the process does not end: clients learn late that it is draining."""
+"""Share of `grace_period` before which the process does not end, because clients learn late that it is draining."""
 END_MARGIN_S = 0.5
-"""The process ends this long before `grace_period` does, whatever is in flight."""
+"""The process ends this long before the end of `grace_period`, even with requests in flight."""
 CHECK_INTERVAL_S = 0.1
 
 
@@ -36,7 +36,7 @@
         poller: EndpointPoller,
         heartbeats: HeartbeatExchange,
     ) -> None:
-        """`listeners` are all of the node's, as they are when the shutdown begins."""
+        """Create an inactive shutdown; `listeners` may grow until the shutdown begins."""
         self._context = context
         self._listeners = listeners
         self._proxy = proxy
--- a/mapleline/balancer/heartbeats.py
+++ b/mapleline/balancer/heartbeats.py
@@ -1,7 +1,7 @@
-"""Heartbeats between nodes: when they are sent and to whom, and what a received one sets off.
+"""Heartbeats between nodes: their timing, their recipients, and the reactions to a received one.
 
-A heartbeat carries the whole membership table and says how new its sender's control state and endpoint list are, so
-that others fetch what they lack.  Intervals and recipients: docs/design/system.md, "Messages".
+A heartbeat carries the whole membership table and shows how recent its sender's control state and endpoint list are, so
+that other nodes can fetch newer ones.  docs/design/system.md, "Messages", lists intervals and recipients.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 HEARTBEAT_INTERVAL_S = 0.5
 REMOTE_EVERY = 2
-"""Every so many heartbeats one goes to another region as well."""
+"""One heartbeat in this many also goes to another region."""
 FEW_MEMBERS = 3
-"""With fewer live members than this, the seeds and all missing members are contacted with each heartbeat."""
+"""With fewer live members, all seeds and all failed members are contacted with each heartbeat."""
 REJOIN_EVERY = 8
-"""With enough members, every so many heartbeats one missing member or seed is contacted: a partition may have ended."""
+"""Otherwise one seed or failed member is contacted per this many heartbeats, as a partition may have ended."""
 LIST_AGE_TOLERANCE_S = 0.05
-"""An endpoint list that is newer by less than this is not worth a fetch."""
+"""An endpoint list that is newer by less than this is not fetched."""
 
 
 class HeartbeatExchange:
@@ -44,7 +44,7 @@
         leadership: Leadership,
         member_flags: Callable[[], int],
     ) -> None:
-        """Join the parts that a heartbeat reports on; `member_flags` returns this node's own flags."""
+        """Create an exchange that has sent nothing; `member_flags` returns this node's own flags."""
         self._context = context
         self._topology = topology
         self._local_zones = topology.local_zones()
@@ -57,7 +57,7 @@
         self.seed_nodes = context.settings.seed_nodes
 
     def make_heartbeat(self, is_reply_wanted: bool = False) -> Heartbeat:
-        """Return a heartbeat that reports what is known here now."""
+        """Return a heartbeat with the present state of this node."""
         now = self._context.now()
         return Heartbeat(
             self._membership.encode(now),
@@ -70,7 +70,7 @@
         )
 
     def run(self) -> None:
-        """Send the periodic heartbeat, and set the timer of the next."""
+        """Send the periodic heartbeat, and set the timer for the next one."""
         self._context.reactor.callLater(HEARTBEAT_INTERVAL_S, self.run)
         now = self._context.now()
         self._sequence += 1
@@ -84,11 +84,11 @@
             self._contact_missing(now, live_count)
 
     def refresh_own_row(self, now: float) -> None:
-        """Count one more heartbeat of this node, with its present flags."""
+        """Update this node's row: one more heartbeat, with the present flags."""
         self._membership.record_heartbeat(now, self._member_flags())
 
     def _contact_missing(self, now: float, live_count: int) -> None:
-        """Ask seeds and members that were not heard of lately for a reply."""
+        """Send heartbeats that ask for a reply to seeds and failed members."""
         candidates = {ip_to_int(host) for host, _ in self.seed_nodes} | set(self._membership.unreachable_ips(now))
         if live_count >= FEW_MEMBERS and candidates:
             candidates = {self._context.rng.choice(sorted(candidates))}
@@ -96,7 +96,7 @@
             self._context.send(ip, self.make_heartbeat(is_reply_wanted=True))
 
     def broadcast(self) -> None:
-        """Send a heartbeat to every live member at once: something changed that all should learn of."""
+        """Send a heartbeat to every live member at once, so that all learn of a change quickly."""
         now = self._context.now()
         self.refresh_own_row(now)
         heartbeat = self.make_heartbeat()
@@ -105,9 +105,9 @@
                 self._context.send(member.ip, heartbeat)
 
     def notify_assigned_nodes(self) -> None:
-        """Announce a new control state to the nodes without a disk that this replica is the nearest for.
+        """Announce a new control state to the nodes without a disk whose nearest replica is this node.
 
-        The replicas share out the other nodes among them, so that each node fetches the state over a short link.
+        Each node is assigned to its nearest replica, so that it fetches the state over a short link.
         """
         now = self._context.now()
         replicas = self._membership.alive(now, MemberFlags.HAS_DISK)
@@ -131,13 +131,13 @@
         if heartbeat.wants_reply or has_new_member and self._sequence > 0:
             self._context.send(ip, self.make_heartbeat())
         if self._membership.is_superseded(ip, heartbeat.member_rows):
-            return  # a newer one of this sender is known: this one's endpoint list would seem fresher than it is
+            return  # a newer heartbeat is known: the endpoint list of this one would seem fresher than it is
         self._control_plane.handle_advertised_number(ip, heartbeat.state_number, now)
         self._leadership.observe_leader(heartbeat.leader_term, heartbeat.leader_ip)
         self._compare_endpoint_list(ip, heartbeat, now)
 
     def _compare_endpoint_list(self, ip: int, heartbeat: Heartbeat, now: float) -> None:
-        """Fetch the sender's endpoint list if it is newer, or date ours by it if it is the same."""
+        """Fetch the sender's endpoint list if it is newer; if both lists are equal, adopt its age."""
         list_age_s = heartbeat.endpoints_age_ms / 1000
         if not heartbeat.endpoints_digest or now - list_age_s <= self._endpoints.fetched_at + LIST_AGE_TOLERANCE_S:
             return
--- a/mapleline/balancer/housekeeping.py
+++ b/mapleline/balancer/housekeeping.py
@@ -1,4 +1,4 @@
-"""Periodic upkeep of one node: idle connections, the settings file, and logs of tenants and of refused messages."""
+"""Periodic maintenance of one node: idle connections, the settings file, and logs of tenants and dropped messages."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 SWEEP_INTERVAL_S = 0.5
 IDLE_CONNECTIONS_WITHOUT_CONFIGURATION = 2
 DEFAULT_MAX_CONNECTIONS = 100
-"""Assumed `max_connections` where the configuration has no service."""
-IDLE_SHARE = 3
-"""A third of a service's connections, divided by all nodes, may rest idle at a server."""
+"""Assumed `max_connections` if the configuration has no service."""
+IDLE_SHARE_DIVISOR = 3
+"""The idle connections of all nodes to a server together are at most 1 / `IDLE_SHARE_DIVISOR` of `max_connections`."""
 
 
 class Housekeeping:
-    """Sweeps what grows old."""
+    """Closes idle connections, reloads the settings and writes periodic logs."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         consultation_log: ConsultationLog,
         reload_settings: Callable[[], None],
     ) -> None:
-        """`reload_settings` takes over what has changed in the settings file."""
+        """Create the tasks; `reload_settings` applies changes of the settings file."""
         self._context = context
         self._listeners = listeners
         self._proxy = proxy
@@ -47,7 +47,7 @@
         self._reload_settings = reload_settings
 
     def run(self) -> None:
-        """Sweep once, and set the timer of the next time."""
+        """Run all tasks once, and set the timer for the next run."""
         self._context.reactor.callLater(SWEEP_INTERVAL_S, self.run)
         now = self._context.now()
         for listener in self._listeners:
@@ -57,15 +57,15 @@
         )
         self._reload_settings()
         self._consultation_log.log_if_due(now)
-        refused = self._fence.new_drops()
-        if refused:
-            logger.info("messages refused", extra=refused)
+        drops = self._fence.new_drops()
+        if drops:
+            logger.info("messages refused", extra=drops)
 
     def _max_idle_connections(self) -> int:
-        """Return how many connections to one server may rest idle here."""
+        """Return the maximum number of idle connections of this node to one server."""
         table = self._proxy.table
         if table is None:
             return IDLE_CONNECTIONS_WITHOUT_CONFIGURATION
         limit = min((service.max_connections for service in table.services.values()), default=DEFAULT_MAX_CONNECTIONS)
         node_count = max(1, len(self._context.membership.members))
-        return max(1, limit // (IDLE_SHARE * node_count))
+        return max(1, limit // (IDLE_SHARE_DIVISOR * node_count))
--- a/mapleline/balancer/load_reporter.py
+++ b/mapleline/balancer/load_reporter.py
@@ -1,4 +1,4 @@
-"""Load reports: the nodes of a region know of each other's requests in flight at each server."""
+"""Load reports: the nodes of a region exchange their numbers of requests in flight at each server."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class LoadReporter:
-    """Sends what has changed in this node's load to the other nodes of its region."""
+    """Reports changes of this node's load to the other nodes of its region."""
 
     def __init__(self, context: NodeContext, topology: Topology, proxy: Proxy, fence: Fence) -> None:
-        """`fence` numbers the reports, so that receivers drop one that was overtaken."""
+        """Create a reporter; `fence` numbers the reports, so that receivers drop one that arrives after a newer one."""
         self._context = context
         self._topology = topology
         self._proxy = proxy
         self._fence = fence
 
     def run(self) -> None:
-        """Send a report if the load has changed, and set the timer of the next."""
+        """Send a report if the load has changed, and set the timer for the next run."""
         self._context.reactor.callLater(LOAD_REPORT_INTERVAL_S, self.run)
         load = self._proxy.next_load_report()
         if load is None:
--- a/mapleline/balancer/logs.py
+++ b/mapleline/balancer/logs.py
@@ -1,4 +1,4 @@
-"""The log: one JSON object a line on standard error, each message prefixed with the name of its module.
+"""The log: one JSON object per line on standard error; each message is prefixed with the name of its module.
 
 Modules log through `logging.getLogger(__name__)`, with structured fields in `extra`.
 """
@@ -24,7 +24,7 @@
 
 
 def configure(node_name: str) -> None:
-    """Send the log of the balancer's modules to standard error; each line names the node."""
+    """Write the log of the balancer's modules to standard error; each line names the node."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(PrefixFormatter("%(message)s", timestamp=True, static_fields={"node": node_name}))
     root = logging.getLogger(ROOT_LOGGER)
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -1,4 +1,4 @@
-"""One node of the balancer: joins its parts, starts them, and answers for its readiness and status."""
+"""One node of the balancer: builds its parts, starts them, and reports its readiness and status."""
 
 from __future__ import annotations
 
@@ -46,12 +46,12 @@
 logger = logging.getLogger(__name__)
 
 BODY_MEMORY_BYTES_PER_MB = (1 << 20) // 5
-"""A fifth of the memory is for bodies held in whole; beyond it they are streamed."""
+"""Bytes for buffered bodies per MB of memory: a fifth of it; above that limit bodies are streamed."""
 CONTROL_BUFFERS_KEPT = 4
 READ_LEASE_MARGIN_S = 0.3
-"""The read lease ends this long before `revoke_timeout`, for clocks and ways that differ."""
+"""The read lease ends this long before `revoke_timeout`, to allow for clock drift and network delay."""
 LENIENT_LEASE_FACTOR = 4
-"""How much longer the read lease lasts where `revocation_strict` is false."""
+"""Factor on the read lease if `revocation_strict` is false."""
 CONTROL_BACKLOG = 256
 FRONT_BACKLOG = 1024
 INCARNATIONS_PER_S = 10
@@ -59,10 +59,10 @@
 
 
 class Node:
-    """The parts of one node, joined.
+    """One node and its parts.
 
-    Parts are made in the order in which they draw from the node's random numbers: a simulated day replays exactly only
-    while that order stays.
+    The parts are created in the order in which they draw from the node's random numbers.  The order must not change,
+    because otherwise simulated runs no longer replay exactly.
     """
 
     def __init__(
@@ -75,9 +75,9 @@
         """Build the parts.
 
         Args:
-            reactor: clock, timers and listening sockets.
-            settings: the settings file as it was at the start.
-            environment: datagrams, calls, disk and time of day.
+            reactor: provides the clock, timers and listening sockets.
+            settings: the settings at the start of the process.
+            environment: provides datagrams, calls, the disk and the time of day.
             reload_settings: reads the settings file again.
         """
         self.settings = settings
@@ -113,14 +113,14 @@
     def _make_context(self, reactor: Reactor, settings: Settings, environment: Environment) -> NodeContext:
         rng = random.Random(f"{settings.node_name} {environment.unix_time()}")
         started_at = reactor.seconds()
-        me = Member(
+        local_member = Member(
             ip_to_int(settings.ip_address),
             self.topology.zone_index(settings.zone),
             int(MemberFlags.HAS_DISK) if settings.data_directory else 0,
             incarnation=int(environment.unix_time() * INCARNATIONS_PER_S) & INCARNATION_MASK,
             last_heartbeat=started_at,
         )
-        membership = MembershipTable(me, HEARTBEAT_INTERVAL_S)
+        membership = MembershipTable(local_member, HEARTBEAT_INTERVAL_S)
         return NodeContext(reactor, settings, environment, membership, rng, started_at)
 
     def _make_control_plane(self) -> ControlPlane:
@@ -156,7 +156,7 @@
         )
 
     def _make_drivers(self) -> None:
-        """Build what sets timers and reacts to messages."""
+        """Create the parts that set timers and handle messages."""
         context = self.context
         self.heartbeats = HeartbeatExchange(
             context, self.topology, self.control_plane, self.endpoints, self.leadership, self.member_flags
@@ -188,7 +188,7 @@
     # -- start and end -------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Load the disk's state, open the sockets and start the timers."""
+        """Load the control state from the disk, open the sockets and start the timers."""
         self.control_plane.load()
         self.context.environment.listen(self.fence, self.dispatcher.receive, self.control_plane.handle_call)
         self._listen()
@@ -210,7 +210,7 @@
 
     def _listen(self) -> None:
         addresses = self.settings.listen_addresses
-        pool = BufferPool(max_free=CONTROL_BUFFERS_KEPT)  # without a bound: these requests are small and held in whole
+        pool = BufferPool(max_free=CONTROL_BUFFERS_KEPT)  # no limit: these requests are small and never streamed
         for address, handler in (
             (addresses.ready_addr, self.handle_readiness),
             (addresses.control_addr, self.control.handle_request),
@@ -228,11 +228,11 @@
         self.context.reactor.listenTCP(port, listener, backlog=backlog, interface=host)
 
     def shut_down(self) -> None:
-        """Drain and then end the process (SIGTERM)."""
+        """Drain the node and then end the process (on SIGTERM)."""
         self.shutdown.begin()
 
     def reload_seed_nodes(self) -> None:
-        """Read the settings file again: only the seed nodes may change while a process runs."""
+        """Read the settings file again; of the settings only the seed nodes may change while a process runs."""
         try:
             settings = self._reload_settings()
         except (SettingsError, OSError):
@@ -244,7 +244,7 @@
     # -- readiness and status ------------------------------------------------------------------------------
 
     def can_serve(self) -> bool:
-        """Return whether clients are served: a configuration is known, and was the newest recently enough."""
+        """Return whether clients are served: this node has a configuration and a read lease."""
         return self.proxy.table is not None and self.has_read_lease()
 
     def has_read_lease(self) -> bool:
@@ -254,11 +254,11 @@
         return self.context.now() - self.control_plane.current_as_of() < lease_s - READ_LEASE_MARGIN_S
 
     def is_ready(self) -> bool:
-        """Return whether this node takes new clients."""
+        """Return whether this node accepts new clients."""
         return self.can_serve() and not self.shutdown.is_draining and bool(self.endpoints.instances)
 
     def member_flags(self) -> int:
-        """Return this node's flags as its heartbeats carry them."""
+        """Return this node's flags for its heartbeats."""
         flags = MemberFlags(0)
         if self.is_ready():
             flags |= MemberFlags.READY
@@ -277,7 +277,7 @@
     def status(self) -> dict[str, Any]:
         """Return this node's part of `GET /status`."""
         state = self.control_plane.state
-        # while voters are changing, the next loss may be one too many
+        # During a change of voters the system may not tolerate another loss, so the node does not count as formed.
         is_formed = state is not None and self.control_plane.replica.is_voter and not state.former
         return {
             "node": self.settings.node_name,
@@ -290,9 +290,9 @@
         }
 
     def _home_regions(self, tenant: str) -> list[str] | None:
-        """Return a tenant's home regions by the configuration in force; None if that has no such tenant."""
-        known = self.proxy.table.tenants.get(tenant) if self.proxy.table is not None else None
-        return known.home_regions if known is not None else None
+        """Return a tenant's home regions in the current configuration; None if the tenant is unknown."""
+        found = self.proxy.table.tenants.get(tenant) if self.proxy.table is not None else None
+        return found.home_regions if found is not None else None
 
     # -- callbacks of the parts ----------------------------------------------------------------------------
 
@@ -303,13 +303,13 @@
         self.heartbeats.notify_assigned_nodes()
 
     def _export_endpoints(self) -> EndpointListCopy:
-        """Return the endpoint list for another node."""
+        """Return the endpoint list, to be sent to another node."""
         if not self.endpoints.digest:
             return NO_ENDPOINT_LIST
         return EndpointListCopy(self.endpoints.body, self.endpoints.age_ms(self.context.now()))
 
     def _import_endpoints(self, fetched_at: float, body: bytes) -> None:
-        """Take the endpoint list from another node."""
+        """Adopt the endpoint list of another node if it is newer."""
         if self.endpoints.update_from_peer(fetched_at, body):
             self.proxy.update_endpoints()
 
--- a/mapleline/balancer/process.py
+++ b/mapleline/balancer/process.py
@@ -1,4 +1,4 @@
-"""Entry point of a balancer process: settings file, reactor, log and signals."""
+"""Entry point of a balancer process: loads the settings and sets up reactor, log and signal handlers."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 class SettingsFile:
-    """The settings file that the environment names; it is parsed again only if its text has changed."""
+    """The settings file named by the environment variable; it is parsed again only if its text has changed."""
 
     def __init__(self) -> None:
-        """Read nothing yet."""
+        """Create an object that has not read the file."""
         self._text: str | None = None
         self._settings: Settings | None = None
 
     def load(self) -> Settings:
-        """Return the settings as the file has them now.
+        """Return the current settings of the file.
 
         Raises:
             SettingsError: the variable is not set, or the file's content is not valid.
@@ -49,14 +49,14 @@
 
 
 def main() -> int:
-    """Run one node until it is told to stop; return the exit code."""
+    """Run one node until it is shut down; return the exit code."""
     settings_file = SettingsFile()
     try:
         settings = settings_file.load()
     except (SettingsError, OSError) as error:
         sys.stderr.write(f"mapleline: {error}\n")
         return EXIT_UNUSABLE_SETTINGS
-    from .reactor import install  # only now: unusable settings are reported without a reactor
+    from .reactor import install  # imported late: invalid settings are reported without a reactor
 
     reactor = install()
     configure(settings.node_name)
@@ -82,7 +82,7 @@
 
 
 def _handle_signals(reactor: MonotonicReactor, node: Node) -> None:
-    """SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reads the settings file again."""
+    """Begin a graceful shutdown on SIGTERM and SIGINT; read the settings file again on SIGHUP."""
 
     def on_terminate(*_: object) -> None:
         reactor.callFromThread(node.shut_down)
--- a/mapleline/balancer/reactor.py
+++ b/mapleline/balancer/reactor.py
@@ -1,4 +1,4 @@
-"""The balancer's reactor: the lean epoll reactor with timers on the monotonic clock."""
+"""The balancer's reactor: an epoll reactor with timers on the monotonic clock."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class MonotonicReactor(LeanEPollReactor):
-    """Timers by the monotonic clock: a step of the time of day moves none."""
+    """A reactor whose timers follow the monotonic clock, so that a step of the time of day does not move them."""
 
     seconds = staticmethod(time.monotonic)
 
 
 def install() -> MonotonicReactor:
-    """Make this the process's reactor and return it."""
+    """Create the process's reactor, install it and return it."""
     reactor = MonotonicReactor()  # type: ignore[no-untyped-call]  # Twisted's reactors have no annotations
-    main.installReactor(reactor)  # type: ignore[no-untyped-call]  # nor has this
+    main.installReactor(reactor)  # type: ignore[no-untyped-call]  # Twisted has no annotation here
     return reactor
--- a/mapleline/balancer/routing_table.py
+++ b/mapleline/balancer/routing_table.py
@@ -1,4 +1,4 @@
-"""The routing table: a configuration indexed for the data plane's look-ups."""
+"""The routing table: a configuration with indexes for the data plane's look-ups."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RouteMatch(NamedTuple):
-    """A route of one host and the path prefix that selects it."""
+    """A route of a host, with its path prefix."""
 
     path_prefix: str
     route: Route
@@ -19,7 +19,12 @@
     """One version of the configuration, indexed by host and by API key.
 
     Attributes:
-        homes: By service, the regions that some of its requests may not leave (rule HOME).
+        config: The configuration.
+        version: Its version.
+        limits: Its limits for clients.
+        services: Its services by name.
+        tenants: Its tenants by name.
+        homes: Service -> home regions of its routes, which their requests may not leave (rule HOME).
     """
 
     def __init__(self, config: Configuration) -> None:
@@ -34,13 +39,13 @@
         self._tenant_by_key = {key: name for name, tenant in self.tenants.items() for key in tenant.api_keys}
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route of the host with the longest prefix of the path; `host` may end in a port."""
+        """Return the host's route with the longest matching path prefix; `host` may end in a port."""
         host_without_port = host.rpartition(":")[0]
         matches = self._matches_by_host.get(host) or self._matches_by_host.get(host_without_port) or []
         return next((match.route for match in matches if path.startswith(match.path_prefix)), None)
 
     def owner(self, authorization: str) -> str | None:
-        """Return the tenant whose key an `Authorization` header carries as a bearer token (RFC 6750)."""
+        """Return the tenant whose API key is the bearer token (RFC 6750) of an `Authorization` header."""
         scheme, _, key = authorization.partition(" ")
         return self._tenant_by_key.get(key.strip()) if scheme.lower() == "bearer" else None
 
@@ -54,9 +59,11 @@
 
 
 def _matches_by_host(config: Configuration) -> dict[str, list[RouteMatch]]:
-    """Return the routes of each host in lower case, the longest prefix first."""
-    hosts: dict[str, list[RouteMatch]] = {}
+    """Return the routes by host in lower case, the longest prefix first."""
+    matches_by_host: dict[str, list[RouteMatch]] = {}
     for route in config.route_table.values():
         match = RouteMatch(route.path_prefix, route)
-        hosts.setdefault(route.host_name.lower(), []).append(match)
-    return {host: sorted(matches, key=lambda match: -len(match.path_prefix)) for host, matches in hosts.items()}
+        matches_by_host.setdefault(route.host_name.lower(), []).append(match)
+    return {
+        host: sorted(matches, key=lambda match: -len(match.path_prefix)) for host, matches in matches_by_host.items()
+    }
--- a/mapleline/balancer/settings.py
+++ b/mapleline/balancer/settings.py
@@ -1,6 +1,6 @@
 """The settings of one process: a file of `key.subkey=value` lines, parsed and validated.
 
-The platform writes the file and names it in `MAPLELINE_CONFIG` (DEPLOY.md, the settings file); unknown keys are
+The platform writes the file and sets its path in `MAPLELINE_CONFIG` (DEPLOY.md, the settings file).  Unknown keys are
 ignored.  Field names are the file's keys.  Class names are part of pydantic's error texts, which operators see.
 """
 
@@ -17,16 +17,16 @@
 MS_PER_S = 1000
 MAX_PORT = 65535
 
-#: Keys whose value is a list, separated by commas (DEPLOY.md).
+#: Keys whose value is a comma-separated list (DEPLOY.md).
 LIST_KEYS = frozenset(
     {"served_roles", "seed_nodes", "active_contracts", "protocol_bounds", "internal_port_range", "cloud_api.duty_list"}
 )
-#: The list key whose entries are `name=value` pairs themselves.
+#: The list key whose entries are `name=value` pairs.
 TABLE_KEY = "protocol_bounds"
 
 
 class SettingsError(InvalidInputError):
-    """A settings file that the program cannot start from."""
+    """The settings file is invalid, or is not named."""
 
 
 def parse_duration(value: object) -> float:
@@ -36,7 +36,7 @@
         The duration in seconds.
 
     Raises:
-        ValueError: The value is anything else.
+        ValueError: The value is not a duration.
     """
     match = DURATION.fullmatch(value) if isinstance(value, str) else None
     if match is None:
@@ -52,7 +52,7 @@
         Host and port.
 
     Raises:
-        ValueError: The value is anything else, or the port is 0 or above 65535.
+        ValueError: The value is not an address, or the port is 0 or above 65535.
     """
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
@@ -65,13 +65,13 @@
 
 
 class SettingsSection(BaseModel):
-    """Base of the file's sections: immutable, unknown keys ignored."""
+    """Base class of the file's sections: immutable, unknown keys ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
 class Listen(SettingsSection):
-    """The addresses that this process listens on; None for what it does not serve."""
+    """The addresses that this process listens on; None for a service that it does not offer."""
 
     front_addr: Address | None = None
     ready_addr: Address | None = None
@@ -80,7 +80,7 @@
 
 
 class Limits(SettingsSection):
-    """Resources of the machine: memory and disk in MB (2^20 bytes), file descriptors by count."""
+    """Resources of the machine: memory and disk in MB (2^20 bytes), and the number of file descriptors."""
 
     memory_mb: int = 300
     max_file_descriptors: int = 4100
@@ -88,14 +88,14 @@
 
 
 class Tolerance(SettingsSection):
-    """Simultaneous losses that the control replicas have to survive: machines, and whole zones."""
+    """Numbers of machines and of whole zones that may fail at once without loss of the control state."""
 
     machine_losses: int = 1
     zones: int = 0
 
 
 class Cloud(SettingsSection):
-    """The platform's API: its address, requests a second for all nodes together, and how stale a list may be (s)."""
+    """The platform's API: its address, requests per second of all nodes together, and the maximum lag of a list (s)."""
 
     address: Address
     rate_per_s: float = Field(gt=0)
@@ -103,7 +103,7 @@
 
 
 class Bounds(SettingsSection):
-    """The bounds of the rules in force (PROTOCOL.md, bounds).
+    """The bounds of the rules (PROTOCOL.md, bounds).
 
     Durations are in seconds, `*_ratio` and `*_overshoot` are factors, `*_slack` counts requests.
     """
@@ -129,7 +129,7 @@
 
 
 class Settings(SettingsSection):
-    """A complete settings file; `zones` maps each zone to its region, `heartbeat_interval` is in seconds."""
+    """All settings; `zones` maps each zone to its region, and `heartbeat_interval` is in seconds."""
 
     node_name: str
     ip_address: str
@@ -153,7 +153,7 @@
     """Parse and validate a settings file.
 
     Raises:
-        SettingsError: The text breaks a rule; only the first fault is reported.
+        SettingsError: The text is invalid; only the first fault is reported.
     """
     try:
         return Settings.model_validate(parse_lines(text))
@@ -166,10 +166,10 @@
 def parse_lines(text: str) -> dict[str, Any]:
     """Return the lines of a settings file as nested tables of strings, lists of strings and tables.
 
-    Blank lines and lines that begin with `#` are skipped; a key that comes again replaces the earlier value.
+    Blank lines and lines that begin with `#` are skipped.  Of repeated keys the last one counts.
 
     Raises:
-        SettingsError: A line has no `=`, or a key lies under one that has a value.
+        SettingsError: A line has no `=`, or the parent of a key has a value itself.
     """
     settings: dict[str, Any] = {}
     for number, raw_line in enumerate(text.splitlines(), 1):
--- a/mapleline/balancer/topology.py
+++ b/mapleline/balancer/topology.py
@@ -1,4 +1,4 @@
-"""Zones and regions as one node sees them, and how far apart two members are (pure)."""
+"""The zones and regions of the system, and the distance between two members (pure)."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
         return cls(sorted(settings.zones), settings.zones, settings.region)
 
     def zone_index(self, zone: str) -> int:
-        """Return the number by which members name this zone."""
+        """Return the index that stands for this zone in members."""
         return self.zone_names.index(zone)
 
     def local_zones(self) -> set[int]:
-        """Return the numbers of the zones in this node's region."""
+        """Return the indexes of the zones in this node's region."""
         return {index for index, zone in enumerate(self.zone_names) if self.region_by_zone[zone] == self.region}
 
     def is_local(self, member: Member) -> bool:
@@ -37,9 +37,9 @@
         return self.region_by_zone[self.zone_names[member.zone]] == self.region
 
     def distance(self, member: Member, other: Member) -> tuple[bool, bool, int]:
-        """Return a sort key for how far the two are apart: region, then zone, then by the hash ring.
+        """Return the distance of two members as a sort key: other region, other zone, distance on the hash ring.
 
-        The last part spreads members at the same distance evenly.
+        The last part spreads load evenly over members in the same zone or region.
         """
         zone, other_zone = self.zone_names[member.zone], self.zone_names[other.zone]
         is_other_region = self.region_by_zone[zone] != self.region_by_zone[other_zone]
--- a/tests/balancer/input_samples.py
+++ b/tests/balancer/input_samples.py
@@ -1,4 +1,4 @@
-"""A settings file and a configuration that are valid, for tests to change."""
+"""A valid settings file and a valid configuration, which tests modify."""
 
 import json
 
@@ -21,7 +21,10 @@
 
 
 def configuration_json(**changes):
-    """A configuration as the operator sends it; `r2` changes fields of that route, other names replace whole tables."""
+    """Return a configuration as the operator sends it.
+
+    The argument `r2` updates fields of that route; other arguments replace whole tables.
+    """
     route = {
         "host_name": "a.example",
         "path_prefix": "/one/",
--- a/tests/balancer/test_configuration.py
+++ b/tests/balancer/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations: which key an error names."""
+"""Invalid configurations: the error must name the key at fault."""
 
 import unittest
 
--- a/tests/balancer/test_dispatcher.py
+++ b/tests/balancer/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Each kind of datagram reaches the part that handles it."""
+"""Each type of datagram must reach the part that handles it, also a type added later."""
 
 import typing
 import unittest
@@ -16,14 +16,14 @@
         self.receivers = DatagramReceivers(*(mock.Mock() for _ in range(6)))
         self.dispatcher = DatagramDispatcher(self.context, self.fence, self.receivers)
 
-    def test_every_kind_of_datagram_has_a_handler(self):
+    def test_every_type_of_datagram_has_a_handler(self):
         handlers = self.dispatcher._handlers
-        for kind in typing.get_args(messages.Datagram):
-            with self.subTest(kind.__name__):
-                self.assertIn(kind, handlers)
+        for message_type in typing.get_args(messages.Datagram):
+            with self.subTest(message_type.__name__):
+                self.assertIn(message_type, handlers)
         self.assertEqual(len(handlers), len(typing.get_args(messages.Datagram)))
 
-    def test_a_load_report_that_was_overtaken_is_dropped(self):
+    def test_a_load_report_after_a_newer_one_is_dropped(self):
         report = messages.LoadReport({7: 3}, {}, 1)
         for is_newest in (False, True):
             self.fence.accept_sequence.return_value = is_newest
--- a/tests/balancer/test_process.py
+++ b/tests/balancer/test_process.py
@@ -1,4 +1,4 @@
-"""The settings file of a process."""
+"""A process must notice changes of its settings file, and survive a reload signal while it starts."""
 
 import os
 import signal
@@ -32,7 +32,7 @@
         self.path.write_text(settings_text("z2", Path("/data"), is_initial=True))
         self.assertEqual((settings.node_name, self.file.load().node_name), ("try-z1", "try-z2"))
 
-    def test_an_invalid_text_is_a_fault_until_it_is_mended(self):
+    def test_an_invalid_text_raises_until_it_is_corrected(self):
         text = self.path.read_text()
         settings = self.file.load()
         self.path.write_text("node_name=")
@@ -42,7 +42,7 @@
         self.path.write_text(text)
         self.assertIs(self.file.load(), settings)
 
-    def test_without_the_variable_it_says_what_the_variable_names(self):
+    def test_without_the_variable_the_error_names_it(self):
         del os.environ[process.SETTINGS_VARIABLE]
         with self.assertRaisesRegex(SettingsError, "MAPLELINE_CONFIG: not set"):
             self.file.load()
--- a/tests/balancer/test_routing_table.py
+++ b/tests/balancer/test_routing_table.py
@@ -1,4 +1,4 @@
-"""Look-ups of the routing table."""
+"""The routing table must find the right route of a request and the right tenant of a key."""
 
 import unittest
 
--- a/tests/balancer/test_settings.py
+++ b/tests/balancer/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: what is parsed from them, and which key an error names."""
+"""Settings files: values must be parsed with their units, and an error must name the key at fault."""
 
 import unittest
 
@@ -24,7 +24,7 @@
                 parse_settings(SETTINGS + line + "\n")
             self.assertIn(key, str(caught.exception))
 
-    def test_an_error_has_key_and_problem_apart(self):
+    def test_an_error_has_separate_key_and_problem(self):
         for line, key, problem in (
             ("protocol_bounds=contact_window=4", "protocol_bounds.contact_window", "'4' is no time"),
             ("ip_address", "line 15", "no '=' in 'ip_address'"),
--- a/tests/balancer/test_topology.py
+++ b/tests/balancer/test_topology.py
@@ -1,4 +1,4 @@
-"""How far apart members are, by region, zone and ring position."""
+"""Members of the own zone must count as nearest, then those of the region."""
 
 import unittest
 
@@ -15,7 +15,7 @@
         self.assertTrue(self.topology.is_local(Member(1, self.topology.zone_index("b"), 0)))
         self.assertFalse(self.topology.is_local(Member(1, self.topology.zone_index("c"), 0)))
 
-    def test_distance_orders_by_zone_then_region_then_ring_position(self):
+    def test_distance_orders_by_region_then_zone_then_ring_position(self):
         member = Member(1, 0, 0)
         same_zone, same_region, other_region = Member(2, 0, 0), Member(3, 1, 0), Member(4, 2, 0)
         members = [other_region, same_region, same_zone]
--- a/tests/balancer/transport/test_fencing_of_nodes.py
+++ b/tests/balancer/transport/test_fencing_of_nodes.py
@@ -61,7 +61,7 @@
         ):  # either of the two defences is enough
             self.assertGreater(fetched(), 1.0)
 
-    def test_a_load_report_that_was_overtaken_is_dropped(self):
+    def test_a_load_report_after_a_newer_one_is_dropped(self):
         def reported():
             sender, receiver = [m for m in self.world().machines.values() if m.zone == "a1"]
             for report in (LoadReport({7: 3}, {}, 1), LoadReport({7: 5}, {}, 2), LoadReport({7: 3}, {}, 1)):
