--- a/mapleline/balancer/settings.py
+++ b/mapleline/balancer/settings.py
@@ -40,7 +40,7 @@
     """
     match = DURATION.fullmatch(value) if isinstance(value, str) else None
     if match is None:
-        raise ValueError(f"{value!r} is no time: a number and ms or s")
+        raise ValueError(f"{value!r} is not a duration: expected a number followed by ms or s")
     number, unit = match.groups()
     return float(number) / (MS_PER_S if unit == "ms" else 1)
 
@@ -56,7 +56,7 @@
     """
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"{value!r} is no address: host:port")
+        raise ValueError(f"{value!r} is not an address: expected host:port")
     return host, int(port)
 
 
--- a/tests/balancer/cli/test_operator_client.py
+++ b/tests/balancer/cli/test_operator_client.py
@@ -98,4 +98,4 @@
 
     def test_without_an_address_nothing_is_asked(self):
         self.assertEqual(ask(",", "GET", "/status").error, "no address")
-        self.assertIn("--at: 'nonsense' is no address", ask("nonsense", "GET", "/status").error)
+        self.assertIn("--at: 'nonsense' is not an address", ask("nonsense", "GET", "/status").error)
--- a/tests/balancer/test_settings.py
+++ b/tests/balancer/test_settings.py
@@ -26,7 +26,7 @@
 
     def test_an_error_has_separate_key_and_problem(self):
         for line, key, problem in (
-            ("protocol_bounds=contact_window=4", "protocol_bounds.contact_window", "'4' is no time"),
+            ("protocol_bounds=contact_window=4", "protocol_bounds.contact_window", "'4' is not a duration"),
             ("ip_address", "line 15", "no '=' in 'ip_address'"),
             ("node_name.x=1", "line 15", "node_name.x: node_name has a value already"),
         ):
