--- a/mapleline/balancer/cli/commands.py
+++ b/mapleline/balancer/cli/commands.py
@@ -1,7 +1,7 @@
-"""The balancer's commands: its role, the operator's calls, and work on a stopped machine's folder.
+"""The balancer's command line: running a node, the operator's calls, and access to a stopped machine's data folder.
 
-Each class is a command for `cappa`: its fields are the arguments, and calling it runs the command.  What takes long to
-import is imported when the command runs.
+Each class is a command of `cappa`: its fields are the arguments, and calling it runs the command.  Modules that are
+slow to import are imported only when their command runs.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from expression import Error, Ok, Result
 
 from . import data_folder, file_checks
-from .operator_client import ask, rollback
+from .operator_client import call_any_address, rollback
 
 ACKNOWLEDGED = "acknowledged"
 EXIT_FAULT = 1
@@ -30,10 +30,11 @@
 def print_result(result: Result[str, str], end: str = "\n") -> None:
     """Print a result on standard output, or its fault in one line on standard error.
 
-    A configuration goes out as it was sent, to the byte (`end` empty): only so is it the same when it is sent again.
+    A configuration is printed with an empty `end`, byte for byte as it was sent, so that it is the same configuration
+    when it is sent again.
 
     Raises:
-        cappa.Exit: with status 1, for a fault.
+        cappa.Exit: with status 1, if the result is a fault.
     """
     match result:
         case Result(tag="ok", ok=text):
@@ -44,21 +45,21 @@
 
 
 def read_file(path: Path) -> Result[bytes, str]:
-    """Return a file's content, or why it cannot be read."""
+    """Return a file's content, or the reason why it cannot be read."""
     try:
         return Ok(path.read_bytes())
     except OSError as error:
         return Error(f"{path}: {error.strerror}")
 
 
-def send_order(addresses: str, path: str, body: bytes = b"") -> Result[str, str]:
-    """Send an order of the operator; return that it was acknowledged, or why it was not."""
-    return ask(addresses, "POST", path, body).map(lambda _: ACKNOWLEDGED)
+def send_operator_command(addresses: str, path: str, body: bytes = b"") -> Result[str, str]:
+    """Send a command of the operator; return `ACKNOWLEDGED`, or the reason why it was not acknowledged."""
+    return call_any_address(addresses, "POST", path, body).map(lambda _: ACKNOWLEDGED)
 
 
 @cappa.command(
     name="balancer",
-    aliases=[cappa.Alias("desk", hidden=True)],  # the role's first name, which start scripts may still have
+    aliases=[cappa.Alias("desk", hidden=True)],  # the former name of the role, which start scripts may still use
     help="The role of every machine: data plane, and a control replica where there is a disk",
 )
 @dataclass
@@ -66,7 +67,7 @@
     """Run one node."""
 
     def __call__(self) -> None:
-        """Run until told to stop."""
+        """Run the node until it is shut down."""
         from ..process import main
 
         raise cappa.Exit(code=main())
@@ -110,7 +111,7 @@
         """Check the configuration, and send it."""
         body = read_file(self.file)
         print_result(body.bind(file_checks.check_config))
-        print_result(body.bind(lambda content: send_order(self.at, "/config/replace", content)))
+        print_result(body.bind(lambda content: send_operator_command(self.at, "/config/replace", content)))
 
 
 @cappa.command(name="read", help="The newest configuration, or an earlier one")
@@ -124,13 +125,13 @@
     def __call__(self) -> None:
         """Print the configuration as it was sent."""
         path = "/config/read" if self.version is None else f"/config/history/{self.version}"
-        print_result(ask(self.at, "GET", path), end="")
+        print_result(call_any_address(self.at, "GET", path), end="")
 
 
 @cappa.command(name="history", help="What came into force, and which commands were answered, newest first")
 @dataclass
 class ConfigHistoryCommand:
-    """Read the history of configurations and orders."""
+    """Read the history of configurations and commands."""
 
     at: Addresses
     json: AsJson = False
@@ -139,7 +140,7 @@
         """Print the history."""
         from .tables import history_tables
 
-        history = ask(self.at, "GET", "/config/history")
+        history = call_any_address(self.at, "GET", "/config/history")
         print_result(history if self.json else history.map(history_tables))
 
 
@@ -176,8 +177,8 @@
     at: Addresses
 
     def __call__(self) -> None:
-        """Send the order."""
-        print_result(send_order(self.at, f"/evacuations/{self.zone}/{self.order}"))
+        """Send the command."""
+        print_result(send_operator_command(self.at, f"/evacuations/{self.zone}/{self.order}"))
 
 
 @cappa.command(name="forget", help="Remove a control replica for good; it must be stopped")
@@ -189,8 +190,8 @@
     at: Addresses
 
     def __call__(self) -> None:
-        """Send the order."""
-        print_result(send_order(self.at, f"/core/{self.address}/forget"))
+        """Send the command."""
+        print_result(send_operator_command(self.at, f"/core/{self.address}/forget"))
 
 
 @cappa.command(name="core", help="The control replicas: machines with a disk that decide by majority")
@@ -213,7 +214,7 @@
         """Print the status."""
         from .tables import status_tables
 
-        status = ask(self.at, "GET", "/status")
+        status = call_any_address(self.at, "GET", "/status")
         print_result(status.map(_indent_json if self.json else status_tables))
 
 
@@ -282,7 +283,7 @@
     )
 
     def __call__(self) -> None:
-        """Run until interrupted, or through the check."""
+        """Run the cluster until interrupted, or run the check."""
         from .trial.command import run
 
         print_result(run(self.check))
@@ -291,7 +292,7 @@
 @cappa.command(name="soak", help="Many node processes on loopback under load, faults and changes, judged from outside")
 @dataclass
 class SoakCommand:
-    """Run soaks by seeds."""
+    """Run soak tests, one per seed."""
 
     seed: Annotated[int, cappa.Arg(long="--seed", help="the first one")] = 1
     seeds: Annotated[int, cappa.Arg(long="--seeds", help="how many, one after the other")] = 1
@@ -302,7 +303,7 @@
     logs: Annotated[Path | None, cappa.Arg(long="--logs", help="a folder where logs and data are kept")] = None
 
     def __call__(self) -> None:
-        """Print a line a seed, and the broken rules."""
+        """Print one line per seed, and the violated rules."""
         from ...soak.command import run_seeds
         from ...soak.runner import SoakOptions, node_command
 
@@ -329,7 +330,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run a command; return 0 (done), 1 (a fault, told in one line) or 2 (wrong use)."""
+    """Run a command; return 0 (success), 1 (a fault, printed in one line) or 2 (wrong usage)."""
     try:
         cappa.invoke(BalancerCli, argv=arguments)
     except SystemExit as end:
--- a/mapleline/balancer/cli/data_folder.py
+++ b/mapleline/balancer/cli/data_folder.py
@@ -1,6 +1,7 @@
-"""The control state in a stopped machine's data folder: check, dump and restore.
+"""Check, dump and restore of the control state in a stopped machine's data folder.
 
-Folders of the earlier format are read as well, for what they hold has to be sent anew (docs/balancer/control-plane.md).
+Folders of the earlier format are read too, because their configuration has to be sent again
+(docs/balancer/control-plane.md).
 """
 
 from __future__ import annotations
@@ -27,22 +28,22 @@
 
 
 class DumpError(Exception):
-    """A dump that cannot be restored; the text says why."""
+    """The dump cannot be restored; the text gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredReplica:
-    """What a replica's folder holds: its record, and the configurations it names by digest."""
+    """The content of a replica's folder: its record, and the bodies of the record's configurations by digest."""
 
     record: Record
     contents: dict[int, bytes]
 
     def committed_state(self) -> State | None:
-        """Return the state that the replica knows to be chosen."""
+        """Return the newest state that the replica knows to be chosen."""
         return Acceptor(self.record).chosen_state
 
     def summary(self) -> str:
-        """Return one line on what it holds."""
+        """Return a description of the content in one line."""
         state = self.committed_state()
         if state is None:
             return "a replica that knows of no state yet"
@@ -57,7 +58,7 @@
 
 
 def check_archive(folder: Path) -> Result[str, str]:
-    """Read every file of a data folder; return a summary, or which files cannot be used."""
+    """Read every file of a data folder; return a summary, or the faults of unusable files."""
 
     def check(legacy: LegacyFolder | None) -> Result[str, str]:
         if legacy is None:
@@ -67,8 +68,8 @@
                 f"{folder}: {_legacy_summary(legacy)}; it is no part of the present one: `config put` what "
                 "`archive dump --config` gives"
             )
-        put_aside = f"beside it {migration.LEGACY_FOLDER}, {_legacy_summary(legacy)}"
-        return _load(folder).map(lambda stored: f"{stored.summary()}; {put_aside}")
+        legacy_note = f"beside it {migration.LEGACY_FOLDER}, {_legacy_summary(legacy)}"
+        return _load(folder).map(lambda stored: f"{stored.summary()}; {legacy_note}")
 
     return _load_legacy(folder).bind(check)
 
@@ -79,7 +80,7 @@
 
 
 def dump_config(folder: Path) -> Result[str, str]:
-    """Return the configuration as it was sent, for `config put`."""
+    """Return the configuration as it was sent, ready for `config put`."""
 
     def current(state: State, contents: dict[int, bytes]) -> str | None:
         return contents[state.config.digest].decode() if state.config is not None else None
@@ -91,10 +92,9 @@
 
 
 def restore_archive(folder: Path, dump: bytes) -> Result[str, str]:
-    """Write a dump into a data folder that holds nothing.
+    """Write a dump into an empty data folder.
 
-    The disk gets an identity of its own and no vote: the machine asks the others first, and is let in like any that
-    came back empty.
+    The disk gets a new identity and no vote: the voters have to admit the machine like one whose disk was lost.
     """
     try:
         state, contents = _parse_dump(dump)
@@ -117,7 +117,7 @@
 
 
 def _load(folder: Path) -> Result[StoredReplica, str]:
-    """Read what a folder holds; nothing in it is changed."""
+    """Read the content of a folder without changing it."""
     if not (folder / FOLDER).is_dir():
         return Error(f"{folder}: holds no control state")
     try:
@@ -132,7 +132,7 @@
 
 
 def _load_legacy(folder: Path) -> Result[LegacyFolder | None, str]:
-    """Read what a folder holds of the earlier format, in use or put aside."""
+    """Read the files of the earlier format, whether in use or put aside; None if there are none."""
     try:
         return Ok(migration.load_legacy(folder))
     except LegacyFormatError as error:
@@ -156,9 +156,9 @@
     from_current: Callable[[State, dict[int, bytes]], str | None],
     from_legacy: Callable[[LegacyFolder], str | None],
 ) -> Result[str, str]:
-    """Read from the present format, or from the earlier one where the present one has nothing of that.
+    """Read from the present format, or from the earlier one if the present one has no such content.
 
-    The earlier format does not stand in for a present folder with a torn file.
+    A fault in the files of the present format is reported, even if there are files of the earlier format.
     """
 
     def read(legacy: LegacyFolder | None) -> Result[str, str]:
@@ -203,10 +203,10 @@
 
 
 def _parse_dump(text: bytes) -> tuple[State, dict[int, bytes]]:
-    """Return a dump's state and contents.
+    """Return a dump's state, and the bodies of configurations by digest.
 
     Raises:
-        DumpError: it is of the earlier format, torn, or another program's.
+        DumpError: The text is a dump of the earlier format, truncated, or not a dump.
     """
     try:
         dump: dict[str, Any] = json.loads(text)
--- a/mapleline/balancer/cli/file_checks.py
+++ b/mapleline/balancer/cli/file_checks.py
@@ -1,4 +1,4 @@
-"""Checks of settings files and configurations, as a process would read them."""
+"""Checks of settings files and configurations, with the parsers that a process uses."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def _home_warnings(configuration: Configuration) -> list[str]:
-    """Return a warning for each tenant that has no home region in common with a route's."""
+    """Return a warning for each tenant that has no home region in common with some routes."""
     warnings = []
     for tenant, entry in configuration.tenant_table.items():
         homes = set(entry.home_regions)
--- a/mapleline/balancer/cli/operator_client.py
+++ b/mapleline/balancer/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""The operator's calls from the command line: from one ingress to the next until one answers."""
+"""HTTP client for the operator's calls: tries one ingress after the other until one gives a final answer."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 TIMEOUT_S = 8.0
 MAX_REDIRECTS = 2
-"""How often a 307 is followed for one address (PROTOCOL.md, callers of `control_plane`)."""
+"""Maximum number of 307 redirects followed per address (PROTOCOL.md, callers of `control_plane`)."""
 NO_ANSWER = 0
-"""In place of an HTTP status, where the connection failed."""
+"""Stands for an HTTP status if the connection failed."""
 NOT_SENT = -1
-"""In place of an HTTP status, where no address was given."""
+"""Stands for an HTTP status if no address was given."""
 REDIRECT_SCHEME = "http://"
 RETRYABLE_CLIENT_ERRORS = (408, 429)
 UNCERTAIN = "it may be in force or not: send the same again, unchanged, to any ingress; twice is once"
@@ -33,28 +33,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What one ingress answered; `NO_ANSWER` and the reason where there is none."""
+    """The answer of one ingress; if there is none, `NO_ANSWER` and the reason."""
 
     status: int
     text: str
     location: str = ""
 
     def is_success(self) -> bool:
-        """Return whether the call was done."""
+        """Return whether the call succeeded."""
         return 200 <= self.status < 300
 
     def is_redirect(self) -> bool:
-        """Return whether another ingress is named."""
+        """Return whether the answer redirects to another ingress."""
         return self.status == 307 and self.location.startswith(REDIRECT_SCHEME)
 
     def is_rejection(self) -> bool:
-        """Return whether any other ingress would answer the same."""
+        """Return whether the answer is a rejection that every other ingress would give too."""
         return 400 <= self.status < 500 and self.status not in RETRYABLE_CLIENT_ERRORS
 
 
 @dataclass(frozen=True, slots=True)
 class CallFailure:
-    """Why a call was not done: the last answer, and the address that gave it."""
+    """The reason why a call failed: the last answer, and the address that gave it."""
 
     call: Call
     status: int
@@ -62,18 +62,18 @@
 
     @classmethod
     def from_answer(cls, call: Call, address: str, answer: Answer) -> CallFailure:
-        """Describe an answer that is no success."""
+        """Create the failure for an unsuccessful answer."""
         if answer.status == NO_ANSWER:
             return cls(call, NO_ANSWER, f"{address}: {answer.text}")
         text = " ".join(answer.text.split())
         return cls(call, answer.status, f"{address}: {answer.status} {text}".strip())
 
     def message(self) -> str:
-        """Return the reason and what to do, in one line."""
+        """Return the reason and advice for the operator, in one line."""
         return "; ".join(filter(None, (self.reason, self._advice())))
 
     def _advice(self) -> str:
-        """Return what the status means for this call, and what is to be done."""
+        """Return the meaning of the status for this call, and what the operator can do."""
         match self.call.method, self.call.path, self.status:
             case "POST", "/config/replace", 409:
                 return (
@@ -95,18 +95,18 @@
         return ""
 
 
-def ask(addresses: str, method: str, path: str, body: bytes = b"") -> Result[str, str]:
-    """Send a call to each address in turn until one answers clearly.
+def call_any_address(addresses: str, method: str, path: str, body: bytes = b"") -> Result[str, str]:
+    """Send a call to each address in turn until one gives a final answer.
 
     Args:
-        addresses: control addresses, host:port, commas between them.
+        addresses: control addresses as host:port, separated by commas.
         method: the HTTP method.
-        path: the call's path.
-        body: the request's body.
+        path: the path of the call.
+        body: the body of the request.
 
     Returns:
-        The body of a 2xx, or why there is none and what to do, in one line.  A 4xx is a clear answer, apart from 408
-        and 429; after anything else the next address is asked.
+        The body of a 2xx answer, or the reason of the failure and advice, in one line.  Final answers are 2xx, and 4xx
+        apart from 408 and 429; after any other the next address is tried.
     """
     call = Call(method, path, body)
     failure = CallFailure(call, NOT_SENT, "no address")
@@ -152,19 +152,19 @@
     """Send an earlier configuration again, as the version after the newest.
 
     Returns:
-        A sentence with the new version's number, or why it is not in force.
+        A sentence with the new version's number, or the reason why it is not in force.
     """
 
     def replace(earlier: str, newest: str) -> Result[str, str]:
         configuration = json.loads(earlier)
         new_version = json.loads(newest)["config_version"] + 1
         configuration["config_version"] = new_version
-        sent = ask(addresses, "POST", "/config/replace", json.dumps(configuration).encode())
+        sent = call_any_address(addresses, "POST", "/config/replace", json.dumps(configuration).encode())
         return sent.map(lambda _: f"version {version} is in force again as {new_version}")
 
-    earlier = ask(addresses, "GET", f"/config/history/{version}")
+    earlier = call_any_address(addresses, "GET", f"/config/history/{version}")
     return earlier.bind(
-        lambda earlier_body: ask(addresses, "GET", "/config/read").bind(
+        lambda earlier_body: call_any_address(addresses, "GET", "/config/read").bind(
             lambda newest_body: replace(earlier_body, newest_body)
         )
     )
--- a/mapleline/balancer/cli/tables.py
+++ b/mapleline/balancer/cli/tables.py
@@ -1,4 +1,4 @@
-"""Tables for people: an ingress's status, and the history of configurations and orders."""
+"""Text tables of an ingress's status, and of the history of configurations and commands."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def _with_time(row: dict[str, Any]) -> dict[str, Any]:
-    """Return the row with its time of day in place of seconds since 1970."""
+    """Return the row with its time as UTC date and time instead of seconds since 1970."""
     return {**row, "at": datetime.fromtimestamp(row["at"], UTC).isoformat(" ", "milliseconds")}
 
 
--- a/mapleline/balancer/cli/trial/checks.py
+++ b/mapleline/balancer/cli/trial/checks.py
@@ -1,4 +1,4 @@
-"""The steps of `mapleline try --check`, in their order."""
+"""The steps of `mapleline try --check`, in order."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 from .cluster import TrialCluster, wait_until
 from .layout import JOINING_NODE
-from .scenario import FROZEN_PREFIX, RIVAL_ROUNDS, Scenario, ScenarioError, tear_content_file
+from .scenario import COMPETING_ROUNDS, FROZEN_PREFIX, Scenario, ScenarioError, tear_content_file
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """An action, and the condition that has to hold after it, within a time."""
+    """An action, and a condition that has to hold within `WAIT_S` after it."""
 
     title: str
     condition: Callable[[], bool]
     action: Callable[[], object] | None = None
 
     def run(self) -> str | None:
-        """Return what was not seen, or None."""
+        """Run the step; return its fault, or None."""
         try:
             if self.action is not None:
                 self.action()
@@ -31,11 +31,11 @@
 
 
 def run_checks(cluster: TrialCluster, report: Callable[[str], None]) -> str | None:
-    """Run each step in its turn, and report how long it took; return what was not seen, or None."""
+    """Run the steps in order and report the duration of each; return the first fault, or None."""
     scenario = Scenario(cluster)
     for step in (
         *_service_steps(scenario, cluster),
-        *_order_steps(scenario),
+        *_command_steps(scenario),
         *_disk_steps(scenario),
         *_freeze_steps(scenario),
         *_membership_steps(scenario, cluster),
@@ -72,11 +72,14 @@
     ]
 
 
-def _order_steps(scenario: Scenario) -> list[Step]:
+def _command_steps(scenario: Scenario) -> list[Step]:
     return [
         Step("the first version is put in force again", lambda: scenario.roll_back(1)),
         Step("every node serves by that", lambda: scenario.is_served_by_all("/slots/x", "r")),
-        Step(f"of two rivals one is acknowledged and one rejected, {RIVAL_ROUNDS} times", scenario.play_rivals),
+        Step(
+            f"of two rivals one is acknowledged and one rejected, {COMPETING_ROUNDS} times",
+            scenario.send_competing_configurations,
+        ),
         Step("a command whose answer was lost is acknowledged by another node", scenario.repeat_after_lost_answer),
         Step("the newest again is acknowledged everywhere", scenario.is_newest_confirmed_again),
         Step("another content under its version is rejected everywhere", scenario.is_other_content_refused),
@@ -104,8 +107,8 @@
 
 def _freeze_steps(scenario: Scenario) -> list[Step]:
     return [
-        Step("a machine is frozen, commands go on", scenario.order_while_frozen, action=scenario.freeze),
-        Step("thawed it catches up, and never answered with the old", scenario.is_thawed, action=scenario.thaw),
+        Step("a machine is frozen, commands go on", scenario.send_commands_while_frozen, action=scenario.freeze),
+        Step("thawed it catches up, and never answered with the old", scenario.has_caught_up, action=scenario.resume),
     ]
 
 
--- a/mapleline/balancer/cli/trial/cluster.py
+++ b/mapleline/balancer/cli/trial/cluster.py
@@ -1,4 +1,4 @@
-"""The trial cluster: node processes, stand-ins, and HTTP requests to one node."""
+"""The trial cluster: node processes, stand-ins for servers and platform, and HTTP requests to one node."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from .stand_ins import PlatformInstance, PlatformStandIn, ServerStandIn
 
 NO_ANSWER = 0
-"""In place of an HTTP status, where a request got no answer."""
+"""Stands for an HTTP status if a request got no answer."""
 WAIT_S = 15.0
-"""How long a condition, an order or the end of a process is waited for."""
+"""Maximum time to wait for a condition, a command or the end of a process."""
 KILL_AFTER_S = 5.0
 CLIENT_TIMEOUT_S = 3.0
-ORDER_TIMEOUT_S = 6.0
+COMMAND_TIMEOUT_S = 6.0
 POLL_INTERVAL_S = 0.1
 
 
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """Status and body of an answer; `NO_ANSWER` and the reason where there is none."""
+    """Status and body of an answer; if there is none, `NO_ANSWER` and the reason."""
 
     status: int
     text: str
@@ -64,10 +64,10 @@
 
 
 class TrialCluster:
-    """Nodes with a disk, one in each zone, and one that may join; two stand-in servers in each zone."""
+    """One node with a disk in each zone, another node that can join, and two stand-in servers in each zone."""
 
     def __init__(self, folder: Path) -> None:
-        """Start the stand-ins; settings, logs and data of the nodes go under the folder."""
+        """Start the stand-ins; settings, logs and data of the nodes are stored in the folder."""
         self.folder = folder
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
         self.servers: dict[str, ServerStandIn] = {}
@@ -86,7 +86,7 @@
     # -- processes -----------------------------------------------------------------------------------------
 
     def start(self, name: str, is_initial: bool) -> None:
-        """Start a node, unless it runs."""
+        """Start a node unless it is running."""
         if name in self._processes:
             return
         data_folder = self.folder / name
@@ -106,7 +106,7 @@
         return self.folder / f"{name}.log"
 
     def kill(self, name: str) -> None:
-        """Kill a node, if it runs."""
+        """Kill a node if it is running."""
         process = self._processes.pop(name, None)
         if process is not None:
             process.kill()
@@ -119,11 +119,11 @@
         return process.wait(WAIT_S)
 
     def suspend(self, name: str) -> None:
-        """Freeze a node's process."""
+        """Suspend a node's process with SIGSTOP."""
         self._processes[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self._processes[name].send_signal(signal.SIGCONT)
 
     def stop(self) -> None:
@@ -142,7 +142,7 @@
     # -- requests ------------------------------------------------------------------------------------------
 
     def call(self, name: str, port: int, request: HttpRequest, timeout_s: float = CLIENT_TIMEOUT_S) -> HttpAnswer:
-        """Send a request to one node, and nowhere else."""
+        """Send a request to one node; redirects are not followed."""
         connection = http.client.HTTPConnection(NODE_ADDRESSES[name], port, timeout=timeout_s)
         try:
             connection.request(request.method, request.path, request.body, headers=request.headers)
@@ -176,11 +176,11 @@
         return self.call(name, FRONT_PORT, HttpRequest(method, path, body, headers), timeout_s)
 
     def replace_configuration(self, name: str, body: bytes) -> int:
-        """Send a configuration to a node until it answers clearly or `WAIT_S` is over; return the last status."""
+        """Send a configuration to a node until it accepts or rejects it, at most `WAIT_S`; return the last status."""
         deadline = time.monotonic() + WAIT_S
         while True:
             request = HttpRequest("POST", "/config/replace", body)
-            status = self.call(name, CONTROL_PORT, request, ORDER_TIMEOUT_S).status
+            status = self.call(name, CONTROL_PORT, request, COMMAND_TIMEOUT_S).status
             if status not in (NO_ANSWER, 503) or time.monotonic() > deadline:
                 return status
             time.sleep(POLL_INTERVAL_S)
--- a/mapleline/balancer/cli/trial/command.py
+++ b/mapleline/balancer/cli/trial/command.py
@@ -1,4 +1,4 @@
-"""Runs the trial cluster: until it is interrupted, or through the steps of the check."""
+"""Runs the trial cluster until it is interrupted, or runs the steps of the check."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from expression import Error, Ok, Result
 
-from ..operator_client import ask
+from ..operator_client import call_any_address
 from .checks import run_checks
 from .cluster import TrialCluster, wait_until
 from .layout import FRONT_PORT, INITIAL_NODES, INTERNAL_PORT, NODE_ADDRESSES, control_addresses
@@ -17,7 +17,7 @@
 
 
 def run(is_check: bool) -> Result[str, str]:
-    """Start the cluster; with `is_check` run the steps and end, else go on until interrupted."""
+    """Start the cluster; with `is_check` run the steps and stop, else run until interrupted."""
     fault = _address_in_use()
     if fault is not None:
         return Error(fault)
@@ -34,7 +34,7 @@
 
 
 def _address_in_use() -> str | None:
-    """Return which of the nodes' internal addresses cannot be bound, or None."""
+    """Return the fault of the first internal address that cannot be bound, or None."""
     for host in NODE_ADDRESSES.values():
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
             try:
@@ -50,11 +50,11 @@
 
 
 def _serve(cluster: TrialCluster) -> Result[str, str]:
-    """Put a configuration in force, say how to use the cluster, and wait for an interrupt."""
+    """Put a configuration in force, print how to use the cluster, and wait for an interrupt."""
     body = sample_configuration(1)
     fault = wait_until(
         "a configuration is acknowledged",
-        lambda: ask(control_addresses(), "POST", "/config/replace", body).is_ok(),
+        lambda: call_any_address(control_addresses(), "POST", "/config/replace", body).is_ok(),
     )
     if fault is not None:
         return Error(fault)
--- a/mapleline/balancer/cli/trial/frozen_node_observer.py
+++ b/mapleline/balancer/cli/trial/frozen_node_observer.py
@@ -1,4 +1,4 @@
-"""Watches what a frozen node answers: nothing older than what was acknowledged before it was asked."""
+"""Checks that a frozen node never answers with data older than acknowledged at the time of the request."""
 
 from __future__ import annotations
 
@@ -14,71 +14,71 @@
 FREEZE_S = 20.0
 SHORT_TIMEOUT_S = 0.3
 REQUEST_INTERVAL_S = 0.02
-PATIENT_INTERVAL_S = 0.5
-PATIENT_TIMEOUT_S = FREEZE_S + 5.0
-"""Longer than the freeze: such a request is answered once the node has thawed."""
+LONG_READ_INTERVAL_S = 0.5
+LONG_READ_TIMEOUT_S = FREEZE_S + 5.0
+"""Longer than the freeze, so that such a request is answered after the node has resumed."""
 LOOKUP_PATH = f"/lookup?name={HOST_NAME}&zone=z3"
 EXPECTED_STATUSES = (NO_ANSWER, 200, 503)
 
 
 @dataclass(slots=True)
 class AnswerCounts:
-    """How many requests of each kind were answered with 200."""
+    """Numbers of requests answered with 200, by kind."""
 
     reads: int = 0
-    patient_reads: int = 0
+    long_reads: int = 0
     lookups: int = 0
 
     def has_all(self) -> bool:
-        """Return whether each kind had an answer."""
-        return bool(self.reads and self.patient_reads and self.lookups)
+        """Return whether requests of each kind were answered."""
+        return bool(self.reads and self.long_reads and self.lookups)
 
 
 @dataclass(slots=True)
 class AcknowledgedConfiguration:
-    """What the operator knows: the newest version, and when the one before the freeze must be out of force."""
+    """The newest acknowledged version, and the time when the version before the freeze must be out of force."""
 
     newest_version: int = 0
     old_expires_at: float = field(default=float("inf"))
 
 
 class FrozenNodeObserver:
-    """Asks one node all the while for its configuration, its directory, and for service by the old configuration."""
+    """Continuously requests a node's configuration, directory, and service by the configuration before the freeze."""
 
     def __init__(self, cluster: TrialCluster, name: str, old_path: str) -> None:
-        """Start the threads that ask; `old_path` is served by the configuration before the freeze only."""
+        """Start the threads that send requests; only the configuration before the freeze serves `old_path`."""
         self._cluster = cluster
         self._name = name
         self._old_path = old_path
         self.acknowledged = AcknowledgedConfiguration()
         self.counts = AnswerCounts()
         self._faults: list[str] = []
-        self._is_over = threading.Event()
+        self._is_stopped = threading.Event()
         self._threads = [
             threading.Thread(target=work, daemon=True)
-            for work in (self._read_often, self._send_client_requests, self._read_patiently)
+            for work in (self._read_with_short_timeout, self._send_client_requests, self._read_with_long_timeout)
         ]
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> list[str]:
-        """End the threads; return the faults that were seen."""
-        self._is_over.set()
+        """Stop the threads; return the observed faults."""
+        self._is_stopped.set()
         for thread in self._threads:
-            thread.join(PATIENT_TIMEOUT_S + 1.0)
+            thread.join(LONG_READ_TIMEOUT_S + 1.0)
         return self._faults
 
-    def _read_often(self) -> None:
-        while not self._is_over.wait(REQUEST_INTERVAL_S):
+    def _read_with_short_timeout(self) -> None:
+        while not self._is_stopped.wait(REQUEST_INTERVAL_S):
             self.counts.reads += self._read_configuration(SHORT_TIMEOUT_S)
 
-    def _read_patiently(self) -> None:
-        """Ask while the node is frozen, and wait for the answer."""
-        while not self._is_over.wait(PATIENT_INTERVAL_S):
-            self.counts.patient_reads += self._read_configuration(PATIENT_TIMEOUT_S)
+    def _read_with_long_timeout(self) -> None:
+        """Send reads also while the node is frozen, with a time-out longer than the freeze."""
+        while not self._is_stopped.wait(LONG_READ_INTERVAL_S):
+            self.counts.long_reads += self._read_configuration(LONG_READ_TIMEOUT_S)
 
     def _read_configuration(self, timeout_s: float) -> bool:
-        """Return whether the configuration was read; it must be no older than the newest when it was asked for."""
+        """Return whether the configuration was read; it must not be older than acknowledged before the request."""
         newest_version = self.acknowledged.newest_version
         answer = self._cluster.get(self._name, CONTROL_PORT, "/config/read", timeout_s)
         if answer.status not in EXPECTED_STATUSES:
@@ -92,7 +92,7 @@
 
     def _send_client_requests(self) -> None:
         count = 0
-        while not self._is_over.wait(REQUEST_INTERVAL_S):
+        while not self._is_stopped.wait(REQUEST_INTERVAL_S):
             count += 1
             is_expired = time.monotonic() > self.acknowledged.old_expires_at
             self._look_up()
--- a/mapleline/balancer/cli/trial/layout.py
+++ b/mapleline/balancer/cli/trial/layout.py
@@ -6,9 +6,9 @@
 
 REGION_BY_ZONE = {"z1": "east", "z2": "east", "z3": "west"}
 INITIAL_NODES = tuple(REGION_BY_ZONE)
-"""One node in each zone, named after it."""
+"""The names of the nodes started at first: one in each zone, named after the zone."""
 JOINING_NODE = "z3-2"
-"""A node that joins later, in the third zone."""
+"""The name of a node that joins later, in the third zone."""
 NODE_ADDRESSES = {name: f"127.0.{number}.1" for number, name in enumerate((*INITIAL_NODES, JOINING_NODE), start=1)}
 PLATFORM_ADDRESS = ("127.0.9.1", 8382)
 FIRST_SERVER_PORT = 9000
@@ -23,12 +23,12 @@
 
 
 def control_addresses() -> str:
-    """Return the control addresses of the initial nodes, for `--at` and as seeds."""
+    """Return the control addresses of the initial nodes, in the format of `--at` and `seed_nodes`."""
     return ",".join(f"{NODE_ADDRESSES[name]}:{CONTROL_PORT}" for name in INITIAL_NODES)
 
 
 def settings_text(name: str, data_folder: Path, is_initial: bool) -> str:
-    """Return the settings file of a node; `is_initial` when the whole cluster starts for the first time."""
+    """Return the settings file of a node; `is_initial` is set if the whole cluster starts for the first time."""
     host = NODE_ADDRESSES[name]
     zone = name.partition("-")[0]
     platform_host, platform_port = PLATFORM_ADDRESS
--- a/mapleline/balancer/cli/trial/sample_configuration.py
+++ b/mapleline/balancer/cli/trial/sample_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that the trial cluster is given."""
+"""The configuration of the trial cluster."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def sample_configuration(version: int, prefix: str = DEFAULT_PREFIX) -> bytes:
-    """Return a complete configuration: a route to read under `prefix`, and one to book."""
+    """Return a complete configuration with an idempotent route under `prefix` and a non-idempotent booking route."""
     return json.dumps(
         {
             "config_version": version,
--- a/mapleline/balancer/cli/trial/stand_ins.py
+++ b/mapleline/balancer/cli/trial/stand_ins.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformInstance:
-    """One entry of the platform's list, with the platform's field names."""
+    """One entry of the platform's list; the field names are the keys of the platform."""
 
     instance_id: str
     target_service: str
@@ -24,7 +24,7 @@
 
 
 class _StandIn(http.server.ThreadingHTTPServer):
-    """An HTTP server in a thread of its own."""
+    """An HTTP server that runs in its own thread."""
 
     daemon_threads = True
 
@@ -33,11 +33,11 @@
         threading.Thread(target=self.serve_forever, daemon=True).start()
 
     def handle_error(self, request: object, client_address: object) -> None:
-        """Ignore a connection that broke: nodes are killed, and cancel requests."""
+        """Ignore broken connections: nodes are killed, and cancel requests."""
 
 
 class ServerStandIn(_StandIn):
-    """One server: it echoes the request's body, and keeps the ids of the requests that it ran."""
+    """One server: it echoes each request's body, and records the ids of the requests that it executed."""
 
     def __init__(self, address: tuple[str, int], instance_id: str) -> None:
         """Listen at the address."""
@@ -47,7 +47,7 @@
 
 
 class PlatformStandIn(_StandIn):
-    """The platform: it answers with its list of instances."""
+    """The platform: it answers each request with its list of instances."""
 
     def __init__(self, address: tuple[str, int], instances: list[PlatformInstance]) -> None:
         """Listen at the address."""
--- a/tests/balancer/cli/command_line_case.py
+++ b/tests/balancer/cli/command_line_case.py
@@ -1,4 +1,4 @@
-"""A test case that runs the command line against stand-ins."""
+"""Base class of test cases that run the command line against stand-ins."""
 
 import io
 import tempfile
@@ -12,7 +12,7 @@
 
 
 class CommandLineCase(unittest.TestCase):
-    """Has a configuration of version 7 in a file."""
+    """Provides a file with a configuration of version 7."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -21,14 +21,14 @@
         self.file.write_bytes(sample_configuration(7))
 
     def start_stand_in(self, **answers):
-        """A stand-in with an answer for each path, whose slashes are underscores here."""
+        """Start a stand-in; each argument gives the answer for a path, with underscores for its slashes."""
         stand_in = ControlStandIn({"/" + name.replace("_", "/"): answer for name, answer in answers.items()})
         self.addCleanup(stand_in.server_close)
         self.addCleanup(stand_in.shutdown)
         return stand_in
 
     def run_main(self, *arguments):
-        """The exit status, and what was written: one line where it is a fault."""
+        """Run a command; return its exit status and output, which for a fault is one line of standard error."""
         output, errors = io.StringIO(), io.StringIO()
         with redirect_stdout(output), redirect_stderr(errors):
             status = main(list(arguments))
--- a/tests/balancer/cli/stand_in.py
+++ b/tests/balancer/cli/stand_in.py
@@ -1,4 +1,4 @@
-"""An HTTP server on loopback that stands for one ingress's control address."""
+"""An HTTP server on loopback that stands in for the control address of an ingress."""
 
 import http.server
 import threading
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class ReceivedRequest:
-    """One request that the stand-in got."""
+    """A request received by the stand-in."""
 
     method: str
     path: str
@@ -15,7 +15,7 @@
 
 
 class ControlStandIn(http.server.ThreadingHTTPServer):
-    """Answers each path as `answers` has it (status and body), else 404; keeps the requests it got."""
+    """Answers each path with its status and body in `answers`, others with 404; records the requests."""
 
     daemon_threads = True
 
@@ -23,7 +23,7 @@
         super().__init__(("127.0.0.1", 0), _Handler)
         self.answers = answers
         self.requests: list[ReceivedRequest] = []
-        self.redirects: dict[str, str] = {}  #: by path: where a 307 points to
+        self.redirects: dict[str, str] = {}  #: path -> location of a 307
         self.thread = threading.Thread(target=self.serve_forever, args=(0.02,), daemon=True)
         self.thread.start()
 
--- a/tests/balancer/cli/test_commands.py
+++ b/tests/balancer/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line: its commands, their exit statuses and what they write."""
+"""The command line: output must be exact, and faults must give status 1 and one line on standard error."""
 
 import os
 from unittest import mock
--- a/tests/balancer/cli/test_data_folder.py
+++ b/tests/balancer/cli/test_data_folder.py
@@ -1,4 +1,4 @@
-"""The commands on a data folder: checked in a line, dumped, and restored without a vote."""
+"""Data folders: a restored replica must have no vote, and an invalid dump must write nothing."""
 
 import json
 import tempfile
@@ -10,17 +10,17 @@
 
 
 class TestCheck(FolderCase):
-    def test_a_folder_that_holds_nothing_is_a_fault(self):
+    def test_an_empty_folder_is_a_fault(self):
         self.assertIn("holds no control state", data_folder.check_archive(self.folder).error)
 
-    def test_a_replica_is_described_in_a_line(self):
+    def test_a_replica_is_described_in_one_line(self):
         self.store_after(2)
         self.assertEqual(
             data_folder.check_archive(self.folder).ok,
             "state 1 of system 99, epoch 1: a voter of 3; config 1, evacuated: none",
         )
 
-    def test_what_is_accepted_beyond_the_chosen_state_is_said(self):
+    def test_a_state_accepted_beyond_the_chosen_one_is_reported(self):
         self.store_after(2)
         self.store_after(3)
         self.assertIn("; accepted beyond it, and not known to be chosen", data_folder.check_archive(self.folder).ok)
@@ -43,7 +43,7 @@
             self.assertIn("no voter of 3", data_folder.check_archive(Path(other)).ok)
             self.assertIn("already", data_folder.restore_archive(Path(other), self.dump.encode()).error)
 
-    def test_what_is_no_dump_is_refused_in_a_line_and_writes_nothing(self):
+    def test_an_invalid_dump_is_refused_in_one_line_and_writes_nothing(self):
         for text, reason in (
             (b"{}", "no dump"),
             (b"[]", "no dump"),
@@ -57,7 +57,7 @@
                 self.assertNotIn("\n", fault)
                 self.assertEqual(list(Path(other).glob("word/*")), [])
 
-    def test_a_content_under_another_ones_name_is_not_restored(self):
+    def test_a_content_with_a_wrong_digest_is_not_restored(self):
         dump = json.loads(self.dump)
         [name] = dump["contents"]
         dump["contents"][name] = "bm90IGl0"
--- a/tests/balancer/cli/test_operator_client.py
+++ b/tests/balancer/cli/test_operator_client.py
@@ -1,8 +1,8 @@
-"""The operator's calls: which address is asked, and what a failure says to do."""
+"""The operator's calls: retries must not hide a final answer, and a failure must give the right advice."""
 
 import json
 
-from mapleline.balancer.cli.operator_client import MAX_REDIRECTS, ask
+from mapleline.balancer.cli.operator_client import MAX_REDIRECTS, call_any_address
 from mapleline.balancer.cli.trial.sample_configuration import sample_configuration
 from tests.balancer.cli.command_line_case import CommandLineCase
 from tests.balancer.cli.stand_in import ReceivedRequest
@@ -28,7 +28,7 @@
             self.assertIn(phrase, text)
         self.assertEqual((len(ingress.requests), other.requests), (1, []))
 
-    def test_after_a_503_the_next_address_is_asked_and_the_last_503_says_to_send_again(self):
+    def test_after_a_503_the_next_address_is_tried_and_the_last_503_advises_to_send_again(self):
         unavailable = self.start_stand_in(config_replace=(503, b"no majority of the core can be reached"))
         available = self.start_stand_in(config_replace=(200, b"{}"))
         addresses = f"{unavailable.address},{available.address}"
@@ -49,14 +49,14 @@
             self.run_main("config", "put", str(self.file), "--at", f"{stopped.address},{available.address}")[0], 0
         )
 
-    def test_a_read_that_gets_503_says_to_ask_another(self):
+    def test_a_read_that_gets_503_advises_to_ask_another(self):
         address = self.start_stand_in(config_read=(503, b"no majority of the core can be reached")).address
         status, text = self.run_main("config", "read", "--at", address)
         self.assertEqual(status, 1)
         self.assertIn("what is in force can't be told here, ask another", text)
         self.assertNotIn("may be in force or not", text)
 
-    def test_core_forget_says_why_it_is_refused(self):
+    def test_core_forget_gives_the_reason_of_a_refusal(self):
         path = "/core/10.4.0.13/forget"
         for answer, phrase in (
             ((200, b"{}"), "acknowledged"),
@@ -91,11 +91,11 @@
             ingress = self.start_stand_in()
             ingress.redirects[path] = f"http://{next_address}{path}"
             next_address = ingress.address
-            result = ask(ingress.address, "GET", path)
+            result = call_any_address(ingress.address, "GET", path)
             self.assertEqual(result.is_ok(), redirect_count <= MAX_REDIRECTS)
         self.assertEqual(result.error, f"{ingress.address}: 307")
         self.assertEqual(target.requests, [ReceivedRequest("GET", path, b"")] * MAX_REDIRECTS)
 
-    def test_without_an_address_nothing_is_asked(self):
-        self.assertEqual(ask(",", "GET", "/status").error, "no address")
-        self.assertIn("--at: 'nonsense' is not an address", ask("nonsense", "GET", "/status").error)
+    def test_without_an_address_nothing_is_sent(self):
+        self.assertEqual(call_any_address(",", "GET", "/status").error, "no address")
+        self.assertIn("--at: 'nonsense' is not an address", call_any_address("nonsense", "GET", "/status").error)
--- a/tests/balancer/cli/test_tables.py
+++ b/tests/balancer/cli/test_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the command line: what people read of an ingress's status."""
+"""The status tables must show every field, also of an ingress without any state."""
 
 import json
 
@@ -54,7 +54,7 @@
         self.assertEqual(json.loads(self.run_main("status", "--json", "--at", address)[1]), STATUS)
 
     def test_status_of_an_ingress_without_any_state(self):
-        nothing = STATUS | {
+        empty_status = STATUS | {
             "system": None,
             "epoch": None,
             "number": 0,
@@ -65,7 +65,7 @@
             "contact_age_s": None,
         }
         status, text = self.run_main(
-            "status", "--at", self.start_stand_in(status=(200, json.dumps(nothing).encode())).address
+            "status", "--at", self.start_stand_in(status=(200, json.dumps(empty_status).encode())).address
         )
         self.assertEqual(status, 0)
         self.assertRegex(text, r"contact +\| +none yet")
