--- a/tests/balancer/golden_samples.py
+++ b/tests/balancer/golden_samples.py
@@ -1,11 +1,11 @@
-"""Samples with fixed values of everything that crosses the wire or lies on a disk, and the golden files made of them.
+"""Samples of all messages on the wire and files on the disk, with fixed values, and the golden files made of them.
 
-The golden files in `golden/` were written by the sources of one day and are read by those of every later day: a change
-of names in the sources must not change a byte of them.  `python -m tests.balancer.golden_samples` writes them anew;
-that is right only where the format is meant to change.
+The golden files in `golden/` were written by an earlier version of the program.  Renames in the sources must not change
+a byte of them.  `python -m tests.balancer.golden_samples` rewrites them; this is right only if the format is meant to
+change.
 
-The classes of the system are named in the imports and in the sample functions alone.  Fields are given by name: two of
-one type that change places would not be seen otherwise.  Who renames a field renames it here.
+Only the imports and the sample functions name the classes of the system.  Fields are given by name, because otherwise a
+swap of two fields of the same type would go unnoticed.  A rename of a field has to be repeated here.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 
 GOLDEN = Path(__file__).parent / "golden"
 MESSAGES_FILE = GOLDEN / "messages.hex"
-MESSAGES_BEFORE_SLOTS_FILE = GOLDEN / "messages_before_slots.hex"  # of counters, as earlier versions send them
-SEALED_FILE = GOLDEN / "sealed.hex"
+MESSAGES_BEFORE_SLOTS_FILE = GOLDEN / "messages_before_slots.hex"  # counter messages as earlier versions send them
+STAMPED_FILE = GOLDEN / "sealed.hex"
 PARTS_FILE = GOLDEN / "parts.hex"
 DUMP_FILE, EARLIER_DUMP_FILE = GOLDEN / "dump.json", GOLDEN / "dump_earlier.json"
 SNAPSHOTS, HISTORY, EARLIER = GOLDEN / "snapshots", GOLDEN / "history", GOLDEN / "earlier"
@@ -43,39 +43,39 @@
 REPLIES = typing.get_args(messages.Reply)
 
 SYSTEM = 0x5EED0001
-ZONES = {"a1": "a", "a2": "a", "a3": "a"}  #: of the simulated system that is started on the golden folders
-ADDRESSES = (0x0A010001, 0x0A020001, 0x0A030001)  #: 10.1.0.1, 10.2.0.1, 10.3.0.1: its machines with a disk
+ZONES = {"a1": "a", "a2": "a", "a3": "a"}  #: zones of the simulated system that is started on the golden folders
+ADDRESSES = (0x0A010001, 0x0A020001, 0x0A030001)  #: its machines with a disk: 10.1.0.1, 10.2.0.1, 10.3.0.1
 DISKS = (0x11111111, 0x22222222, 0x33333333)
-OLD_VERSION, NEW_VERSION = 6, 7  #: of the two configurations
+OLD_VERSION, NEW_VERSION = 6, 7  #: versions of the two configurations
 EVACUATED_ZONE = "a3"
 
 SENDER, RECEIVER = ADDRESSES[0], ADDRESSES[1]
 SENDER_INCARNATION, RECEIVER_INCARNATION = 0x01020304, 0x05060708
 
 
-# -- values that others are made of ------------------------------------------------------------------------
+# -- common values -----------------------------------------------------------------------------------------
 
 
 def config_body(version: int) -> bytes:
-    """A configuration as an operator sends it: kept as a file, so that samples hang on nothing else."""
+    """Return a configuration as an operator sends it, from a file, so that it depends on no other code."""
     return (GOLDEN / f"config_{version}.json").read_bytes()
 
 
 def contents(*versions: int) -> dict[int, bytes]:
-    """Bodies of configurations by their digest."""
+    """Return the bodies of configurations by their digests."""
     return {content_digest(config_body(version)): config_body(version) for version in versions}
 
 
 def voters() -> tuple[Replica, ...]:
-    """The three replicas of the simulated system."""
+    """Return the three replicas of the simulated system."""
     return tuple(
         Replica(ip=ip, disk_id=disk, zone=zone) for zone, (ip, disk) in enumerate(zip(ADDRESSES, DISKS, strict=True))
     )
 
 
 def agreed_state(number: int, version: int) -> State:
-    """A state that is in force, with no change of members under way."""
-    past = tuple(ConfigurationRef(one, content_digest(config_body(one))) for one in range(OLD_VERSION, version + 1))
+    """Return a committed state without a change of members in progress."""
+    past = tuple(ConfigurationRef(old, content_digest(config_body(old))) for old in range(OLD_VERSION, version + 1))
     config = ConfigurationRef(version, content_digest(config_body(version)))
     return State(
         number=number,
@@ -91,7 +91,7 @@
 
 
 def full_state() -> State:
-    """A state with every field away from its default."""
+    """Return a state in which no field has its default."""
     config = ConfigurationRef(NEW_VERSION, content_digest(config_body(NEW_VERSION)))
     former = (Replica(ip=0x0A040001, disk_id=0x44444444, zone=3), Replica(ip=0x0A050001, disk_id=0, zone=4))
     return State(
@@ -108,7 +108,7 @@
 
 
 def bare_state() -> State:
-    """A state with every field that has a default at it."""
+    """Return a state in which every field that has a default has it."""
     return State(number=1, system=SYSTEM, epoch=1, voters=(Replica(ip=SENDER, disk_id=DISKS[0]),))
 
 
@@ -116,7 +116,7 @@
 
 
 def datagram_samples() -> dict[str, messages.Datagram]:
-    """Each datagram, with every field away from its default; `_bare`: with every default."""
+    """Return a sample of each datagram without defaults, and one with all defaults (`_bare`)."""
     part = messages.CounterRows(tenant="t1", slot=170, rows=[(SENDER, 3, 1.5), (RECEIVER, 4, 2.25)])
     return {
         "heartbeat": messages.Heartbeat(
@@ -186,7 +186,7 @@
 
 
 def call_samples() -> dict[str, messages.Call]:
-    """Each call, and each order of an operator that one carries."""
+    """Return samples of each call, and of each command of an operator in a call."""
     ballot = (4, SENDER, DISKS[0])
     return {
         "prepare": messages.Prepare(
@@ -217,7 +217,7 @@
 
 
 def reply_samples() -> dict[str, messages.Reply]:
-    """Each reply."""
+    """Return samples of each reply."""
     ballot, higher = (4, SENDER, DISKS[0]), (5, RECEIVER, DISKS[1])
     return {
         "promised": messages.Promised(
@@ -239,7 +239,7 @@
         "pulled": messages.FetchedState(
             state=full_state(),
             configuration_body=b'{"config_version": 7}',
-            endpoints_body=server_list_body(),
+            endpoints_body=endpoint_list_body(),
             endpoints_age_ms=800,
         ),
         "pulled_bare": messages.FetchedState(),
@@ -247,14 +247,14 @@
 
 
 def decoded_message(name: str, data: bytes) -> object:
-    """A golden message as the sources of today read it."""
+    """Return a golden message as decoded by the present sources."""
     if name in datagram_samples():
         return messages.decode_datagram(data)
     return messages.decode_call(data) if name in call_samples() else messages.decode_reply(data)
 
 
 def encoded_messages() -> dict[str, bytes]:
-    """All messages as the sources of today encode them."""
+    """Return all samples as encoded by the present sources."""
     samples = datagram_samples() | call_samples() | reply_samples()
     return {name: messages.encode(sample) for name, sample in samples.items()}
 
@@ -263,71 +263,73 @@
 
 
 def fence(ip: int, incarnation: int, known: dict[int, int], system: int = SYSTEM) -> Fence:
-    """One process's fence that knows the incarnations of these others."""
+    """Return the fence of a process that knows these incarnations of other processes."""
     table = MembershipTable(Member(ip, 0, MemberFlags.HAS_DISK, incarnation), 0.5)
-    for other, of_other in known.items():
-        table.observe_incarnation(other, of_other)
+    for other, other_incarnation in known.items():
+        table.observe_incarnation(other, other_incarnation)
     return Fence(table, system)
 
 
 def sender_fence() -> Fence:
-    """Of the process that sends the datagrams and calls."""
+    """Return the fence of the process that sends the datagrams and calls."""
     return fence(SENDER, SENDER_INCARNATION, {RECEIVER: RECEIVER_INCARNATION})
 
 
 def receiver_fence() -> Fence:
-    """Of the process that they are meant for."""
+    """Return the fence of the process to which they are addressed."""
     return fence(RECEIVER, RECEIVER_INCARNATION, {SENDER: SENDER_INCARNATION})
 
 
 def restarted_receiver_fence() -> Fence:
-    """Of the next life of that process, which refuses what was meant for the one before."""
+    """Return the fence of the receiver's next incarnation, which refuses messages to the earlier one."""
     return fence(RECEIVER, RECEIVER_INCARNATION + 1, {SENDER: SENDER_INCARNATION})
 
 
 @dataclass
 class Exchange:
-    """One call, both sides of it and its reply."""
+    """One call with its caller, its callee and its reply."""
 
     caller: Fence
     outstanding: OutstandingCall
     request: bytes
     callee: Fence
-    taken: ReceivedCall
+    received: ReceivedCall
     reply: bytes
 
 
 def exchange() -> Exchange:
-    """A call as it is sent, taken and answered."""
+    """Return a call that was sent, received and answered."""
     caller, callee = sender_fence(), receiver_fence()
     outstanding, request = caller.stamp_call(RECEIVER, call_samples()["accept"])
-    taken = callee.receive_call(request)
-    return Exchange(caller, outstanding, request, callee, taken, callee.stamp_reply(taken, reply_samples()["accepted"]))
+    received = callee.receive_call(request)
+    return Exchange(
+        caller, outstanding, request, callee, received, callee.stamp_reply(received, reply_samples()["accepted"])
+    )
 
 
-def sealed_samples() -> dict[str, bytes]:
-    """What goes out on the wire, stamps and message."""
+def stamped_samples() -> dict[str, bytes]:
+    """Return samples of messages with stamps, and of refusals, as sent on the wire."""
     sender, samples = sender_fence(), datagram_samples()
-    to_one_life = sender.stamp_datagram(RECEIVER, samples["replica_query"])
+    to_one_incarnation = sender.stamp_datagram(RECEIVER, samples["replica_query"])
     call = exchange()
     return {
         "datagram_to_any_life": sender.stamp_datagram(RECEIVER, samples["heartbeat"]),
-        "datagram_to_one_life": to_one_life,
+        "datagram_to_one_life": to_one_incarnation,
         "datagram_before_founding": fence(SENDER, SENDER_INCARNATION, {}, 0).stamp_datagram(
             RECEIVER, samples["replica_query"]
         ),
-        "datagram_refusal": restarted_receiver_fence().receive_datagram(SENDER, to_one_life)[1],
+        "datagram_refusal": restarted_receiver_fence().receive_datagram(SENDER, to_one_incarnation)[1],
         "call_request": call.request,
         "call_reply": call.reply,
         "call_refusal": restarted_receiver_fence().receive_call(call.request).refusal,
     }
 
 
-# -- what messages carry as bytes --------------------------------------------------------------------------
+# -- encoded parts of messages -----------------------------------------------------------------------------
 
 
-def sample_servers() -> list[ListedInstance]:
-    """Entries of the platform's list, one with every default and one with none."""
+def listed_instances() -> list[ListedInstance]:
+    """Return entries of the platform's list, one with every default and one with none."""
     return [
         ListedInstance(instance_id="i-1", target_service="slots", address="10.128.0.1:8080", zone="a1"),
         ListedInstance(
@@ -343,21 +345,21 @@
     ]
 
 
-def server_catalogue() -> EndpointList:
-    """A catalogue that fetched that list twice, the second time with a cold server whose cold time began anew."""
-    catalogue = EndpointList(0.8)
-    catalogue.update_from_platform(100.0, sample_servers())
-    catalogue.update_from_platform(105.0, sample_servers())
-    return catalogue
+def sample_endpoint_list() -> EndpointList:
+    """Return a list fetched twice; at the second fetch the warm-up of one server has restarted."""
+    endpoints = EndpointList(0.8)
+    endpoints.update_from_platform(100.0, listed_instances())
+    endpoints.update_from_platform(105.0, listed_instances())
+    return endpoints
 
 
-def server_list_body() -> bytes:
-    """The list as it travels between ingresses."""
-    return server_catalogue().body
+def endpoint_list_body() -> bytes:
+    """Return the list as encoded between ingresses."""
+    return sample_endpoint_list().body
 
 
 def heartbeat_table() -> MembershipTable:
-    """A table of three ingresses."""
+    """Return a table of three ingresses."""
     table = MembershipTable(
         Member(SENDER, 0, MemberFlags.HAS_DISK | MemberFlags.READY, SENDER_INCARNATION, 40, 99.5), 0.5
     )
@@ -369,12 +371,12 @@
 
 
 def part_samples() -> dict[str, bytes]:
-    """Bytes that a message carries and another part of the sources reads."""
-    catalogue = server_catalogue()
+    """Return samples of the byte fields of messages, which other parts of the sources decode."""
+    endpoints = sample_endpoint_list()
     return {
         "heartbeat_rows": heartbeat_table().encode(100.0),
-        "server_list": catalogue.body,
-        "server_list_digest": catalogue.digest.to_bytes(4, "big"),
+        "server_list": endpoints.body,
+        "server_list_digest": endpoints.digest.to_bytes(4, "big"),
     }
 
 
@@ -383,14 +385,14 @@
 
 @dataclass(frozen=True)
 class SnapshotSample:
-    """A replica's record and the contents it names."""
+    """A replica's record and the contents to which it refers."""
 
     record: Record
     contents: dict[int, bytes]
 
 
 def snapshot_samples() -> dict[str, SnapshotSample]:
-    """Folders by name: those of the three machines of the simulated system, and the corners of the format."""
+    """Return folders by name: those of the simulated system's three machines, and edge cases of the format."""
     old, new = agreed_state(5, OLD_VERSION), agreed_state(6, NEW_VERSION)
     ballot, higher = (4, SENDER, DISKS[0]), (5, RECEIVER, DISKS[1])
     both = contents(OLD_VERSION, NEW_VERSION)
@@ -449,7 +451,7 @@
 
 
 def restored_sample() -> SnapshotSample:
-    """What is restored of the dump of machine 1: its state under no identity, and so without a vote."""
+    """Return the restored dump of machine 1: its state without an identity, hence without a vote."""
     none = (0, 0, 0)
     return SnapshotSample(
         Record(
@@ -467,14 +469,14 @@
 
 
 def write_snapshot(folder: Path, sample: SnapshotSample) -> None:
-    """The folder as today's sources write it."""
+    """Write the folder with the present sources."""
     store = SnapshotStore(str(folder))
     store.load()
     store.save(sample.record, sample.contents)
 
 
 def write_history(folder: Path) -> AuditLog:
-    """A history as today's sources write it: two configurations and two orders."""
+    """Write a history of two configurations and two commands with the present sources."""
     history = AuditLog(str(folder), 1 << 20)
     for version in (OLD_VERSION, NEW_VERSION):
         history.record_change(1.7e9 + version, "config", version, f"{version:x}", config_body(version))
@@ -505,12 +507,12 @@
 
 
 def write_earlier_file(path: Path, body: bytes) -> None:
-    """A file framed as the earlier format was; today's sources do not write it any more."""
+    """Write a file of the earlier format, which the present sources only read."""
     path.write_bytes(b"mapleline word 1\n%08x %d\n" % (crc32(body), len(body)) + body)
 
 
 def write_earlier(folder: Path) -> None:
-    """A data folder of the earlier format."""
+    """Write a data folder of the earlier format."""
     registers = folder / "word"
     registers.mkdir(parents=True)
     for entry in EARLIER_ENTRIES:
@@ -523,26 +525,26 @@
 
 
 def read_hex(path: Path) -> dict[str, bytes]:
-    """The named byte strings of a golden file: a name and its bytes in hexadecimal on each line."""
+    """Return the byte strings of a golden file by name; each line has a name and its bytes in hexadecimal."""
     lines = [line.split(" ") for line in path.read_text().splitlines()]
     return {name: bytes.fromhex(data) for name, data in lines}
 
 
 def write_hex(path: Path, samples: dict[str, bytes]) -> None:
-    """Such a file."""
+    """Write a golden file in the format of `read_hex`."""
     path.write_text("".join(f"{name} {data.hex()}\n" for name, data in samples.items()))
 
 
 def files_of(folder: Path) -> dict[str, bytes]:
-    """All files below a folder by their relative path."""
+    """Return the contents of all files below a folder by their relative paths."""
     return {str(path.relative_to(folder)): path.read_bytes() for path in folder.rglob("*") if path.is_file()}
 
 
 def write_golden_files() -> None:
-    """All golden files anew, in a `golden/` that holds the configurations alone."""
+    """Write all golden files to a `golden/` that contains only the configurations."""
     hex_files: dict[Path, Callable[[], dict[str, bytes]]] = {
         MESSAGES_FILE: encoded_messages,
-        SEALED_FILE: sealed_samples,
+        STAMPED_FILE: stamped_samples,
         PARTS_FILE: part_samples,
     }
     for path, samples in hex_files.items():
--- a/tests/balancer/test_golden_bytes.py
+++ b/tests/balancer/test_golden_bytes.py
@@ -1,4 +1,8 @@
-"""Bytes on the wire and on the disk, as the sources of an earlier day wrote them: read and written the same today."""
+"""Bytes on the wire and on the disk must not change when the sources change.
+
+An unintended change of a format would break rolling updates and make stored data unreadable.  The golden files were
+written by an earlier version of the program; the present one must read and write the same bytes.
+"""
 
 import json
 import logging
@@ -25,11 +29,11 @@
 from mapleline.simulation.world import Topology, World
 from tests.balancer import golden_samples as samples
 
-BARE = "_bare"  # ends the name of a sample with every default
+BARE = "_bare"  # suffix of the names of samples with every default
 
 
 class TestMessages(unittest.TestCase):
-    """Each message between ingresses."""
+    """All messages between ingresses, without stamps."""
 
     @classmethod
     def setUpClass(cls):
@@ -68,16 +72,16 @@
                 self.assertTrue(defaults)
                 self.assertEqual(samples.decoded_message(name, data), msgspec.structs.replace(sample, **defaults))
 
-    def test_every_message_has_a_sample_of_its_kind(self):
-        for classes, of_kind in (
+    def test_every_message_type_has_a_sample(self):
+        for classes, message_samples in (
             (samples.DATAGRAMS, samples.datagram_samples()),
             (samples.CALLS, samples.call_samples()),
             (samples.REPLIES, samples.reply_samples()),
         ):
-            self.assertEqual({type(sample) for sample in of_kind.values()}, set(classes))
+            self.assertEqual({type(sample) for sample in message_samples.values()}, set(classes))
 
     def test_samples_leave_every_field_at_its_default_or_none(self):
-        """So that a changed default, and a field in another place, change the bytes of one of the two."""
+        """Otherwise a changed default or a moved field might leave the bytes of both samples unchanged."""
         bare_types = {type(sample) for name, sample in self.samples.items() if name.endswith(BARE)}
         for name, sample in self.samples.items():
             with self.subTest(name):
@@ -88,27 +92,27 @@
 
 
 def field_default(field: msgspec.structs.FieldInfo) -> object:
-    """The value of a field that is not given."""
+    """Return the default of a field."""
     if field.default_factory is not msgspec.NODEFAULT:
         return field.default_factory()
     return field.default
 
 
 class TestStamps(unittest.TestCase):
-    """Messages as they go out, with incarnations and numbers, and the refusals."""
+    """Messages with stamps, and refusals."""
 
     @classmethod
     def setUpClass(cls):
-        cls.golden = samples.read_hex(samples.SEALED_FILE)
+        cls.golden = samples.read_hex(samples.STAMPED_FILE)
 
-    def test_what_goes_out_is_the_golden_bytes(self):
-        sealed = samples.sealed_samples()
-        self.assertEqual(sealed.keys(), self.golden.keys())
+    def test_stamped_messages_are_the_golden_bytes(self):
+        stamped = samples.stamped_samples()
+        self.assertEqual(stamped.keys(), self.golden.keys())
         for name, data in self.golden.items():
             with self.subTest(name):
-                self.assertEqual(sealed[name].hex(), data.hex())
+                self.assertEqual(stamped[name].hex(), data.hex())
 
-    def test_golden_datagrams_are_believed(self):
+    def test_golden_datagrams_are_accepted(self):
         datagrams = samples.datagram_samples()
         for name, message in (
             ("datagram_to_any_life", "heartbeat"),
@@ -116,18 +120,18 @@
             ("datagram_before_founding", "replica_query"),
         ):
             with self.subTest(name):
-                opened = samples.receiver_fence().receive_datagram(samples.SENDER, self.golden[name])
-                self.assertEqual(opened, (datagrams[message], None))
+                received = samples.receiver_fence().receive_datagram(samples.SENDER, self.golden[name])
+                self.assertEqual(received, (datagrams[message], None))
 
-    def test_a_golden_request_is_taken_and_its_golden_reply_believed(self):
+    def test_a_golden_request_and_its_golden_reply_are_accepted(self):
         call = samples.exchange()
-        taken = samples.receiver_fence().receive_call(self.golden["call_request"])
-        self.assertEqual(taken, call.taken)
-        self.assertEqual(taken.message, samples.call_samples()["accept"])
-        believed = call.caller.receive_reply(call.outstanding, self.golden["call_reply"])
-        self.assertEqual(believed, samples.reply_samples()["accepted"])
+        received = samples.receiver_fence().receive_call(self.golden["call_request"])
+        self.assertEqual(received, call.received)
+        self.assertEqual(received.message, samples.call_samples()["accept"])
+        reply = call.caller.receive_reply(call.outstanding, self.golden["call_reply"])
+        self.assertEqual(reply, samples.reply_samples()["accepted"])
 
-    def test_golden_refusals_teach_the_sender_the_other_life(self):
+    def test_a_sender_learns_the_new_incarnation_from_golden_refusals(self):
         restarted = samples.RECEIVER_INCARNATION + 1
         sender = samples.sender_fence()
         self.assertEqual(sender.receive_datagram(samples.RECEIVER, self.golden["datagram_refusal"]), (None, None))
@@ -140,7 +144,7 @@
 
 
 class TestParts(unittest.TestCase):
-    """What messages carry as bytes: the table of heartbeats and the list of servers."""
+    """Encoded parts of messages: the membership table of heartbeats and the endpoint list."""
 
     @classmethod
     def setUpClass(cls):
@@ -153,53 +157,61 @@
             with self.subTest(name):
                 self.assertEqual(parts[name].hex(), data.hex())
 
-    def test_a_golden_table_is_merged_whole(self):
+    def test_a_golden_table_is_merged_completely(self):
         table = MembershipTable(Member(0x0A090001, 0, 0), 0.5)
         self.assertTrue(table.merge(200.0, self.golden["heartbeat_rows"]))
         merged = [member for ip, member in table.members.items() if ip != table.local_member.ip]
         sent = list(samples.heartbeat_table().members.values())
-        for member in sent:  # ages are kept, up to the largest: a hundred seconds lie between the two clocks
+        for member in sent:  # ages stay, up to the maximum; the two clocks differ by 100 s
             member.last_heartbeat = max(member.last_heartbeat + 100.0, 200.0 - 655.35)
         known = [member for member in sent if member.heartbeat_count]
-        self.assertEqual([one for one in merged if one.heartbeat_count], known)
+        self.assertEqual([member for member in merged if member.heartbeat_count], known)
         self.assertEqual({member.ip for member in merged}, set(samples.ADDRESSES))
 
-    def test_a_golden_list_is_taken_and_has_the_golden_digest(self):
-        catalogue = EndpointList(0.8)
-        self.assertTrue(catalogue.update_from_peer(105.0, self.golden["server_list"]))
-        self.assertEqual(catalogue.digest.to_bytes(4, "big"), self.golden["server_list_digest"])
-        ready, cold = catalogue.instances.values()
+    def test_a_golden_list_is_decoded_and_has_the_golden_digest(self):
+        endpoints = EndpointList(0.8)
+        self.assertTrue(endpoints.update_from_peer(105.0, self.golden["server_list"]))
+        self.assertEqual(endpoints.digest.to_bytes(4, "big"), self.golden["server_list_digest"])
+        ready, warming = endpoints.instances.values()
         self.assertEqual(
             (ready.id, ready.service, ready.address, ready.zone, ready.slots, ready.ready, ready.warm_up_count),
             ("i-1", "slots", ("10.128.0.1", 8080), "a1", 1, True, 0),
         )
         self.assertEqual(
-            (cold.id, cold.service, cold.address, cold.zone, cold.slots, cold.ready, cold.warm_up_count),
+            (
+                warming.id,
+                warming.service,
+                warming.address,
+                warming.zone,
+                warming.slots,
+                warming.ready,
+                warming.warm_up_count,
+            ),
             ("i-2", "records", ("10.128.1.2", 8081), "a2", 4, False, 1),
         )
-        self.assertAlmostEqual(cold.warming_until, 105.0 + 1.5 + 0.8)
+        self.assertAlmostEqual(warming.warming_until, 105.0 + 1.5 + 0.8)
 
 
 class GoldenFolders(unittest.TestCase):
-    """Copies of golden folders in a temporary one."""
+    """Base class of tests that copy golden folders into a temporary folder."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        unsynced = mock.patch.object(snapshot.os, "fsync")  # a test needs nothing lasting
+        unsynced = mock.patch.object(snapshot.os, "fsync")  # durability is not needed in tests
         unsynced.start()
         self.addCleanup(unsynced.stop)
 
     def copied(self, golden: Path, name: str = "copy") -> Path:
-        """A golden folder's copy."""
+        """Copy a golden folder and return the copy."""
         return Path(shutil.copytree(golden, self.folder / name))
 
 
 class TestSnapshot(GoldenFolders):
     """The data folder of a replica."""
 
-    def test_golden_folders_are_all_there(self):
+    def test_every_sample_has_a_golden_folder(self):
         self.assertEqual({path.name for path in samples.SNAPSHOTS.iterdir()}, samples.snapshot_samples().keys())
 
     def test_a_golden_folder_is_read_as_the_record_and_its_contents(self):
@@ -214,30 +226,30 @@
                 samples.write_snapshot(self.folder / name, sample)
                 self.assertEqual(samples.files_of(self.folder / name), samples.files_of(samples.SNAPSHOTS / name))
 
-    def test_a_spoilt_folder_is_put_aside_under_the_same_name(self):
+    def test_a_corrupt_folder_is_quarantined_under_the_same_name(self):
         copy = self.copied(samples.SNAPSHOTS / "machine_1")
         golden = samples.files_of(copy)
         (copy / "word" / "replica").write_bytes(b"torn")
         store = SnapshotStore(str(copy))
         self.assertEqual([str(fault) for fault in store.load().faults], ["replica: torn, empty or foreign"])
         store.quarantine()
-        aside = {name.replace("word/", "spoilt/"): data for name, data in golden.items()}
-        self.assertEqual(samples.files_of(copy), aside | {"spoilt/replica": b"torn"})
+        put_aside = {name.replace("word/", "spoilt/"): data for name, data in golden.items()}
+        self.assertEqual(samples.files_of(copy), put_aside | {"spoilt/replica": b"torn"})
 
-    def test_a_dump_is_the_golden_text_and_restored_from_it(self):
+    def test_a_dump_is_the_golden_text_and_can_be_restored(self):
         golden, copy = samples.DUMP_FILE.read_text(), self.copied(samples.SNAPSHOTS / "machine_1")
         self.assertEqual(data_folder.dump_archive(copy).ok, golden)
         self.assertEqual(data_folder.dump_config(copy).ok, samples.config_body(samples.NEW_VERSION).decode())
         self.assertTrue(data_folder.restore_archive(self.folder / "restored", golden.encode()).is_ok())
-        record, contents, bad = SnapshotStore(str(self.folder / "restored")).load()
+        record, contents, faults = SnapshotStore(str(self.folder / "restored")).load()
         sample = samples.restored_sample()
-        self.assertEqual((record, contents, bad), (sample.record, sample.contents, []))
+        self.assertEqual((record, contents, faults), (sample.record, sample.contents, []))
 
 
 class TestHistory(GoldenFolders):
-    """The database of what came into force and of the orders."""
+    """The database of applied configurations and of commands."""
 
-    def test_a_golden_database_is_read_and_written_on(self):
+    def test_a_golden_database_is_read_and_extended(self):
         history = AuditLog(str(self.copied(samples.HISTORY)), 1 << 20)
         self.assertEqual(history.history(), samples.HISTORY_ROWS)
         for version in (samples.OLD_VERSION, samples.NEW_VERSION):
@@ -255,22 +267,22 @@
 
 
 def database(path: Path) -> dict[str, tuple[list, list]]:
-    """Columns and rows of every table."""
-    with closing(sqlite3.connect(path)) as held:
-        names = [name for (name,) in held.execute("SELECT name FROM sqlite_master WHERE type = 'table'")]
+    """Return the columns and rows of every table."""
+    with closing(sqlite3.connect(path)) as connection:
+        names = [name for (name,) in connection.execute("SELECT name FROM sqlite_master WHERE type = 'table'")]
         return {
             name: (
-                held.execute(f"PRAGMA table_info({name})").fetchall(),
-                held.execute(f"SELECT * FROM {name}").fetchall(),
+                connection.execute(f"PRAGMA table_info({name})").fetchall(),
+                connection.execute(f"SELECT * FROM {name}").fetchall(),
             )
             for name in names
         }
 
 
 class TestEarlierFormat(GoldenFolders):
-    """A data folder of the earlier format."""
+    """Data folders of the earlier format."""
 
-    def test_the_golden_folder_is_what_the_samples_say(self):
+    def test_the_golden_folder_equals_the_samples(self):
         samples.write_earlier(self.folder / "written")
         self.assertEqual(samples.files_of(self.folder / "written"), samples.files_of(samples.EARLIER))
 
@@ -285,25 +297,25 @@
         self.assertEqual(data_folder.dump_config(copy).ok, samples.config_body(samples.OLD_VERSION).decode())
         self.assertEqual(json.loads(samples.EARLIER_DUMP_FILE.read_text())["mapleline"], 1)
 
-    def test_nothing_of_it_is_believed_and_it_is_put_aside_whole(self):
+    def test_none_of_its_files_is_used_and_all_are_put_aside(self):
         store = SnapshotStore(str(self.copied(samples.EARLIER)))
         golden = samples.files_of(samples.EARLIER)
-        record, contents, bad = store.load()
-        self.assertEqual((record, contents, len(bad)), (None, {}, 1))
-        self.assertTrue(str(bad[0]).endswith(migration.LEGACY_FAULT))
+        record, contents, faults = store.load()
+        self.assertEqual((record, contents, len(faults)), (None, {}, 1))
+        self.assertTrue(str(faults[0]).endswith(migration.LEGACY_FAULT))
         store.quarantine()
-        aside = {name.replace("word/", "word-1/"): data for name, data in golden.items()}
-        self.assertEqual(samples.files_of(self.folder / "copy"), aside)
+        put_aside = {name.replace("word/", "word-1/"): data for name, data in golden.items()}
+        self.assertEqual(samples.files_of(self.folder / "copy"), put_aside)
 
 
 class SnapshotDisk(SnapshotStore):
-    """A real data folder in the place of a simulated machine's disk: it refuses nothing and never hangs."""
+    """A real data folder as the disk of a simulated machine; it never refuses writes and never hangs."""
 
     refuses_writes, hangs_until = False, 0.0
 
 
 class TestNodes(GoldenFolders):
-    """Whole nodes, on a virtual clock, started on golden folders."""
+    """Whole nodes on a virtual clock, started with golden folders as their disks."""
 
     def setUp(self):
         super().setUp()
@@ -312,14 +324,14 @@
         self.world = World(3, Topology(samples.ZONES, stateless_per_zone=0))
         self.assertEqual([machine.ip for machine in self.world.control_replicas], list(samples.ADDRESSES))
 
-    def give(self, machine: Machine, golden: Path) -> Path:
-        """The machine's disk is a copy of that golden folder."""
+    def set_disk(self, machine: Machine, golden: Path) -> Path:
+        """Make a copy of a golden folder the machine's disk, and return the copy."""
         folder = self.copied(golden, machine.name)
         machine.disk = SnapshotDisk(str(folder))
         return folder
 
-    def test_what_is_on_golden_folders_is_in_force_after_a_start(self):
-        loaded: dict[int, object] = {}  # by address: the state that a replica knew to be chosen when it was loaded
+    def test_the_state_of_golden_folders_is_in_force_after_a_start(self):
+        loaded: dict[int, object] = {}  # address -> state that the replica knew to be chosen when loaded
         load = LocalReplica.load
 
         def watched_load(replica: LocalReplica) -> object:
@@ -329,12 +341,12 @@
         watched = mock.patch.object(LocalReplica, "load", watched_load)
         watched.start()
         self.addCleanup(watched.stop)
-        for nth, machine in enumerate(self.world.control_replicas, 1):
-            self.give(machine, samples.SNAPSHOTS / f"machine_{nth}")
+        for number, machine in enumerate(self.world.control_replicas, 1):
+            self.set_disk(machine, samples.SNAPSHOTS / f"machine_{number}")
             machine.start()
         self.world.run(6.0)
         old, new = samples.agreed_state(5, samples.OLD_VERSION), samples.agreed_state(6, samples.NEW_VERSION)
-        # machine 2 had accepted the newest, and did not know yet that it is chosen
+        # Machine 2 had accepted the newest state without knowing that it was chosen.
         self.assertEqual(loaded, dict(zip(samples.ADDRESSES, (new, old, new), strict=True)))
         for machine in self.world.control_replicas:
             with self.subTest(machine.name):
@@ -345,19 +357,19 @@
                 self.assertTrue(machine.is_voter())
                 self.assertIsNotNone(machine.active_configuration())
 
-    def test_machines_on_folders_of_the_earlier_format_put_them_aside_and_found_a_core(self):
-        folders = [self.give(machine, samples.EARLIER) for machine in self.world.control_replicas]
+    def test_machines_with_folders_of_the_earlier_format_put_them_aside_and_found_a_core(self):
+        folders = [self.set_disk(machine, samples.EARLIER) for machine in self.world.control_replicas]
         golden = samples.files_of(samples.EARLIER)
-        aside = {name.replace("word/", "word-1/"): data for name, data in golden.items()}
+        put_aside = {name.replace("word/", "word-1/"): data for name, data in golden.items()}
         self.world.start()
         self.world.run(8.0)
         for machine, folder in zip(self.world.control_replicas, folders, strict=True):
             with self.subTest(machine.name):
                 self.assertIsNotNone(machine.node.control_plane.state)
-                self.assertIsNone(machine.node.proxy.table)  # the operator sends the configuration anew
+                self.assertIsNone(machine.node.proxy.table)  # the operator has to send the configuration again
                 files = samples.files_of(folder)
-                self.assertEqual({name: files[name] for name in aside}, aside)
-                self.assertEqual(files.keys() - aside.keys(), {"word/replica"})
+                self.assertEqual({name: files[name] for name in put_aside}, put_aside)
+                self.assertEqual(files.keys() - put_aside.keys(), {"word/replica"})
 
 
 if __name__ == "__main__":
