--- a/mapleline/balancer/cli/operator_client.py
+++ b/mapleline/balancer/cli/operator_client.py
@@ -10,7 +10,7 @@
 
 from ..settings import parse_address
 
-TIMEOUT_S = 8.0
+REQUEST_TIMEOUT_S = 8.0
 MAX_REDIRECTS = 2
 """Maximum number of 307 redirects followed per address (PROTOCOL.md, callers of `control_plane`)."""
 NO_ANSWER = 0
@@ -19,7 +19,7 @@
 """Stands for an HTTP status if no address was given."""
 REDIRECT_SCHEME = "http://"
 RETRYABLE_CLIENT_ERRORS = (408, 429)
-UNCERTAIN = "it may be in force or not: send the same again, unchanged, to any ingress; twice is once"
+UNCERTAIN_ADVICE = "it may be in force or not: send the same again, unchanged, to any ingress; twice is once"
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,9 +85,9 @@
             case "POST", _, 409:
                 return "refused: nothing was changed"
             case "POST", _, 0:
-                return UNCERTAIN
+                return UNCERTAIN_ADVICE
             case "POST", _, 503:
-                return "no majority of the core in time: " + UNCERTAIN
+                return "no majority of the core in time: " + UNCERTAIN_ADVICE
             case "GET", "/status", _:
                 return ""
             case "GET", _, 0 | 503:
@@ -136,7 +136,7 @@
 
 
 def _send(host: str, port: int, call: Call) -> Answer:
-    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
+    connection = http.client.HTTPConnection(host, port, timeout=REQUEST_TIMEOUT_S)
     try:
         connection.request(call.method, call.path, call.body, {"Content-Type": "application/json"})
         response = connection.getresponse()
--- a/mapleline/balancer/cli/trial/checks.py
+++ b/mapleline/balancer/cli/trial/checks.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """An action, and a condition that has to hold within `WAIT_S` after it."""
+    """An action, and a condition that has to hold within `WAIT_TIMEOUT_S` after it."""
 
     title: str
     condition: Callable[[], bool]
--- a/mapleline/balancer/cli/trial/cluster.py
+++ b/mapleline/balancer/cli/trial/cluster.py
@@ -27,7 +27,7 @@
 
 NO_ANSWER = 0
 """Stands for an HTTP status if a request got no answer."""
-WAIT_S = 15.0
+WAIT_TIMEOUT_S = 15.0
 """Maximum time to wait for a condition, a command or the end of a process."""
 KILL_AFTER_S = 5.0
 CLIENT_TIMEOUT_S = 3.0
@@ -54,11 +54,11 @@
 
 
 def wait_until(description: str, condition: Callable[[], bool]) -> str | None:
-    """Poll a condition; return a fault if it does not hold within `WAIT_S`."""
-    deadline = time.monotonic() + WAIT_S
+    """Poll a condition; return a fault if it does not hold within `WAIT_TIMEOUT_S`."""
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
         if time.monotonic() > deadline:
-            return f"not seen in {WAIT_S:g} s: {description}"
+            return f"not seen in {WAIT_TIMEOUT_S:g} s: {description}"
         time.sleep(POLL_INTERVAL_S)
     return None
 
@@ -116,7 +116,7 @@
         """Shut a node down gracefully; return its exit status."""
         process = self._processes.pop(name)
         process.terminate()
-        return process.wait(WAIT_S)
+        return process.wait(WAIT_TIMEOUT_S)
 
     def suspend(self, name: str) -> None:
         """Suspend a node's process with SIGSTOP."""
@@ -176,8 +176,8 @@
         return self.call(name, FRONT_PORT, HttpRequest(method, path, body, headers), timeout_s)
 
     def replace_configuration(self, name: str, body: bytes) -> int:
-        """Send a configuration to a node until it accepts or rejects it, at most `WAIT_S`; return the last status."""
-        deadline = time.monotonic() + WAIT_S
+        """Send a configuration until it is accepted, rejected or `WAIT_TIMEOUT_S` is over; return the last status."""
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         while True:
             request = HttpRequest("POST", "/config/replace", body)
             status = self.call(name, CONTROL_PORT, request, COMMAND_TIMEOUT_S).status
--- a/mapleline/balancer/discovery/endpoints.py
+++ b/mapleline/balancer/discovery/endpoints.py
@@ -153,13 +153,13 @@
             return False
         self.fetched_at = fetched_at
         self.body = body
-        self.instances = {entry.instance_id: self._instance(fetched_at, entry) for entry in listed}
+        self.instances = {entry.instance_id: self._make_instance(fetched_at, entry) for entry in listed}
         digest = _digest(self.instances, fetched_at)
         has_changed = digest != self.digest
         self.digest = digest
         return has_changed
 
-    def _instance(self, fetched_at: float, entry: ListedInstance) -> Instance:
+    def _make_instance(self, fetched_at: float, entry: ListedInstance) -> Instance:
         known = self.instances.get(entry.instance_id)
         is_warming = parse_duration(entry.cold_left) > 0
         warming_until = self._warming_until(fetched_at, entry, known)
--- a/mapleline/balancer/discovery/platform_client.py
+++ b/mapleline/balancer/discovery/platform_client.py
@@ -42,7 +42,7 @@
 MAX_RESPONSE_BYTES = 1 << 24
 
 #: Number of free buffers kept; connections are not reused, so few are needed.
-KEPT_BUFFERS = 2
+MAX_FREE_BUFFERS = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +99,7 @@
         self.settings = settings
         self.endpoints = endpoints
         self.on_listed = on_listed
-        self._pool = BufferPool(max_free=KEPT_BUFFERS)
+        self._pool = BufferPool(max_free=MAX_FREE_BUFFERS)
         self._is_fetching = False
 
     def fetch(self) -> None:
--- a/mapleline/balancer/heartbeats.py
+++ b/mapleline/balancer/heartbeats.py
@@ -22,11 +22,11 @@
     from .topology import Topology
 
 HEARTBEAT_INTERVAL_S = 0.5
-REMOTE_EVERY = 2
+HEARTBEATS_PER_REMOTE_ONE = 2
 """One heartbeat in this many also goes to another region."""
-FEW_MEMBERS = 3
+MIN_LIVE_MEMBERS = 3
 """With fewer live members, all seeds and all failed members are contacted with each heartbeat."""
-REJOIN_EVERY = 8
+HEARTBEATS_PER_REJOIN_ATTEMPT = 8
 """Otherwise one seed or failed member is contacted per this many heartbeats, as a partition may have ended."""
 LIST_AGE_TOLERANCE_S = 0.05
 """An endpoint list that is newer by less than this is not fetched."""
@@ -77,20 +77,20 @@
         self.refresh_own_row(now)
         live_count = len(self._membership.alive(now))
         heartbeat = self.make_heartbeat()
-        is_remote_due = self._sequence % REMOTE_EVERY == 0
+        is_remote_due = self._sequence % HEARTBEATS_PER_REMOTE_ONE == 0
         for ip in self._membership.heartbeat_targets(now, self._local_zones, self._sequence, is_remote_due):
             self._context.send(ip, heartbeat)
-        if live_count < FEW_MEMBERS or self._sequence % REJOIN_EVERY == 0:
-            self._contact_missing(now, live_count)
+        if live_count < MIN_LIVE_MEMBERS or self._sequence % HEARTBEATS_PER_REJOIN_ATTEMPT == 0:
+            self._contact_missing_members(now, live_count)
 
     def refresh_own_row(self, now: float) -> None:
         """Update this node's row: one more heartbeat, with the present flags."""
         self._membership.record_heartbeat(now, self._member_flags())
 
-    def _contact_missing(self, now: float, live_count: int) -> None:
+    def _contact_missing_members(self, now: float, live_count: int) -> None:
         """Send heartbeats that ask for a reply to seeds and failed members."""
         candidates = {ip_to_int(host) for host, _ in self.seed_nodes} | set(self._membership.unreachable_ips(now))
-        if live_count >= FEW_MEMBERS and candidates:
+        if live_count >= MIN_LIVE_MEMBERS and candidates:
             candidates = {self._context.rng.choice(sorted(candidates))}
         for ip in sorted(candidates - {self._membership.local_member.ip}):
             self._context.send(ip, self.make_heartbeat(is_reply_wanted=True))
--- a/mapleline/balancer/membership/heartbeat_codec.py
+++ b/mapleline/balancer/membership/heartbeat_codec.py
@@ -10,7 +10,7 @@
 
 _ROW_FORMAT = struct.Struct("<IIIBBH")
 _AGE_UNITS_PER_S = 100  # ages are encoded in units of 10 ms
-MAX_AGE = 0xFFFF  #: in units of 10 ms; the newest heartbeat is 655 s old or more, or was never seen
+MAX_AGE_UNITS = 0xFFFF  #: in units of 10 ms; the newest heartbeat is 655 s old or more, or was never seen
 
 
 class MemberRow(NamedTuple):
@@ -21,21 +21,23 @@
     heartbeat_count: int
     zone: int
     flags: int  #: bits of `MemberFlags`
-    age: int  #: the age of the newest heartbeat in units of 10 ms, at most `MAX_AGE`
+    age_units: int  #: the age of the newest heartbeat in units of 10 ms, at most `MAX_AGE_UNITS`
 
     @property
     def age_s(self) -> float:
         """The age of the newest heartbeat in seconds."""
-        return self.age / _AGE_UNITS_PER_S
+        return self.age_units / _AGE_UNITS_PER_S
 
 
 def encode_rows(members: Iterable[Member], now: float) -> bytes:
     """Return the encoded rows of these members, in their order, with ages as of `now` in seconds."""
     rows = []
     for member in members:
-        age = min(MAX_AGE, max(0, int((now - member.last_heartbeat) * _AGE_UNITS_PER_S)))
+        age_units = min(MAX_AGE_UNITS, max(0, int((now - member.last_heartbeat) * _AGE_UNITS_PER_S)))
         rows.append(
-            _ROW_FORMAT.pack(member.ip, member.incarnation, member.heartbeat_count, member.zone, member.flags, age)
+            _ROW_FORMAT.pack(
+                member.ip, member.incarnation, member.heartbeat_count, member.zone, member.flags, age_units
+            )
         )
     return b"".join(rows)
 
--- a/mapleline/balancer/membership/incarnations.py
+++ b/mapleline/balancer/membership/incarnations.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-MAX_UNLISTED = 256  #: beyond it the oldest entry is evicted, so that a flood of senders cannot exhaust the memory
+MAX_UNLISTED_SENDERS = (
+    256  #: beyond it the oldest entry is evicted, so that a flood of senders cannot exhaust the memory
+)
 
 
 class UnlistedIncarnations:
@@ -19,7 +21,7 @@
     def observe(self, ip: int, incarnation: int) -> None:
         """Record that a message was received from this incarnation of a sender."""
         known = self._incarnations
-        if ip not in known and len(known) >= MAX_UNLISTED:
+        if ip not in known and len(known) >= MAX_UNLISTED_SENDERS:
             del known[next(iter(known))]
         known[ip] = max(incarnation, known.get(ip, 0))
 
--- a/mapleline/balancer/membership/table.py
+++ b/mapleline/balancer/membership/table.py
@@ -11,16 +11,18 @@
 
 from math import log2
 
-from .heartbeat_codec import MAX_AGE, MemberRow, decode_first_row, decode_rows, encode_rows
+from .heartbeat_codec import MAX_AGE_UNITS, MemberRow, decode_first_row, decode_rows, encode_rows
 from .heartbeat_ring import heartbeat_targets
 from .incarnations import UnlistedIncarnations
 from .member import NEVER, Member, MemberFlags
 
 FORGET_AFTER_S = 60.0  #: a member without a heartbeat for longer is removed, unless it is retained
-MISSED_HEARTBEATS = 2.75  #: tolerated before a member counts as failed, beside those an update takes on the ring
-OWN_HEARTBEATS_KEPT = 200  #: number of send times kept: 100 s, longer than any accepted datagram can be delayed
+TOLERATED_MISSED_HEARTBEATS = (
+    2.75  #: tolerated before a member counts as failed, beside those an update takes on the ring
+)
+MAX_OWN_HEARTBEAT_TIMES = 200  #: number of send times kept: 100 s, longer than any accepted datagram can be delayed
 MAX_INCARNATION = 0xFFFFFFFF  #: 32 bits on the wire
-_KEPT_BY_A_RESTART = int(MemberFlags.HAS_DISK | MemberFlags.CAN_PROPOSE)
+_FLAGS_KEPT_BY_RESTART = int(MemberFlags.HAS_DISK | MemberFlags.CAN_PROPOSE)
 _HAS_DISK = int(MemberFlags.HAS_DISK)
 
 
@@ -51,7 +53,7 @@
 
         An update takes up to about log2(n) heartbeats, half of that on average, and some of them may be lost.
         """
-        return self.heartbeat_interval_s * (MISSED_HEARTBEATS + log2(max(2, len(self.members))) / 2)
+        return self.heartbeat_interval_s * (TOLERATED_MISSED_HEARTBEATS + log2(max(2, len(self.members))) / 2)
 
     def add_member(self, ip: int, zone: int, flags: int) -> None:
         """Add a member named by a record on the disk; it is not alive until one of its heartbeats is known."""
@@ -79,7 +81,7 @@
         elif incarnation > member.incarnation and member is not self.local_member:
             member.incarnation = incarnation
             member.heartbeat_count = 0
-            member.flags &= _KEPT_BY_A_RESTART
+            member.flags &= _FLAGS_KEPT_BY_RESTART
 
     def refute(self, incarnation: int, heartbeat_count: int = 0) -> None:
         """Raise the own incarnation above one that another ingress has seen of this address, if that one is newer.
@@ -100,7 +102,7 @@
         local.last_heartbeat = now
         local.flags = int(flags)
         self._own_heartbeat_times[local.heartbeat_count] = now
-        self._own_heartbeat_times.pop(local.heartbeat_count - OWN_HEARTBEATS_KEPT, None)
+        self._own_heartbeat_times.pop(local.heartbeat_count - MAX_OWN_HEARTBEAT_TIMES, None)
         self._forget_failed_members(now)
 
     def _forget_failed_members(self, now: float) -> None:
@@ -144,7 +146,7 @@
         the true age is higher by the heartbeat's delay.  Hence the table was sent at the sum of the heartbeat's send
         time and the reported age, or later.
         """
-        if row.incarnation == self.local_member.incarnation and row.age < MAX_AGE:
+        if row.incarnation == self.local_member.incarnation and row.age_units < MAX_AGE_UNITS:
             heartbeat_sent_at = self._own_heartbeat_times.get(row.heartbeat_count, NEVER)
             self.last_merge_sent_at = min(now, heartbeat_sent_at + row.age_s)
         self.refute(row.incarnation, row.heartbeat_count)
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -96,18 +96,18 @@
         self.proxy = self._make_proxy()
         self.slow_start_leases = self._make_slow_start_leases()
         self.proxy.slow_start.leases = self.slow_start_leases
-        self.front = Listener(reactor, body_pool, self.proxy.handle_request, STREAM_THRESHOLD_BYTES)
-        self.listeners = [self.front]
+        self.front_listener = Listener(reactor, body_pool, self.proxy.handle_request, STREAM_THRESHOLD_BYTES)
+        self.listeners = [self.front_listener]
         self.control = ControlApi(self.control_plane, self.status)
         self.directory = Directory(reactor, settings, self.membership, self.context.rng, self.has_read_lease)
-        self.applier = ConfigurationApplier(
+        self.configuration_applier = ConfigurationApplier(
             self.control_plane,
             self.fence,
             self.proxy,
-            self.front,
+            self.front_listener,
             self.quota_client.replica.on_home_regions_changed,
         )
-        self.platform = environment.platform_client(self.endpoints, self._on_endpoints_fetched)
+        self.platform_client = environment.platform_client(self.endpoints, self._on_endpoints_fetched)
         self._make_drivers()
 
     def _make_context(self, reactor: Reactor, settings: Settings, environment: Environment) -> NodeContext:
@@ -162,7 +162,9 @@
             context, self.topology, self.control_plane, self.endpoints, self.leadership, self.member_flags
         )
         self.load_reporter = LoadReporter(context, self.topology, self.proxy, self.fence)
-        self.poller = EndpointPoller(context, self.endpoints, self.leadership, self.electorate, self.platform.fetch)
+        self.poller = EndpointPoller(
+            context, self.endpoints, self.leadership, self.electorate, self.platform_client.fetch
+        )
         self.housekeeping = Housekeeping(
             context,
             self.listeners,
@@ -221,7 +223,7 @@
                 self.listeners.append(listener)
                 self._listen_at(address, listener, CONTROL_BACKLOG)
         if addresses.front_addr is not None:
-            self._listen_at(addresses.front_addr, self.front, FRONT_BACKLOG)
+            self._listen_at(addresses.front_addr, self.front_listener, FRONT_BACKLOG)
 
     def _listen_at(self, address: tuple[str, int], listener: Listener, backlog: int) -> None:
         host, port = address
@@ -297,7 +299,7 @@
     # -- callbacks of the parts ----------------------------------------------------------------------------
 
     def _on_state_committed(self, before: State | None) -> None:
-        self.applier.apply(before)
+        self.configuration_applier.apply(before)
 
     def _on_state_learned(self) -> None:
         self.heartbeats.notify_assigned_nodes()
--- a/mapleline/balancer/transport/connections.py
+++ b/mapleline/balancer/transport/connections.py
@@ -156,11 +156,11 @@
 
     connect_result: Deferred[CallerConnection] | None = None  #: fires once connected; set by `dial`
 
-    def __init__(self, fence: Fence, call: OutstandingCall, done: Deferred[messages.Reply]) -> None:
-        """Create the end of one call; `done` fires with the reply, or with the error that prevented one."""
+    def __init__(self, fence: Fence, call: OutstandingCall, result: Deferred[messages.Reply]) -> None:
+        """Create the end of one call; `result` fires with the reply, or with the error that prevented one."""
         self._fence = fence
         self._call = call
-        self._done: Deferred[messages.Reply] | None = done
+        self._result: Deferred[messages.Reply] | None = result
 
     def connectionMade(self) -> None:
         """Report the established connection to `dial`."""
@@ -170,21 +170,21 @@
 
     def stringReceived(self, data: bytes) -> None:
         """Handle the first message as the reply, and close the connection."""
-        done, self._done = self._done, None
+        result, self._result = self._result, None
         self.transport.loseConnection()
         try:
             reply = self._fence.receive_reply(self._call, data)
         except UnexpectedReplyError as error:
-            if done is not None and not done.called:
-                done.errback(error)
+            if result is not None and not result.called:
+                result.errback(error)
             return
-        if done is not None and not done.called:
-            done.callback(reply)
+        if result is not None and not result.called:
+            result.callback(reply)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Fail the call if no reply was received."""
-        if self._done is not None and not self._done.called:
-            self._done.errback(reason)
+        if self._result is not None and not self._result.called:
+            self._result.errback(reason)
 
 
 class OutgoingCall:
@@ -195,7 +195,7 @@
         self._fence = fence
         self._ip = ip
         self._call, self._request = fence.stamp_call(ip, message)
-        self._done: Deferred[messages.Reply] = Deferred()
+        self._result: Deferred[messages.Reply] = Deferred()
         self._connection: CallerConnection | None = None
 
     def start(self, reactor: Reactor, port: int, timeout_s: float) -> Deferred[messages.Reply]:
@@ -205,22 +205,22 @@
         self._dialing = dial(reactor, address, make_connection, timeout_s)
         self._timer = reactor.callLater(timeout_s, self._time_out)
         self._dialing.addCallbacks(self._send_request, self._fail)
-        return self._done.addBoth(self._stop_timer)
+        return self._result.addBoth(self._stop_timer)
 
     def _make_connection(self) -> CallerConnection:
-        return CallerConnection(self._fence, self._call, self._done)
+        return CallerConnection(self._fence, self._call, self._result)
 
     def _send_request(self, connection: CallerConnection) -> None:
         self._connection = connection
         connection.send_message(self._request)
 
     def _fail(self, reason: Failure) -> None:
-        if not self._done.called:
-            self._done.errback(reason)
+        if not self._result.called:
+            self._result.errback(reason)
 
     def _time_out(self) -> None:
         """Abort the connection or cancel dialing; either makes the call fail."""
-        if self._done.called:
+        if self._result.called:
             return
         if self._connection is not None:
             self._connection.transport.abortConnection()
--- a/tests/balancer/transport/test_connections.py
+++ b/tests/balancer/transport/test_connections.py
@@ -29,9 +29,9 @@
         self.caller_fence, self.callee_fence = make_fence(1, 10, {2: 20}), make_fence(2, 20)
         self.replies, self.errors, self.carried_out = [], [], []
         outstanding, data = self.caller_fence.stamp_call(2, FetchState(7))
-        done = Deferred()
-        done.addCallbacks(self.replies.append, lambda reason: self.errors.append(str(reason.value)))
-        self.caller = CallerConnection(self.caller_fence, outstanding, done)
+        result = Deferred()
+        result.addCallbacks(self.replies.append, lambda reason: self.errors.append(str(reason.value)))
+        self.caller = CallerConnection(self.caller_fence, outstanding, result)
         self.callee = CalleeFactory(self.callee_fence, self.carry_out).buildProtocol(None)
         for connection in (self.caller, self.callee):
             connection.makeConnection(mock.Mock())
