--- a/mapleline/balancer/cli/data_folder.py
+++ b/mapleline/balancer/cli/data_folder.py
@@ -94,7 +94,8 @@
 def restore_archive(folder: Path, dump: bytes) -> Result[str, str]:
     """Write a dump into an empty data folder.
 
-    The disk gets a new identity and no vote: the voters have to admit the machine like one whose disk was lost.
+    The disk gets a new identity and no vote: the machine first asks the voters, which admit it like one whose disk was
+    lost.
     """
     try:
         state, contents = _parse_dump(dump)
--- a/mapleline/balancer/settings.py
+++ b/mapleline/balancer/settings.py
@@ -88,7 +88,7 @@
 
 
 class Tolerance(SettingsSection):
-    """Numbers of machines and of whole zones that may fail at once without loss of the control state."""
+    """Numbers of machines and of whole zones whose simultaneous loss the control replicas have to survive."""
 
     machine_losses: int = 1
     zones: int = 0
--- a/mapleline/balancer/transport/messages/membership.py
+++ b/mapleline/balancer/transport/messages/membership.py
@@ -6,7 +6,7 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True, tag=1):
-    """From each ingress to a few others, in turn to all: the sender's membership table and the age of its data."""
+    """From each ingress to a few others, in turn to all: the sender's membership table and how recent its data are."""
 
     member_rows: bytes  #: the sender's membership table (`heartbeat_codec`), its own row first
     state_number: int  #: the newest control state that the sender knows to be chosen; 0 for none
