--- a/mapleline/ingress.py
+++ b/mapleline/ingress.py
@@ -17,11 +17,11 @@
 from .http1.translator import Translator
 from .lifecycle import Lifecycle, Phase
 from .net.alarm import ReactorAlarm, unix_clock
-from .net.clients import Front, FrontPort, inherited_port
+from .net.clients import ClientListener, ClientListenerPort, inherited_port
 from .net.counter import CONNECTIONS, CounterDriver
 from .net.discovery import Directory, Watcher, backoff
-from .net.management import DESCRIPTORS as DOOR_DESCRIPTORS
-from .net.management import Door
+from .net.management import RESERVED_DESCRIPTORS as MANAGEMENT_DESCRIPTORS
+from .net.management import ManagementListener
 from .net.upstream import UpstreamPool
 from .policy import interface as i
 from .policy.brain import Brain
@@ -86,8 +86,8 @@
         for_bodies = int(max(BODIES_LEAST, (memory - OWN_MEMORY) * BODIES_SHARE))
         buffers = self.buffers = BufferPool(limit_bytes=for_bodies)
         self.engine = Engine(brain or Brain(start), clock)
-        for_door = DOOR_DESCRIPTORS if config.management else 0
-        self.own = SPARE_DESCRIPTORS + for_door + 2 * lanes  #: descriptors that serve nobody
+        for_management = MANAGEMENT_DESCRIPTORS if config.management else 0
+        self.own = SPARE_DESCRIPTORS + for_management + 2 * lanes  #: descriptors that serve nobody
         for_clients, for_servers = self._divided(config.sockets)
         self.upstreams = UpstreamPool(
             reactor,
@@ -102,7 +102,7 @@
         alarm = ReactorAlarm(reactor, clock, self.engine.handle_alarm)
         self.engine.connect(self.upstreams, self.counter, alarm)
         translator = Translator(start, config.class_names, config.plan_names)
-        self.front = Front(
+        self.front = ClientListener(
             reactor,
             self.engine,
             translator,
@@ -114,7 +114,7 @@
             max(MAX_BUFFERED_BODY_BYTES, int(for_bodies * BODY_SHARE)),
         )
         self.fault: ConfigError | None = None  #: why it could not start
-        self.door = Door(reactor, self.life, buffers, self._held)
+        self.management = ManagementListener(reactor, self.life, buffers, self._held)
         self.directory = Directory(config.zone_names, config.kind_names)
         self.watcher = self._watcher(config.discovery, whole=self.life.is_socket_shared)
 
@@ -145,7 +145,7 @@
 
     def _listed(self) -> None:
         self.life.mark_servers_known()
-        self.front.read_port()
+        self.front.update_accepting()
 
     def run(self) -> None:
         self.told(self._read_known(self.directory, self.config))
@@ -173,13 +173,13 @@
             if self.life.is_socket_shared:
                 self._inherit()
             else:
-                self.front.port = self._listen("listen", self.config.listen, self.front, FrontPort)
+                self.front.port = self._listen("listen", self.config.listen, self.front, ClientListenerPort)
             if self.config.management:
-                self.door.port = self._listen("management", self.config.management, self.door)
+                self.management.port = self._listen("management", self.config.management, self.management)
         except ConfigError as fault:
             self.fault = fault
             return self.reactor.stop()
-        ports = {"listen": self.front.port, "management": self.door.port}
+        ports = {"listen": self.front.port, "management": self.management.port}
         bound = {key: port.getHost() for key, port in ports.items() if port is not None}
         addresses = {key: f"{at.host}:{at.port}" for key, at in bound.items()}
         log("serving", name=self.config.name, servers=len(self.directory.places), **addresses)
@@ -209,7 +209,7 @@
         except OSError as err:
             raise ConfigError(f"{ACCEPT_FD}: {err.strerror or err}") from None
         os.close(fd)  # the reactor has a copy, and this one would outlive it
-        self.front.read_port()
+        self.front.update_accepting()
         host, port = self.front.port.getHost().host, self.front.port.getHost().port
         self.slots: Slots | None = None
         try:
@@ -308,11 +308,11 @@
         self.reactor.callLater(stay_s, self._finish)
 
     def _finish(self) -> None:
-        self.front.leave()
+        self.front.begin_shutdown()
         self._stop_when_done(self.reactor.seconds() + HALF_IN_S)
 
     def _stop_when_done(self, last: float) -> None:
-        if self.engine.requests or self.front.unfinished(self.reactor.seconds() < last):
+        if self.engine.requests or self.front.has_unfinished(self.reactor.seconds() < last):
             self.reactor.callLater(LEFT_S, self._stop_when_done, last)
         else:
             self.watcher.stop()
--- a/mapleline/net/clients.py
+++ b/mapleline/net/clients.py
@@ -1,4 +1,4 @@
-"""Client connections: bytes in and out of `ServerConnection`, requests to the engine, answers back."""
+"""Client connections: parses HTTP/1.1 requests, passes them to the engine and writes its answers."""
 
 from __future__ import annotations
 
@@ -33,273 +33,307 @@
 from ..telemetry import COUNTS, log
 from .streams import Stream
 
-SWEEP_S = 0.25
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-# From connecting to the end of the first head, or from a later one's first byte: a client may take 2 s for
-# it, and who sends nothing worth waiting for is owed an end within 3 s of connecting.
-HEAD_S = 2.4
-BODY_PER_S = 32 * 1024  # a body has as much longer as it would need at this rate: half of what clients may do
-CROWDED_S = 0.5  # for who has sent nothing, while there is no room for others
-PAUSED_S = 1.0  # then, for who has begun and sends no more
-LINGER_S = 1.0  # for a client to read why it was turned down and to close
-LINGER_MOST_S = 6.0  # while it still sends what nobody wants any more
-SLOW_S = 10.0  # for an answer to be taken
-IDLE_S = 60.0  # between requests
-MOST_DISCARDED = 256 * 1024  # bytes read behind an answer that is the last; what is left then goes unread
-OVERSHOOT = 24  # connections above the cap while none stands idle
-ACCEPTED_LEAST = 16  # in one turn, if so many come: fewer than the overshoot
+SWEEP_INTERVAL_S = 0.25
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+# For a request head, from the connect or from the first byte of a later head.  A client may take 2 s for a head, and a
+# client that sends no usable request must be disconnected within 3 s of connecting.
+HEAD_TIMEOUT_S = 2.4
+MIN_BODY_BYTES_PER_S = 32 * 1024  # extends the head timeout for a body; half of the rate that clients may send at
+CROWDED_SILENT_TIMEOUT_S = 0.5  # for a client that has sent nothing, while no more connections are accepted
+CROWDED_PAUSE_TIMEOUT_S = 1.0  # without a byte of a request that has begun, while no more connections are accepted
+LINGER_QUIET_S = 1.0  # after the last answer: for the client to read it and close, if it sends nothing more
+MAX_LINGER_S = 6.0  # after the last answer, while the client still sends bytes that are discarded
+SLOW_READER_TIMEOUT_S = 10.0  # for the client to read an answer
+IDLE_TIMEOUT_S = 60.0  # between requests
+MAX_DISCARDED_BYTES = 256 * 1024  # read and discarded after the last answer; reading stops beyond
+MAX_CONNECTIONS_OVER_LIMIT = 24  # connections above the limit while none is idle
+MIN_ACCEPTS_PER_TURN = 16  # accepted in a reactor turn at the limit too; below MAX_CONNECTIONS_OVER_LIMIT
 
 
 class ClientStream(Stream):
-    """One client connection."""
-
-    def __init__(self, front: Front) -> None:
-        self.front = front
-        self.machine = ServerConnection(front.pool, front.gather)
-        self.open: OpenRequest | None = None
-        self.id = b""  #: of the request in hand
-        self.asked = False  #: a whole request has come
-        self.since = front.reactor.seconds()  #: of the last change of what it waits for
-        self.heard = self.since  #: when it last sent anything
-        self.upload: Upload | None = None  #: takes the rest of the request in hand
-        self.source: Any = None  #: gives the rest of the answer in hand
-        self.reserved = 0  #: bytes of the pool's bound that the request in hand takes
-        self.discarded, self.discards = 0, MOST_DISCARDED
-        self.recent = 0.0  #: requests taken, the older ones weighing less; see `Front.fade`
+    """One client connection.
+
+    Attributes:
+        listener: the listener that accepted the connection.
+        http1: parses requests and frames answers.
+        open_request: the engine's record of the current request.
+        request_id: the id claimed for the current request; empty if there is none.
+        has_had_request: whether a complete request has arrived on the connection.
+        wait_began_s: reactor time of the last change of what the connection waits for.
+        last_received_s: reactor time at which bytes last arrived or reading resumed.
+        upload: takes the rest of the current request's body while it is streamed.
+        answer_source: supplies the rest of the current answer while it is streamed.
+        reserved_bytes: the part of the pool's limit that the current request's body uses.
+        discarded_bytes: bytes that arrived after the last answer.
+        max_discarded_bytes: reading stops beyond this many discarded bytes.
+        recent: the connection's load: requests received, halved by each `ClientListener.fade`.
+    """
+
+    def __init__(self, listener: ClientListener) -> None:
+        self.listener = listener
+        self.http1 = ServerConnection(listener.pool, listener.stream_threshold_bytes)
+        self.open_request: OpenRequest | None = None
+        self.request_id = b""
+        self.has_had_request = False
+        self.wait_began_s = listener.reactor.seconds()
+        self.last_received_s = self.wait_began_s
+        self.upload: Upload | None = None
+        self.answer_source: Any = None
+        self.reserved_bytes = 0
+        self.discarded_bytes, self.max_discarded_bytes = 0, MAX_DISCARDED_BYTES
+        self.recent = 0.0
 
     def connectionMade(self) -> None:
+        """Add the connection to the listener's."""
         super().connectionMade()
-        self.front.joined(self)
+        self.listener.add(self)
 
     def dataReceived(self, data: bytes) -> None:
-        machine = self.machine
-        self.heard = self.front.reactor.seconds()
+        """Take bytes from the client."""
+        http1 = self.http1
+        self.last_received_s = self.listener.reactor.seconds()
         if self.upload is not None:
-            return self._more(data)
-        if machine.closing:
-            # It is read for a while, since closing with bytes unread may cost the client its answer; who has
-            # 60 MB more to send is not waited for.
-            self.discarded += len(data)
-            if self.discarded > self.discards:
+            return self._receive_body_part(data)
+        if http1.closing:
+            # Closing with bytes unread resets the connection and may lose the answer, so some are read and
+            # discarded.  The bound keeps a client with 60 MB still to send from holding the connection.
+            self.discarded_bytes += len(data)
+            if self.discarded_bytes > self.max_discarded_bytes:
                 self.pause_reading()
             return
-        if self.asked and not machine.partial:
-            self.front.touch(self)  # who has not asked yet has its time from connecting
-        machine.receive(data)
-        if machine.busy or not self.is_flushed:
-            if machine.full:
-                # A client that writes on and on, behind a request in hand or an answer that it does not take,
-                # must not fill memory.
+        if self.has_had_request and not http1.partial:
+            self.listener.restart_wait(self)  # the first head's timeout runs from the connect
+        http1.receive(data)
+        if http1.busy or not self.is_flushed:
+            if http1.full:
+                # Bounds the memory of a client that keeps sending while its request is in flight or its answer is
+                # not read.
                 self.pause_reading()
             return
-        self._next()
+        self._process_requests()
 
-    def _read_on(self) -> None:
+    def _resume_if_paused(self) -> None:
         if not self.is_reading:
-            self.heard = self.front.reactor.seconds()
+            self.last_received_s = self.listener.reactor.seconds()
             self.resume_reading()
 
-    def _more(self, data: bytes) -> None:
-        """More of a body that goes on as it comes."""
-        machine, upload, opened = self.machine, self.upload, self.open
-        machine.receive(data)
+    def _receive_body_part(self, data: bytes) -> None:
+        """Take more of a streamed request body."""
+        http1, upload, open_request = self.http1, self.upload, self.open_request
+        http1.receive(data)
         try:
-            part = machine.next_part()
+            part = http1.next_part()
         except RemoteProtocolError as err:
             COUNTS["client.bad_request"] += 1
-            return self._give_up(err.status, err.reason)
-        if machine.is_streaming:
+            return self.abort_request(err.status, err.reason)
+        if http1.is_streaming:
             upload.put(part, False)
             if not upload.has_room:
                 self.pause_reading()
             return
         self.upload = None
         upload.put(part, True)
-        if opened is not None:
-            self.front.engine.handle_body_end(opened, opened.payload.arrival.ttl_ns)
-
-    def _give_up(self, status: int, why: str) -> None:
-        """The rest of the request in hand is not to be had."""
-        opened = self.open
-        self.answer(status, why.encode() + b"\n", last=True)
-        if opened is not None:
-            self.front.engine.handle_disconnect(opened)
-
-    def _spent(self) -> None:
-        if self.open is not None and not self.open.is_body_released:
-            self.open.is_body_released = True
-            self.open.payload.request.body = b""  # of no more use
-            self._release()
-
-    def _next(self) -> None:
-        # Never before the last answer is out: a slow reader holds one answer and no more.
-        while self.is_flushed and not self.machine.busy:
+        if open_request is not None:
+            self.listener.engine.handle_body_end(open_request, open_request.payload.arrival.ttl_ns)
+
+    def abort_request(self, status: int, reason: str) -> None:
+        """Answer a request whose body cannot be received, with an HTTP status and a reason, and cancel it."""
+        open_request = self.open_request
+        self.answer(status, reason.encode() + b"\n", last=True)
+        if open_request is not None:
+            self.listener.engine.handle_disconnect(open_request)
+
+    def _drop_sent_body(self) -> None:
+        """Free the buffered body: more has been sent than is held, so no other attempt can send it again."""
+        if self.open_request is not None and not self.open_request.is_body_released:
+            self.open_request.is_body_released = True
+            self.open_request.payload.request.body = b""
+            self._release_reservation()
+
+    def _process_requests(self) -> None:
+        # Only once the last answer is flushed, so that a slow reader holds no more than one answer.
+        while self.is_flushed and not self.http1.busy:
             try:
-                request = self.machine.next_request()
+                request = self.http1.next_request()
                 if request is None:
-                    if self.machine.take_expectation():
-                        self.send(CONTINUE)
+                    if self.http1.take_expectation():
+                        self.send(CONTINUE_RESPONSE)
                     break
-                self.asked = True
-                self._take(request)
+                self.has_had_request = True
+                self._handle_request(request)
             except ProtocolError as err:
                 COUNTS["client.bad_request"] += 1
                 COUNTS[f"client.bad_request.{err.status}"] += 1
-                self.answer(err.status, err.reason.encode() + b"\n", last=self.machine.closing)
-        machine = self.machine
-        if not self.is_reading and not (machine.full or machine.closing or machine.is_streaming) and self.is_flushed:
-            self._read_on()
+                self.answer(err.status, err.reason.encode() + b"\n", last=self.http1.closing)
+        http1 = self.http1
+        if not self.is_reading and not (http1.full or http1.closing or http1.is_streaming) and self.is_flushed:
+            self._resume_if_paused()
 
-    def _take(self, request: Request) -> None:
+    def _handle_request(self, request: Request) -> None:
         if request.target == READY_PATH and request.method == b"GET":
-            return self.answer(200 if self.front.life.is_address_ready else 503)
-        wish = self.front.translator.read(request)
-        if len(self.front.engine.requests) >= self.front.open_cap:
+            return self.answer(200 if self.listener.lifecycle.is_address_ready else 503)
+        client_request = self.listener.translator.read(request)
+        if len(self.listener.engine.requests) >= self.listener.open_cap:
             COUNTS["client.over_open_cap"] += 1
-            return self.reject(self.front.retry_ns, False)
-        if not self.front.ids.claim(wish.id):
-            if self.front.outcome is not None and (known := self.front.outcome(wish.id)) is not None:
+            return self.reject(self.listener.retry_after_ns, False)
+        if not self.listener.ids.claim(client_request.id):
+            if self.listener.outcome is not None and (known := self.listener.outcome(client_request.id)) is not None:
                 return self.answer(known[0], known[1], known[2])
-            # Sent on, it would be a second copy of that request to whoever looks at ids.
+            # If it were forwarded, servers that deduplicate by id would take it for a copy of the request in flight.
             raise RejectedRequestError(409, "the id of an open request")
-        self.id = wish.id
+        self.request_id = client_request.id
         self.recent += 1
         if request.is_streamed:
-            self.upload = wish.upload = Upload(request.length, self._read_on, self._spent)
-            self.pause_reading()  # until an attempt takes what there is
+            self.upload = client_request.upload = Upload(request.length, self._resume_if_paused, self._drop_sent_body)
+            self.pause_reading()  # until an attempt has sent the bytes received so far
         if len(request.body) > MAX_BUFFERED_BODY_BYTES:
-            self.reserved = 2 * len(request.body)  # held to be sent again, and once more on its way out
-            self.front.pool.reserved_bytes += self.reserved
-        opened = self.front.engine.accept(wish.arrival, wish, self)
-        if not opened.is_answered:
-            self.open = opened
+            self.reserved_bytes = 2 * len(request.body)  # the copy kept for retries and the copy being written
+            self.listener.pool.reserved_bytes += self.reserved_bytes
+        open_request = self.listener.engine.accept(client_request.arrival, client_request, self)
+        if not open_request.is_answered:
+            self.open_request = open_request
 
     def answer(self, status: int, body: bytes = b"", lines: bytes = b"", last: bool = False) -> None:
-        self.open = self.upload = None
-        self._forget()
+        """Send a complete answer.
+
+        Args:
+            status: HTTP status.
+            body: the body.
+            lines: further header lines, each with its line end.
+            last: whether the connection closes after this answer with bytes of the client possibly unread.
+        """
+        self.open_request = self.upload = None
+        self._release_request()
         if not self.connected:
             return
-        if self.front.life.closes_after_answer:
-            self.machine.closing = True
-        if self.machine.is_streaming:
-            # What is still to come is no request; a client may read its answer only once it has sent that.
-            self.machine.closing = last = True
-            self.discards = MAX_BODY_BYTES
-        self.send(self.machine.answer(status, body, lines))
-        self._rest(last)
-
-    def _rest(self, last: bool) -> None:
-        """The answer is out: what becomes of the connection."""
-        self.front.touch(self)
+        if self.listener.lifecycle.closes_after_answer:
+            self.http1.closing = True
+        if self.http1.is_streaming:
+            # The rest of the body is discarded; some clients read the answer only after they have sent all of it.
+            self.http1.closing = last = True
+            self.max_discarded_bytes = MAX_BODY_BYTES
+        self.send(self.http1.answer(status, body, lines))
+        self._finish_answer(last)
+
+    def _finish_answer(self, last: bool) -> None:
+        """Close the connection after its answer, or wait for the next request."""
+        self.listener.restart_wait(self)
         if last:
-            # Closing with bytes unread resets the connection, and the client may never see why.
+            # Closing with bytes unread resets the connection, and the client may lose the answer.
             self.transport.loseWriteConnection()
-            self._read_on()
-        elif self.machine.closing:
+            self._resume_if_paused()
+        elif self.http1.closing:
             self.transport.loseConnection()
-        elif self.front.wanted:
-            self.front.rested(self)
-            if self.is_flushed and self.machine.partial:
-                self.front.reactor.callLater(0, self._next_if_connected)
-        elif self.is_flushed and self.machine.partial:
-            self.front.reactor.callLater(0, self._next_if_connected)
-
-    def _forget(self) -> None:
-        """The request in hand is over."""
-        if self.id:
-            self.front.ids.release(self.id)
-            self.id = b""
-        self._release()
-
-    def _release(self) -> None:
-        self.front.pool.reserved_bytes -= self.reserved
-        self.reserved = 0
-
-    def _next_if_connected(self) -> None:
+        elif self.listener.wanted_load:
+            self.listener.offer_for_hand_over(self)
+            if self.is_flushed and self.http1.partial:
+                self.listener.reactor.callLater(0, self._process_if_connected)
+        elif self.is_flushed and self.http1.partial:
+            self.listener.reactor.callLater(0, self._process_if_connected)
+
+    def _release_request(self) -> None:
+        """Release the id and the memory of the current request."""
+        if self.request_id:
+            self.listener.ids.release(self.request_id)
+            self.request_id = b""
+        self._release_reservation()
+
+    def _release_reservation(self) -> None:
+        self.listener.pool.reserved_bytes -= self.reserved_bytes
+        self.reserved_bytes = 0
+
+    def _process_if_connected(self) -> None:
         if self.connected:
-            self._next()
+            self._process_requests()
 
-    # --- the engine's Answerer
+    # --- engine.drivers.Answerer
 
-    def send_answer(self, answer: Response) -> None:
-        kind = answer.headers.get(b"content-type")
-        self.answer(200, answer.body, b"Content-Type: %b\r\n" % kind if kind else b"")
+    def send_answer(self, response: Response) -> None:
+        """Send a complete answer."""
+        content_type = response.headers.get(b"content-type")
+        self.answer(200, response.body, b"Content-Type: %b\r\n" % content_type if content_type else b"")
 
-    def begin_answer(self, answer: Response, source: Any) -> None:
-        """The answer goes out as it comes: `part`s, then `ended`.  `source` is paused and resumed."""
+    def begin_answer(self, response: Response, source: Any) -> None:
+        """Begin a streamed answer: calls of `part` and one of `ended` follow; `source` is paused and resumed."""
         if not self.connected:
             return
-        if self.front.life.closes_after_answer:
-            self.machine.closing = True
-        self.source = source
-        self.front.touch(self)
-        kind = answer.headers.get(b"content-type")
-        lines = b"Content-Type: %b\r\n" % kind if kind else b""
-        self.send(self.machine.begin(200, lines, answer.length))
+        if self.listener.lifecycle.closes_after_answer:
+            self.http1.closing = True
+        self.answer_source = source
+        self.listener.restart_wait(self)
+        content_type = response.headers.get(b"content-type")
+        lines = b"Content-Type: %b\r\n" % content_type if content_type else b""
+        self.send(self.http1.begin(200, lines, response.length))
 
     def part(self, data: bytes) -> None:
-        self.send(self.machine.part(data))
-        if not self.is_flushed and self.source is not None:
-            self.source.pause()
+        """Send a part of the body of a streamed answer."""
+        self.send(self.http1.part(data))
+        if not self.is_flushed and self.answer_source is not None:
+            self.answer_source.pause()
 
     def ended(self, whole: bool) -> None:
-        """The last part has come; or no more will come, and the client is to see that."""
-        self.open = self.source = None
-        self._forget()
+        """End a streamed answer; if it is not `whole`, the client can tell so from how the connection closes."""
+        self.open_request = self.answer_source = None
+        self._release_request()
         if not self.connected:
             return
         if whole:
-            if end := self.machine.end():
+            if end := self.http1.end():
                 self.send(end)
-            return self._rest(False)
-        self.machine.closing = True
-        if self.machine.ends_by_close:
-            self.transport.abortConnection()  # an orderly end would say that it is whole
+            return self._finish_answer(False)
+        self.http1.closing = True
+        if self.http1.ends_by_close:
+            self.transport.abortConnection()  # after an orderly close the body would seem complete
         else:
-            self.transport.loseConnection()  # what came still goes out
+            self.transport.loseConnection()  # after the parts received so far are written
 
     def reject(self, retry_in_ns: int, over_quota: bool) -> None:
+        """Reject the request with 429 or 503, and Retry-After unless `retry_in_ns` is 0."""
         lines = b"Retry-After: %.3f\r\n" % (retry_in_ns / 1e9) if retry_in_ns > 0 else b""
         self.answer(429 if over_quota else 503, lines=lines)
 
     def fail(self, overdue: bool) -> None:
+        """Answer 504 after the deadline, else 502."""
         self.answer(504 if overdue else 502)
 
     def drop(self) -> None:
-        """Another ingress has the request: this client asks there."""
-        self.open = self.upload = None
-        self.id = b""  # held by the other now
-        self._release()
+        """Close the connection without an answer: another ingress has taken the request over."""
+        self.open_request = self.upload = None
+        self.request_id = b""  # the other ingress holds the id now
+        self._release_reservation()
         if self.connected:
             self.transport.abortConnection()
 
-    # --- the end of a connection
+    # --- events of the connection
 
     def on_flushed(self) -> None:
-        self.front.touch(self)
-        if self.source is not None:
-            self.source.resume()
-        elif not self.machine.closing:
-            self._next()
+        """Resume the source of the answer, or handle the next request."""
+        self.listener.restart_wait(self)
+        if self.answer_source is not None:
+            self.answer_source.resume()
+        elif not self.http1.closing:
+            self._process_requests()
 
     def connectionLost(self, reason: Failure) -> None:
+        """Release what the connection holds, and report the current request as abandoned."""
         super().connectionLost(reason)
-        self._forget()
-        self.machine.clear()
-        self.upload = self.source = None
-        self.front.parted(self)
-        if self.open is not None:
-            opened, self.open = self.open, None
-            self.front.engine.handle_disconnect(opened)
+        self._release_request()
+        self.http1.clear()
+        self.upload = self.answer_source = None
+        self.listener.remove(self)
+        if self.open_request is not None:
+            open_request, self.open_request = self.open_request, None
+            self.listener.engine.handle_disconnect(open_request)
 
     @property
     def idle(self) -> bool:
-        return not self.machine.busy and not self.machine.partial and self.is_flushed
+        """Whether the connection waits for a request of which no byte has arrived."""
+        return not self.http1.busy and not self.http1.partial and self.is_flushed
 
     def close(self) -> None:
-        """Between requests, or amid one that is not whole."""
-        self.machine.closing = True
-        self.front.touch(self)
+        """Close the connection between requests, or while a request is incomplete."""
+        self.http1.closing = True
+        self.listener.restart_wait(self)
         self.transport.loseConnection()
 
 
@@ -307,47 +341,65 @@
     """The ids of requests in flight (`OpenIds`, or `fleet_ids.FleetIds`)."""
 
     def claim(self, request_id: bytes) -> bool:
-        """Claim an id; False while a request with it is in flight."""
+        """Claim an id; return False if a request with this id is in flight."""
 
     def release(self, request_id: bytes) -> None:
         """Release an id whose request was answered."""
 
 
 class OpenIds:
-    """The ids of requests in hand; with several workers see `cores.open_request_ids`."""
+    """The ids of one process's requests in flight; several workers use `cores.open_request_ids`."""
 
     def __init__(self) -> None:
+        """Start without ids."""
         self._held: set[bytes] = set()
 
     def claim(self, request_id: bytes) -> bool:
-        """Hold the id; False if it is held."""
+        """Claim an id; return False if a request with this id is in flight."""
         if request_id in self._held:
             return False
         self._held.add(request_id)
         return True
 
     def release(self, request_id: bytes) -> None:
+        """Release an id whose request was answered."""
         self._held.discard(request_id)
 
 
-class FrontPort(Port):
-    """Accepts no more in one turn than the front has room for: pausing counts from the next turn only."""
+class ClientListenerPort(Port):
+    """A listening port that bounds the connections accepted in one reactor turn.
+
+    Pausing the port takes effect in the next turn only, so the bound is needed to respect the connection limit.
+    """
 
     def doRead(self) -> None:
+        """Accept connections up to the free room of the listener, and at least `MIN_ACCEPTS_PER_TURN`."""
         room = self.factory.most - len(self.factory.streams)
-        self.numberAccepts = min(self.numberAccepts, max(ACCEPTED_LEAST, room))
+        self.numberAccepts = min(self.numberAccepts, max(MIN_ACCEPTS_PER_TURN, room))
         super().doRead()
 
 
-def inherited_port(reactor: Any, fd: int, front: Front) -> FrontPort:
-    """A port on a copy of a listening socket's descriptor; closing it does not shut the socket down."""
-    port = FrontPort._fromListeningDescriptor(reactor, fd, AF_INET, front)
+def inherited_port(reactor: Any, fd: int, listener: ClientListener) -> ClientListenerPort:
+    """Return a port on a duplicate of a listening socket's descriptor; closing the port leaves the socket open."""
+    port = ClientListenerPort._fromListeningDescriptor(reactor, fd, AF_INET, listener)
     port.startListening()
     return port
 
 
-class Front(Factory):
-    """All client connections: their cap, their sweeps, and leaving."""
+class ClientListener(Factory):
+    """The client connections of one process: limit, timeouts, hand-over to other workers and shutdown.
+
+    Attributes:
+        streams: the open connections, ordered by `wait_began_s`.
+        ids: the ids of requests in flight.
+        outcome: returns the status, body and header lines of a request id taken over from another ingress, if known.
+        port: the listening port, if this process has one.
+        most: the limit on connections.
+        open_cap: the limit on requests in flight.
+        retry_after_ns: sent with a rejection at that limit, in nanoseconds.
+        stream_threshold_bytes: larger request bodies are streamed.
+        wanted_load: see `hand_over`; 0 while no connection is wanted.
+    """
 
     noisy = False
 
@@ -357,191 +409,219 @@
         engine: Engine,
         translator: Translator,
         pool: BufferPool,
-        most: int,
+        max_connections: int,
         open_cap: int,
-        retry_ns: int,
-        life: Lifecycle,
-        gather: int,
+        retry_after_ns: int,
+        lifecycle: Lifecycle,
+        stream_threshold_bytes: int,
     ) -> None:
-        """At most `most` connections and `open_cap` requests; a body of up to `gather` bytes is taken in
-        before its request arrives."""
+        """Allow `max_connections` connections and `open_cap` requests in flight.
+
+        A body of up to `stream_threshold_bytes` is received completely before its request goes to the engine.
+        """
         self.reactor, self.engine, self.translator, self.pool = reactor, engine, translator, pool
-        self.life, self.gather = life, gather
-        self.most, self.open_cap, self.retry_ns = most, open_cap, retry_ns
-        self.streams: OrderedDict[ClientStream, None] = OrderedDict()  # in the order of `since`
-        self.ids: RequestIds = OpenIds()  #: of the requests in hand
-        self.outcome: Callable[[bytes], tuple[int, bytes, bytes] | None] | None = None  #: of one taken over
+        self.lifecycle, self.stream_threshold_bytes = lifecycle, stream_threshold_bytes
+        self.most, self.open_cap, self.retry_after_ns = max_connections, open_cap, retry_after_ns
+        self.streams: OrderedDict[ClientStream, None] = OrderedDict()  # ordered by `wait_began_s`
+        self.ids: RequestIds = OpenIds()
+        self.outcome: Callable[[bytes], tuple[int, bytes, bytes] | None] | None = None
         self.port: Any = None
-        self._adopting_asked = False
-        self.wanted = 0.0  #: see `hand_over`
-        self._accepting = True
-        reactor.callLater(SWEEP_S, self._sweep)
+        self._adopted_had_request = False
+        self.wanted_load = 0.0
+        self._is_accepting = True
+        reactor.callLater(SWEEP_INTERVAL_S, self._sweep)
 
     def buildProtocol(self, addr: Any) -> ClientStream | None:
-        if len(self.streams) >= self.most + OVERSHOOT:
-            COUNTS["client.turned_away"] += 1  # a turn accepts dozens, and accepting stops only after it
+        """Return the protocol of a new connection; None, which closes it, above the overshoot of the limit."""
+        if len(self.streams) >= self.most + MAX_CONNECTIONS_OVER_LIMIT:
+            COUNTS["client.turned_away"] += 1  # one turn accepts dozens; a pause takes effect after it
             return None
         stream = ClientStream(self)
-        stream.asked = self._adopting_asked
+        stream.has_had_request = self._adopted_had_request
         return stream
 
-    def adopt(self, handle: socket, asked: bool) -> None:
-        """Take over a connection; `asked`: a request has come on it, so that it may stand idle."""
-        self._adopting_asked = asked
+    def adopt(self, handle: socket, has_had_request: bool) -> None:
+        """Take over an open connection; the idle timeout applies to it only if it `has_had_request`."""
+        self._adopted_had_request = has_had_request
         try:
             self.reactor.adoptStreamConnection(handle.fileno(), handle.family, self)
         finally:
-            self._adopting_asked = False
+            self._adopted_had_request = False
 
-    def touch(self, stream: ClientStream) -> None:
-        stream.since = self.reactor.seconds()
+    def restart_wait(self, stream: ClientStream) -> None:
+        """Measure the timeouts of a connection from now on."""
+        stream.wait_began_s = self.reactor.seconds()
         if stream in self.streams:
             self.streams.move_to_end(stream)
 
-    def joined(self, stream: ClientStream) -> None:
+    def add(self, stream: ClientStream) -> None:
+        """Add a new connection, and make room for the next one at the limit."""
         COUNTS["client.connected"] += 1
         self.streams[stream] = None
         if len(self.streams) >= self.most:
             self._make_room(stream)
 
     def _make_room(self, newest: ClientStream) -> None:
-        """Descriptors are capped: one that stands idle makes room, else the next ones wait unaccepted."""
-        if not self._close_idle(newest) and self._accepting and self.port is not None:
+        """Close an idle connection, or stop accepting: the number of descriptors is limited."""
+        if not self._close_longest_idle(newest) and self._is_accepting and self.port is not None:
             COUNTS["client.accepting_paused"] += 1
-            self._accepting = False
-            self.read_port()
+            self._is_accepting = False
+            self.update_accepting()
 
-    def _close_idle(self, newest: ClientStream | None = None) -> bool:
-        """The order spares a search: before the longest idle one there are none but busy ones."""
+    def _close_longest_idle(self, newest: ClientStream | None = None) -> bool:
+        """Close the connection that has been idle longest; only busy ones precede it in `streams`."""
         for stream in self.streams:
-            if stream.idle and not stream.machine.closing and stream is not newest:
+            if stream.idle and not stream.http1.closing and stream is not newest:
                 COUNTS["client.closed_for_room"] += 1
-                # At once, as the reactor would in its next turn: this one may go on to accept dozens.
+                # Frees the descriptor now and not in the reactor's next turn: this turn may accept dozens more.
                 stream.transport.connectionLost(Failure(ConnectionDone()))
                 return True
         return False
 
-    def parted(self, stream: ClientStream) -> None:
+    def remove(self, stream: ClientStream) -> None:
+        """Remove a closed connection, and accept again if there is room."""
         self.streams.pop(stream, None)
-        if not self._accepting and len(self.streams) < self.most and self.port is not None:
-            self._accepting = True
-            self.read_port()
+        if not self._is_accepting and len(self.streams) < self.most and self.port is not None:
+            self._is_accepting = True
+            self.update_accepting()
 
-    def read_port(self) -> None:
-        """Take new connections, or leave them to the kernel: as there is room, and as the lifecycle says."""
+    def update_accepting(self) -> None:
+        """Accept connections or leave them in the kernel's queue, depending on the room and the lifecycle."""
         if self.port is not None and self.port.connected:
-            (self.port.startReading if self._accepting and self.life.accepts_connections else self.port.stopReading)()
-
-    def resize(self, most: int) -> None:
-        """Another bound on connections; idle ones beyond it go."""
-        self.most = most
-        while len(self.streams) > most and self._close_idle():
+            (
+                self.port.startReading
+                if self._is_accepting and self.lifecycle.accepts_connections
+                else self.port.stopReading
+            )()
+
+    def resize(self, max_connections: int) -> None:
+        """Change the limit on connections, and close idle ones above it."""
+        self.most = max_connections
+        while len(self.streams) > max_connections and self._close_longest_idle():
             pass
-        self._accepting = len(self.streams) < most
-        self.read_port()
+        self._is_accepting = len(self.streams) < max_connections
+        self.update_accepting()
 
     def _sweep(self) -> None:
-        self.reactor.callLater(SWEEP_S, self._sweep)
-        now = self.reactor.seconds()
-        crowded = not self._accepting
-        if self.life.closes_idle_connections(now):
-            self.shed()
-        waiting = list(takewhile(lambda s: now - s.since >= CROWDED_S, self.streams))
+        self.reactor.callLater(SWEEP_INTERVAL_S, self._sweep)
+        now_s = self.reactor.seconds()
+        is_crowded = not self._is_accepting
+        if self.lifecycle.closes_idle_connections(now_s):
+            self.close_idle_connections()
+        waiting = list(takewhile(lambda s: now_s - s.wait_began_s >= CROWDED_SILENT_TIMEOUT_S, self.streams))
         for stream in waiting:
-            waited = now - stream.since
+            waited_s = now_s - stream.wait_began_s
             if not stream.is_flushed:
-                if waited >= SLOW_S:
+                if waited_s >= SLOW_READER_TIMEOUT_S:
                     COUNTS["client.slow_reader"] += 1
                     stream.transport.abortConnection()
-            elif stream.machine.busy:
-                if stream.upload is not None and stream.is_reading and now - stream.heard >= HEAD_S:
+            elif stream.http1.busy:
+                if stream.upload is not None and stream.is_reading and now_s - stream.last_received_s >= HEAD_TIMEOUT_S:
                     COUNTS["client.slow_writer"] += 1
-                    stream._give_up(408, "the body stands still")
-            elif stream.machine.closing:
-                if waited >= LINGER_S and now - stream.heard >= LINGER_S or waited >= LINGER_MOST_S:
+                    stream.abort_request(408, "the body stands still")
+            elif stream.http1.closing:
+                if (
+                    waited_s >= LINGER_QUIET_S
+                    and now_s - stream.last_received_s >= LINGER_QUIET_S
+                    or waited_s >= MAX_LINGER_S
+                ):
                     stream.transport.abortConnection()
-            elif stream.machine.partial:
-                given_s = HEAD_S + stream.machine.body_size / BODY_PER_S
-                if waited >= given_s or crowded and now - stream.heard >= PAUSED_S:
+            elif stream.http1.partial:
+                timeout_s = HEAD_TIMEOUT_S + stream.http1.body_size / MIN_BODY_BYTES_PER_S
+                if waited_s >= timeout_s or is_crowded and now_s - stream.last_received_s >= CROWDED_PAUSE_TIMEOUT_S:
                     COUNTS["client.slow_writer"] += 1
                     stream.send(write_response(408, close=True))
                     stream.close()
-            elif waited >= (IDLE_S if stream.asked else CROWDED_S if crowded else HEAD_S):
-                COUNTS["client.idle" if stream.asked else "client.silent"] += 1
+            elif waited_s >= (
+                IDLE_TIMEOUT_S if stream.has_had_request else CROWDED_SILENT_TIMEOUT_S if is_crowded else HEAD_TIMEOUT_S
+            ):
+                COUNTS["client.idle" if stream.has_had_request else "client.silent"] += 1
                 stream.close()
 
     def fade(self) -> None:
-        """Called at even times: half of each connection's `recent` is forgotten."""
+        """Halve the load (`recent`) of each connection; called at regular intervals."""
         for stream in self.streams:
             stream.recent *= 0.5
 
-    def hand_over(self, wanted: float, give: Callable[[socket, float], None]) -> None:
-        """Give up a connection that stands between requests, the one whose `recent` is nearest to `wanted`,
-        at most twice that and no trifle; or, as busy ones stand so for moments only, the next that does.
+    def hand_over(self, wanted_load: float, on_handed_over: Callable[[socket, float], None]) -> None:
+        """Give a connection between requests away: the one whose load (`recent`) is nearest to `wanted_load`.
 
-        `give` gets its socket, which it must close, and its `recent`; it is not called where nothing fits.
+        Only loads from an eighth to twice the wanted one qualify.  If no such connection is between requests now, the
+        next one that is goes, because busy connections are between requests for moments only.
+
+        Args:
+            wanted_load: the load to give away.
+            on_handed_over: takes the connection's socket, which it must close, and its load; not called if no
+                connection qualifies.
         """
-        self.wanted, self._give = wanted, give
-        best = min(filter(self._fits, self.streams), key=lambda s: abs(s.recent - wanted), default=None)
+        self.wanted_load, self._on_handed_over = wanted_load, on_handed_over
+        best = min(
+            filter(self._is_hand_over_candidate, self.streams), key=lambda s: abs(s.recent - wanted_load), default=None
+        )
         if best is not None:
             self._detach(best)
 
-    def _fits(self, stream: ClientStream) -> bool:
-        near = self.wanted / 8 <= stream.recent <= 2 * self.wanted
-        return near and stream.asked and stream.idle and not stream.machine.closing
+    def _is_hand_over_candidate(self, stream: ClientStream) -> bool:
+        is_load_near = self.wanted_load / 8 <= stream.recent <= 2 * self.wanted_load
+        return is_load_near and stream.has_had_request and stream.idle and not stream.http1.closing
 
-    def rested(self, stream: ClientStream) -> None:
-        """A connection stands between requests while one is wanted."""
-        if self._fits(stream):
-            self.reactor.callLater(0, self._detach, stream)  # not amid the reading of this very connection
+    def offer_for_hand_over(self, stream: ClientStream) -> None:
+        """Hand a connection that is now between requests over, if its load is near the wanted one."""
+        if self._is_hand_over_candidate(stream):
+            self.reactor.callLater(0, self._detach, stream)  # not inside this connection's own read handler
 
     def _detach(self, stream: ClientStream) -> None:
-        if not self.wanted or not stream.connected or not self._fits(stream):
+        if not self.wanted_load or not stream.connected or not self._is_hand_over_candidate(stream):
             return
-        self.wanted = 0.0
+        self.wanted_load = 0.0
         handle = stream.transport.getHandle()
-        kept = handle.dup()
-        # Twisted shuts a socket down with its transport, for every process that holds it: it gets another.
+        duplicate = handle.dup()
+        # Twisted shuts the socket down when it closes the transport, which would end the connection for every process
+        # that holds it.  So the transport's descriptor is first replaced by a dummy socket.
         stream.transport.stopReading()
         stream.transport.stopWriting()
-        dummy, other = socketpair()
+        dummy, dummy_peer = socketpair()
         os.dup2(dummy.fileno(), handle.fileno(), inheritable=False)
         dummy.close()
-        other.close()
+        dummy_peer.close()
         stream.transport.connectionLost(Failure(ConnectionDone()))
         COUNTS["client.handed_over"] += 1
-        self._give(kept, stream.recent)
+        self._on_handed_over(duplicate, stream.recent)
 
-    def unfinished(self, half_in: bool) -> bool:
-        """Some answer is not yet in the kernel's hands, or, if that counts, some request is half in.
+    def has_unfinished(self, counts_partial: bool) -> bool:
+        """Return whether an answer is not flushed, or, with `counts_partial`, a request is partly received.
 
-        On a socket that another process shares, a connection that is new has not been closed by `leave`.
+        On a socket that another process shares, `begin_shutdown` leaves new connections open, so one without a
+        request counts as partly received.
         """
-        coming = self.life.is_socket_shared
+        counts_new = self.lifecycle.is_socket_shared
         return any(
-            not s.is_flushed or s.machine.busy or half_in and (s.machine.partial or coming and not s.asked)
+            not s.is_flushed
+            or s.http1.busy
+            or counts_partial
+            and (s.http1.partial or counts_new and not s.has_had_request)
             for s in self.streams
         )
 
-    def shed(self) -> None:
-        """Close what stands between requests; who is on its way with one has its time."""
+    def close_idle_connections(self) -> None:
+        """Close the connections between requests; one with a request on its way stays open."""
         for stream in list(self.streams):
-            if stream.idle and stream.asked and not stream.machine.closing and not stream.has_unread:
+            if stream.idle and stream.has_had_request and not stream.http1.closing and not stream.has_unread:
                 COUNTS["client.shed"] += 1
                 stream.close()
 
     def stop_accepting(self) -> None:
-        """No new connections; a shared socket stays open in the other process."""
+        """Close the listening port; a shared socket stays open in the other process."""
         port, self.port = self.port, None
         if port is not None:
             port.stopListening()
 
-    def leave(self) -> None:
-        """No new connections; those that stand idle close, the others close with their answer."""
-        self.life.mark_listener_closed()
+    def begin_shutdown(self) -> None:
+        """Accept no more connections and close the idle ones; the others close after their answer."""
+        self.lifecycle.mark_listener_closed()
         self.stop_accepting()
         for stream in list(self.streams):
-            if stream.idle and not stream.asked and not self.life.is_socket_shared:
+            if stream.idle and not stream.has_had_request and not self.lifecycle.is_socket_shared:
                 stream.close()
-        self.shed()
+        self.close_idle_connections()
         log("leaving", open=len(self.engine.requests), connections=len(self.streams))
--- a/mapleline/net/dial.py
+++ b/mapleline/net/dial.py
@@ -1,4 +1,7 @@
-"""Connecting, as a Deferred.  `twisted.internet.endpoints` does it too, and costs 16 ms of each start."""
+"""Connecting over TCP, as a Deferred.
+
+`twisted.internet.endpoints` does the same, but importing it adds 16 ms to each start.
+"""
 
 from __future__ import annotations
 
@@ -19,14 +22,14 @@
 class Dialed(Protocol):
     """A protocol that reports its connection: a `streams.Stream`, or one that calls `connect_result` itself."""
 
-    connect_result: Any  # a Deferred[Self] | None, which a protocol cannot say of attributes that are set
+    connect_result: Any  # a Deferred[Self] | None; a typing protocol cannot express that for a settable attribute
 
 
 DialedT = TypeVar("DialedT", bound=Dialed)
 
 
 class _DialFactory(ClientFactory):
-    """Makes the one protocol of a connection, and reports why there is none."""
+    """Makes the protocol of one connection, and reports a failed attempt."""
 
     noisy = False
 
@@ -46,7 +49,7 @@
 
 
 def dial(
-    reactor: Any,  # noqa: ANN401  # a reactor, or the tests' own with `connectTCP` alone
+    reactor: Any,  # noqa: ANN401  # a reactor, or a test's stand-in that has `connectTCP` only
     address: Address,
     make_protocol: Callable[[], DialedT],
     timeout_s: float,
@@ -57,10 +60,10 @@
         reactor: the event loop.
         address: host and port.
         make_protocol: makes the protocol of the connection.
-        timeout_s: seconds until the attempt is given up.
+        timeout_s: seconds after which the attempt fails.
 
     Returns:
-        What fires with the protocol once it is connected, or with why it is not; it may be cancelled.
+        A Deferred that fires with the connected protocol, or fails with the reason; cancelling it ends the attempt.
     """
     result: Deferred[DialedT] = Deferred(lambda _: connector.disconnect())
     host, port = address
--- a/mapleline/net/event_loop.py
+++ b/mapleline/net/event_loop.py
@@ -1,4 +1,4 @@
-"""Structural types of the event loop that the drivers of this package run on (types only: costs no import at start).
+"""Structural types of the event loop that this package's drivers use (types only, not imported at run time).
 
 The names of the methods are Twisted's (`IReactorTime`, `IReactorTCP`, `IReactorCore`, `IReactorThreads`).
 """
@@ -13,10 +13,10 @@
 
 
 class DelayedCall(Protocol):
-    """A timer that was set by `callLater`."""
+    """A timer set by `callLater`."""
 
     def active(self) -> bool:
-        """Return whether the call is still to come: neither made nor cancelled."""
+        """Return whether the call is pending: neither made nor cancelled."""
 
     def cancel(self) -> None:
         """Cancel the call; it must be active."""
@@ -29,7 +29,7 @@
     """A connection that is being made or is open."""
 
     def disconnect(self) -> None:
-        """Give up the attempt, or close the connection."""
+        """Cancel the attempt, or close the connection."""
 
 
 class EventLoop(Protocol):
--- a/mapleline/net/reactor.py
+++ b/mapleline/net/reactor.py
@@ -1,8 +1,8 @@
-"""Twisted's epoll reactor without the log context that it makes anew for each event.
+"""Twisted's epoll reactor without its log context per event.
 
 `callWithLogger` copies a dictionary, pushes a context and formats a prefix for each readable socket, so that
-log lines of old Twisted code can name their connection.  Our log does not use it (docs/several-cores.md has
-what it cost).  `_doReadOrWrite` catches and logs what a protocol raises, as before.
+log lines of old Twisted code can name their connection.  This program's log does not use the context
+(docs/several-cores.md has its cost).  `_doReadOrWrite` still catches and logs what a protocol raises.
 """
 
 from __future__ import annotations
@@ -14,9 +14,10 @@
 
 
 class LeanEPollReactor(epollreactor.EPollReactor):
-    """Reads and writes as its base does."""
+    """An epoll reactor that calls `_doReadOrWrite` directly."""
 
     def doPoll(self, timeout: float | None) -> None:
+        """Wait up to `timeout` seconds (None: without limit) and handle the events."""
         try:
             events = self._poller.poll(-1 if timeout is None else timeout, len(self._selectables))
         except OSError as err:
@@ -25,7 +26,7 @@
             raise
         selectables, read_or_write = self._selectables, self._doReadOrWrite
         for fd, event in events:
-            selectable = selectables.get(fd)  # one event may close another's
+            selectable = selectables.get(fd)  # an earlier event of this poll may have closed it
             if selectable is not None:
                 read_or_write(selectable, fd, event)
 
@@ -33,7 +34,7 @@
 
 
 def install() -> Any:
-    """Make this the process's reactor; called before anything imports `twisted.internet.reactor`."""
+    """Install the process's reactor; must be called before anything imports `twisted.internet.reactor`."""
     reactor = LeanEPollReactor()
     main.installReactor(reactor)
     return reactor
--- a/mapleline/net/streams.py
+++ b/mapleline/net/streams.py
@@ -1,4 +1,4 @@
-"""The base of every TCP connection here: writes at once, knows what was written, and pauses its reading."""
+"""The base class of TCP connections: writes directly to the socket, tracks flushing and can pause reading."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @implementer(IPullProducer)
 class Stream(Protocol):
-    """A protocol whose bytes go to the kernel at once, as far as that takes them.
+    """A protocol that writes to the socket directly and leaves only the rest to Twisted.
 
-    Twisted's own `write` leaves every byte to the next turn of the reactor and pays two epoll calls for it, a good part
-    of what a request costs.  Only what the kernel does not take goes that way.
+    Twisted's own `write` defers every byte to the next turn of the reactor and makes two epoll calls for it, which is a
+    good part of the cost of a request.  So only the bytes that the kernel's send buffer has no room for go through it.
 
     Attributes:
         connect_result: fires with this stream once it is connected; set by `dial.dial`.
-        is_flushed: the kernel has taken every byte sent.
-        is_reading: bytes that arrive are taken.
+        is_flushed: whether the kernel has taken every byte sent.
+        is_reading: whether arriving bytes are read.
     """
 
     transport: Any  # Twisted's TCP transport, beyond what ITransport has
@@ -36,12 +36,12 @@
     def connectionMade(self) -> None:
         """Configure the socket, and report that it is connected."""
         self.transport.setTcpNoDelay(True)
-        self.transport.bufferSize = BUFFER_SIZE  # of one read; Twisted would make 64 KiB for each
+        self.transport.bufferSize = BUFFER_SIZE  # bytes per read; Twisted would allocate 64 KiB for each
         if self.connect_result is not None:
             self.connect_result.callback(self)
 
     def send(self, data: bytes) -> None:
-        """Send bytes; dropped if the connection is lost, which `connectionLost` has reported."""
+        """Send bytes; drops them if the connection is lost, which `connectionLost` has reported."""
         if not self.connected:
             return
         if not self.is_flushed:
@@ -49,13 +49,13 @@
             return
         try:
             written = self.transport.socket.send(data)
-        except OSError:  # full, or lost: a write of the transport handles either
+        except OSError:  # the buffer is full or the connection lost; the transport's write handles both
             written = 0
         if written < len(data):
             self._write_rest(data[written:])
 
     def _write_rest(self, data: bytes) -> None:
-        """Have the transport write what the kernel did not take, and report when it is written."""
+        """Pass bytes to the transport; it calls `resumeProducing` once all are written."""
         self.is_flushed = False
         self.transport.write(data)
         self._is_registering = True
@@ -63,20 +63,20 @@
         self._is_registering = False
 
     def pause_reading(self) -> None:
-        """Take no more bytes for now."""
+        """Stop reading until `resume_reading`."""
         if self.is_reading and self.connected:
             self.is_reading = False
             self.transport.pauseProducing()
 
     def resume_reading(self) -> None:
-        """Take bytes again."""
+        """Read again."""
         if not self.is_reading and self.connected:
             self.is_reading = True
             self.transport.resumeProducing()
 
     @property
     def has_unread(self) -> bool:
-        """Whether something has arrived that the reactor has not reported yet: bytes, an end or an error."""
+        """Whether bytes, an end of stream or an error have arrived that the reactor has not reported yet."""
         try:
             self.transport.getHandle().recv(1, MSG_PEEK)
         except BlockingIOError:
@@ -86,18 +86,18 @@
         return True
 
     def resumeProducing(self) -> None:
-        """Handle that Twisted has handed everything to the kernel (and ignore its call on registering)."""
+        """Handle that Twisted has written everything; its call during registration is ignored."""
         if not self._is_registering:
             self.is_flushed = True
             self.transport.unregisterProducer()
             self.on_flushed()
 
     def stopProducing(self) -> None:
-        """Do nothing: the connection is lost with bytes unwritten, and `connectionLost` follows."""
+        """Do nothing: the connection was lost with bytes unwritten, and `connectionLost` follows."""
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Mark the stream as not connected, which Twisted leaves undone."""
+        """Mark the stream as not connected, which Twisted does not do."""
         self.connected = 0
 
     def on_flushed(self) -> None:
-        """Do nothing; for subclasses that wait to write more."""
+        """Do nothing; subclasses that wait to write more override it."""
--- a/tests/ingress.py
+++ b/tests/ingress.py
@@ -1,4 +1,4 @@
-"""The real program as a process, with the parties around it: plain sockets on loopback, a thread each."""
+"""Runs the program as a process, with its peers (clients, servers, counter, discovery) as threads on loopback."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-WAIT_S = 20  # a bound on waiting for events, never a measure of time
+WAIT_S = 20  # for an event; long, so that a busy machine does not fail a test
 SETTINGS = {
     "balancers": 2,
     "me": 0,
@@ -46,31 +46,36 @@
 
 
 def read_message(sock, data=b""):
-    """One message off a socket: start line, headers, body, and what came behind it; None at the end."""
+    """Read a message: its start line, headers, body and the bytes read behind it; None at the end of the stream."""
     while b"\r\n\r\n" not in data:
         more = sock.recv(65536)
         if not more:
             return None
         data += more
     head, _, rest = data.partition(b"\r\n\r\n")
-    line, *lines = head.decode().split("\r\n")
-    headers = {k.lower(): v.strip() for k, v in (one.split(":", 1) for one in lines)}
+    start_line, *lines = head.decode().split("\r\n")
+    headers = {key.lower(): value.strip() for key, value in (line.split(":", 1) for line in lines)}
     size = int(headers.get("content-length", 0))
     while len(rest) < size:
         more = sock.recv(65536)
         if not more:
             return None
         rest += more
-    return line, headers, rest[:size], rest[size:]
+    return start_line, headers, rest[:size], rest[size:]
 
 
 def message(status=200, body=b"", **headers):
-    lines = "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in headers.items())
+    """Return a response; underscores in the names of headers stand for hyphens."""
+    lines = "".join(f"{key.replace('_', '-')}: {value}\r\n" for key, value in headers.items())
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{lines}\r\n".encode() + body
 
 
 class Peer:
-    """A server.  `answer(line, headers, body)` gives bytes to write, None for silence, or "close"."""
+    """A server that answers each request with `answer(line, headers, body)`.
+
+    `answer` returns the bytes to write, None to send nothing, "close" to close the connection, or a pair of bytes and
+    "close".  `seen` has the requests; `ended` gets an entry for each connection that the other side ended.
+    """
 
     made = []
 
@@ -94,33 +99,34 @@
         with sock:
             try:
                 while got := read_message(sock, rest):
-                    *what, rest = got
-                    self.seen.put(what)
-                    reply = self.answer(*what)
+                    *request, rest = got
+                    self.seen.put(request)
+                    reply = self.answer(*request)
                     if reply == "close":
                         return
-                    last = isinstance(reply, tuple)  # the last words, and "close"
-                    sock.sendall(reply[0] if last else reply or b"")
-                    if last:
+                    closes = isinstance(reply, tuple)  # bytes and "close"
+                    sock.sendall(reply[0] if closes else reply or b"")
+                    if closes:
                         return
             except OSError:
                 pass
             self.ended.put(True)
 
     def stop(self):
-        """Connections are refused from now on (closing alone leaves a blocked `accept` in place)."""
+        """Refuse connections from now on; the shutdown is needed because a close does not end a blocked `accept`."""
         self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
 
     def next(self):
+        """Return the next request: its start line, headers and body."""
         return self.seen.get(timeout=WAIT_S)
 
 
 class Counter(Peer):
-    """Adds up by name; the first calls have these bodies for an answer in place of their totals."""
+    """A quota counter; its first calls are answered with the bodies in `replacements` in place of totals."""
 
-    def __init__(self, *instead):
-        self.totals, self.instead = {}, list(instead)
+    def __init__(self, *replacements):
+        self.totals, self.replacements = {}, list(replacements)
         super().__init__(self._add)
 
     def _add(self, line, headers, body):
@@ -128,23 +134,25 @@
         name, _, query = target.partition("?")
         amount = float(query.split("delta=")[1].split("&")[0])
         self.totals[name] = self.totals.get(name, 0.0) + amount
-        return message(body=self.instead.pop(0) if self.instead else b"%g" % self.totals[name])
+        return message(body=self.replacements.pop(0) if self.replacements else b"%g" % self.totals[name])
 
 
 class Discovery(Peer):
-    """Answers a watch when `tell` gives it something."""
+    """A discovery agent that answers a watch once `tell` has given it a change."""
 
     def __init__(self):
         self.news = queue.Queue()
         super().__init__(lambda *_: message(body=json.dumps(self.news.get(timeout=60)).encode()))
 
     def tell(self, rev, targets, whole=False):
+        """Answer the next watch with changes, or with a complete list if `whole`."""
         self.news.put({"rev": rev, "all": whole, "targets": targets})
 
 
-def target(peer, n=0, state="in_service"):
+def target(peer, number=0, state="in_service"):
+    """Return the entry of a server in discovery's form."""
     return {
-        "uid": f"s-{n}",
+        "uid": f"s-{number}",
         "endpoint": peer.address,
         "az": "z",
         "model": "k",
@@ -166,6 +174,7 @@
         self.rest = b""
 
     def bytes_of(self, cls="look", plan="wide", customer=5, ttl=3000, method=None, body=b"", drop=(), **changes):
+        """Return a request; `changes` sets headers, `drop` names those to leave out, and `ttl` is in milliseconds."""
         Client.ids += 1
         headers = {
             "Host": "api",
@@ -173,20 +182,21 @@
             "X-Tariff": plan,
             "X-Timeout-Ms": str(ttl),
             "X-Weight": "units=1,spread=2,first=0",
-            **{k.replace("_", "-"): v for k, v in changes.items()},
+            **{key.replace("_", "-"): value for key, value in changes.items()},
         }
         method = method or ("GET" if cls == "look" else "POST")
         if body or method == "POST":
             headers["Content-Length"] = str(len(body))
-        lines = "".join(f"{k}: {v}\r\n" for k, v in headers.items() if k not in drop)
+        lines = "".join(f"{key}: {value}\r\n" for key, value in headers.items() if key not in drop)
         return f"{method} /{cls}/{customer:016x}?q=1 HTTP/1.1\r\n{lines}\r\n".encode() + body
 
-    def send(self, data=None, **kw):
-        self.sock.sendall(self.bytes_of(**kw) if data is None else data)
+    def send(self, data=None, **request):
+        """Send bytes, or the request that `bytes_of` makes."""
+        self.sock.sendall(self.bytes_of(**request) if data is None else data)
         return self
 
     def answer(self):
-        """Status, headers and body of the next answer; None if the connection ends first."""
+        """Return the status, headers and body of the next answer; None if the connection ends first."""
         try:
             got = read_message(self.sock, self.rest)
         except ConnectionResetError:
@@ -196,24 +206,26 @@
         line, headers, body, self.rest = got
         return int(line.split()[1]), headers, body
 
-    def ask(self, *args, **kw):
-        return self.send(*args, **kw).answer()
+    def ask(self, *args, **request):
+        """Send a request and return its answer."""
+        return self.send(*args, **request).answer()
 
     def call(self, line, body=b""):
+        """Make a call with this start line, and return the status, headers and decoded JSON body of its answer."""
         lines = b"Host: a\r\nContent-Length: %d\r\n" % len(body)
         self.sock.sendall(b"%b HTTP/1.1\r\n%b\r\n%b" % (line.encode(), lines, body))
         status, headers, text = self.answer()
         return status, headers, json.loads(text)
 
     def ended(self):
-        """Wait for the other side to end the connection; what it still said."""
-        said = self.rest
+        """Wait for the other side to end the connection, and return the bytes that it still sent."""
+        received = self.rest
         try:
             while more := self.sock.recv(65536):
-                said += more
+                received += more
         except ConnectionResetError:
             pass
-        return said
+        return received
 
 
 def _address(text):
@@ -222,19 +234,20 @@
 
 
 class Ingress:
-    """The process, its address, and its log line by line."""
+    """An ingress process, its addresses and its log."""
 
     def __init__(self, process, file):
         self.process, self.file, self.lines, self.past = process, file, queue.Queue(), []
         threading.Thread(target=self._read, daemon=True).start()
         serving = self.event("serving")
-        self.address, self.door = (_address(serving.get(key)) for key in ("listen", "management"))
+        self.address, self.management_address = (_address(serving.get(key)) for key in ("listen", "management"))
 
     def _read(self):
         for line in self.process.stderr:
             self.lines.put(json.loads(line))
 
     def event(self, name):
+        """Wait for a log event and return its fields."""
         while True:
             found = self.lines.get(timeout=WAIT_S)
             self.past.append(found)
@@ -245,35 +258,47 @@
         return Client(self.address)
 
     def call(self, line, body=b""):
-        """A call at the operators' door: status, headers and what the JSON holds."""
-        return Client(self.door).call(line, body)
+        """Make a management call, and return the status, headers and decoded JSON body of its answer."""
+        return Client(self.management_address).call(line, body)
 
     def ready(self):
-        """What a front that asks on a connection of its own hears."""
+        """Return the status of a readiness check on a new connection, as a load balancer makes it."""
         return self.client().ask(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")[0]
 
-    def ask_until(self, true, tries=300, **kw):
-        """Ask again and again: the module draws by lot which tries it counts."""
+    def ask_until(self, condition, tries=300, **request):
+        """Repeat a request until the condition holds: the module chooses at random which ones it counts."""
         client = self.client()
         for _ in range(tries):
-            if true():
+            if condition():
                 return
-            assert client.ask(**kw) is not None
+            assert client.ask(**request) is not None
         raise AssertionError("never came")
 
     def reload(self, config):
-        """Replace the file as an operator would, in one step; the caller waits for the event."""
+        """Replace the configuration file atomically and send SIGHUP; the caller waits for the log event."""
         new = self.file.with_suffix(".new")
         new.write_text(config if isinstance(config, str) else json.dumps(config))
         new.rename(self.file)
         self.process.send_signal(signal.SIGHUP)
 
     def counts(self):
+        """Return the process's counters."""
         self.process.send_signal(signal.SIGUSR1)
         return self.event("counters")["counts"]
 
 
 def start(config, tmp_path, *flags, command=(), line=None, fds=(), **environment):
+    """Start an ingress process.
+
+    Args:
+        config: its configuration, or the text of the file.
+        tmp_path: the folder of the configuration file.
+        flags: of the interpreter.
+        command: arguments of the program.
+        line: replaces the whole command line.
+        fds: descriptors that the process inherits.
+        environment: added to this process's.
+    """
     file = tmp_path / "config.json"
     file.write_text(config if isinstance(config, str) else json.dumps(config))
     environment = {**os.environ, "EDGE_CONFIG": str(file), **environment}
@@ -282,7 +307,8 @@
 
 
 def config_for(counter, discovery, servers, settings=None, **changes):
-    known = {"rev": 1, "all": True, "targets": [target(s, n) for n, s in enumerate(servers)]}
+    """Return a configuration with these servers known; `settings` and `changes` replace keys."""
+    known = {"rev": 1, "all": True, "targets": [target(server, number) for number, server in enumerate(servers)]}
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -298,7 +324,7 @@
 
 @contextmanager
 def running(tmp_path, *servers, counter=None, discovery=None, command=(), **changes):
-    """An ingress in a debug build before these servers; ends it, and fails if anything raised in it."""
+    """Run an ingress in front of these servers; fails if its counters show an unexpected exception."""
     config = config_for(counter or Counter(), discovery or Discovery(), servers, **changes)
     process = start(config, tmp_path, command=command)
     try:
@@ -306,7 +332,7 @@
         yield ingress
         if process.poll() is None:
             faults = ("twisted.caught", "engine.action_failed", "engine.answer_failed", "module.raised")
-            assert not {k: n for k, n in ingress.counts().items() if k in faults}
+            assert not {name: count for name, count in ingress.counts().items() if name in faults}
     finally:
         process.kill()
         process.wait()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,7 +8,7 @@
 from twisted.python.failure import Failure
 
 from mapleline.http1 import BufferPool, Response
-from mapleline.net.backoff import LEAST_S, Backoff
+from mapleline.net.backoff import MIN_PAUSE_S, Backoff
 from mapleline.net.discovery import Directory, Watcher, backoff
 from mapleline.policy import interface as i
 
@@ -113,10 +113,10 @@
 
 
 def test_pauses_grow_to_a_bound_differ_between_ingresses_and_start_anew_after_a_success():
-    one, other = Backoff(1, 40, most_s=10.0), Backoff(2, 40, most_s=10.0)
+    one, other = Backoff(1, 40, max_bound_s=10.0), Backoff(2, 40, max_bound_s=10.0)
     pauses = [one.pause() for _ in range(200)]
     assert pauses != [other.pause() for _ in range(200)]
-    assert pauses[0] <= 2.0 and LEAST_S <= min(pauses) and 9.0 < max(pauses) <= 10.0
+    assert pauses[0] <= 2.0 and MIN_PAUSE_S <= min(pauses) and 9.0 < max(pauses) <= 10.0
     one.succeeded()
     assert one.pause() <= 2.0
-    assert Backoff(1, 40, most_s=10.0).pause() == pauses[0]
+    assert Backoff(1, 40, max_bound_s=10.0).pause() == pauses[0]
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The operators' door, and what a drain does to clients; the program runs as a process."""
+"""The management listener and the effect of a drain on clients; the program runs as a process."""
 
 import json
 import queue
@@ -8,7 +8,7 @@
 import pytest
 from ingress import WAIT_S, Client, Counter, Discovery, Peer, config_for, message, running, start
 
-DOOR = {"management": "127.0.0.1:0"}
+MANAGEMENT = {"management": "127.0.0.1:0"}
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
@@ -17,7 +17,7 @@
 
 
 def held_back():
-    """A server that answers when it is let."""
+    """Return a server and a queue; the server answers one request for each entry of the queue."""
     gate = queue.Queue()
 
     def answer(*_):
@@ -44,8 +44,8 @@
     ],
 )
 def test_calls(tmp_path, line, status):
-    with running(tmp_path, serving(), **DOOR) as ingress:
-        caller = Client(ingress.door)
+    with running(tmp_path, serving(), **MANAGEMENT) as ingress:
+        caller = Client(ingress.management_address)
         got, headers, body = caller.call(line)
         assert got == status and headers["connection"] == "close"
         assert caller.ended() == b""
@@ -63,47 +63,47 @@
         (b"POST /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
     ],
 )
-def test_calls_that_cannot_be_read_order_nothing(tmp_path, data, status):
-    with running(tmp_path, serving(), **DOOR) as ingress:
-        caller = Client(ingress.door)
+def test_malformed_calls_are_rejected_without_effect(tmp_path, data, status):
+    with running(tmp_path, serving(), **MANAGEMENT) as ingress:
+        caller = Client(ingress.management_address)
         assert caller.ask(data)[0] == status
         assert ingress.call("GET /-/ready")[0] == 200
 
 
-def test_a_body_that_fits_is_passed_over_and_a_second_call_behind_it_too(tmp_path):
-    with running(tmp_path, serving(), **DOOR) as ingress:
-        caller = Client(ingress.door)
+def test_the_body_of_a_call_and_a_pipelined_second_call_are_ignored(tmp_path):
+    with running(tmp_path, serving(), **MANAGEMENT) as ingress:
+        caller = Client(ingress.management_address)
         first = b"POST /-/resume HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}"
         caller.send(first + b"POST /-/drain HTTP/1.1\r\nHost: a\r\n\r\n")
         assert caller.answer()[0] == 200 and caller.ended() == b""
         assert ingress.call("GET /-/ready")[2]["state"] == "ready"
 
 
-def test_silent_callers_cannot_shut_the_door(tmp_path):
-    with running(tmp_path, serving(), **DOOR) as ingress:
+def test_silent_connections_do_not_block_the_management_listener(tmp_path):
+    with running(tmp_path, serving(), **MANAGEMENT) as ingress:
         silent = []
         for n in range(40):
-            silent.append(Client(ingress.door))
+            silent.append(Client(ingress.management_address))
             if n % 2:
                 silent[-1].send(b"POST /-/drain HTTP/1.1\r\nHo")
         for _ in range(3):
             assert ingress.call("GET /-/ready")[0] == 200
-        assert silent[0].ended() == b""  # the longest there went first
+        assert silent[0].ended() == b""  # the oldest was closed first
         assert ingress.counts()["door.closed_for_room"] >= 24
 
 
-def test_crowds_of_clients_cannot_shut_the_door(tmp_path):
-    with running(tmp_path, serving(), limits={"sockets": 160}, **DOOR) as ingress:
-        crowd = [socket.create_connection(ingress.address, timeout=WAIT_S) for _ in range(300)]
+def test_too_many_clients_do_not_block_the_management_listener(tmp_path):
+    with running(tmp_path, serving(), limits={"sockets": 160}, **MANAGEMENT) as ingress:
+        connections = [socket.create_connection(ingress.address, timeout=WAIT_S) for _ in range(300)]
         assert ingress.call("GET /-/ready")[0] == 200
         assert ingress.call("POST /-/drain")[0] == 200
-        for one in crowd:
-            one.close()
+        for connection in connections:
+            connection.close()
 
 
-def test_a_drain_sends_clients_away_and_keeps_the_rest_warm(tmp_path):
+def test_a_drain_closes_client_connections_and_keeps_those_to_servers(tmp_path):
     server, gate = held_back()
-    with running(tmp_path, server, **DOOR) as ingress:
+    with running(tmp_path, server, **MANAGEMENT) as ingress:
         idle, busy, used = ingress.client(), ingress.client(), ingress.client()
         gate.put(1)
         assert idle.ask()[0] == 200
@@ -112,15 +112,15 @@
         server.next(), server.next()
         status, _, state = ingress.call("POST /-/drain")
         assert status == 200 and state["state"] == "draining" and state["connections"] == 3
-        assert ingress.call("POST /-/drain")[0] == 200  # a second one is no fault
+        assert ingress.call("POST /-/drain")[0] == 200  # a repeated drain is accepted
         assert ingress.ready() == 503 and ingress.call("GET /-/ready")[0] == 503
-        status, headers, _ = used.ask(READY)  # a connection in use moves over with its next answer
+        status, headers, _ = used.ask(READY)  # a connection in use closes with its next answer
         assert status == 503 and headers["connection"] == "close" and used.ended() == b""
-        assert idle.ended() == b""  # one between requests is closed
+        assert idle.ended() == b""  # an idle connection is closed
         gate.put(1)
-        status, headers, body = busy.answer()  # one with a request in hand gets its answer first
+        status, headers, body = busy.answer()  # one with a request in flight gets its answer first
         assert (status, headers["connection"], body) == (200, "close", b"slots") and busy.ended() == b""
-        late = ingress.client()  # a client that still comes is served, once
+        late = ingress.client()  # a new connection is still served, for one request
         gate.put(1)
         status, headers, _ = late.ask()
         assert status == 200 and headers["connection"] == "close" and late.ended() == b""
@@ -130,53 +130,53 @@
         gate.put(1), gate.put(1)
         assert "connection" not in back.ask()[1] and back.ask()[0] == 200
         counts = ingress.counts()
-        assert counts["upstream.dialed"] <= 2  # two requests were out at once; nothing was dialed anew
+        assert counts["upstream.dialed"] <= 2  # two requests were in flight at once; no connection was made again
         assert counts["client.shed"] == 1
 
 
-def test_a_request_behind_the_one_in_hand_when_the_drain_begins_goes_to_another(tmp_path):
+def test_a_drain_leaves_a_pipelined_request_unanswered(tmp_path):
     server, gate = held_back()
-    with running(tmp_path, server, **DOOR) as ingress:
+    with running(tmp_path, server, **MANAGEMENT) as ingress:
         client = ingress.client()
         client.send(client.bytes_of() + client.bytes_of())
         server.next()
         ingress.call("POST /-/drain")
         gate.put(1)
         assert client.answer()[1]["connection"] == "close"
-        assert client.answer() is None  # not answered: the client sends it once more elsewhere
+        assert client.answer() is None  # not answered: the client sends it again to another ingress
         assert server.seen.empty()
 
 
 def test_a_request_half_read_when_the_drain_begins_is_served(tmp_path):
-    with running(tmp_path, serving(), **DOOR) as ingress:
+    with running(tmp_path, serving(), **MANAGEMENT) as ingress:
         half, old = ingress.client(), ingress.client()
         assert old.ask()[0] == 200
         data = half.bytes_of(cls="book", body=b"x" * 100)
         half.send(data[:-50])
         ingress.call("POST /-/drain")
-        assert old.ended() == b""  # idle ones have been closed: half a request has not
+        assert old.ended() == b""  # idle connections are closed, one with a partial request is not
         status, headers, _ = half.send(data[-50:]).answer()
         assert status == 200 and headers["connection"] == "close" and half.ended() == b""
 
 
 def test_resume_without_a_drain_and_drain_resume_drain(tmp_path):
-    with running(tmp_path, serving(), **DOOR) as ingress:
+    with running(tmp_path, serving(), **MANAGEMENT) as ingress:
         assert ingress.call("POST /-/resume")[0] == 200 and ingress.ready() == 200
         client = ingress.client()
         assert client.ask()[0] == 200
         for order in ("drain", "resume", "drain", "resume"):
             assert ingress.call(f"POST /-/{order}")[0] == 200
         assert ingress.ready() == 200
-        assert client.ask()[0] == 200  # no timer of an ended drain closed it
+        assert client.ask()[0] == 200  # no timer of the ended drains closed it
 
 
 def test_drained_before_it_is_ready(tmp_path):
     discovery = Discovery()
-    with running(tmp_path, discovery=discovery, **DOOR) as ingress:
+    with running(tmp_path, discovery=discovery, **MANAGEMENT) as ingress:
         assert ingress.call("GET /-/ready")[2]["state"] == "starting"
         assert ingress.call("POST /-/drain")[0] == 200
         discovery.tell(2, [], whole=True)
-        discovery.next(), discovery.next()  # the second watch: the first one's answer has been read
+        discovery.next(), discovery.next()  # the second watch: the first one's answer has been handled
         assert ingress.ready() == 503
         assert ingress.call("POST /-/resume")[2] == {
             "state": "ready",
@@ -187,9 +187,9 @@
         assert ingress.ready() == 200
 
 
-def test_told_to_leave_while_drained(tmp_path):
+def test_shutdown_while_draining(tmp_path):
     server, gate = held_back()
-    with running(tmp_path, server, **DOOR) as ingress:
+    with running(tmp_path, server, **MANAGEMENT) as ingress:
         client = ingress.client().send()
         server.next()
         ingress.call("POST /-/drain")
@@ -205,7 +205,7 @@
 
 def test_a_reload_during_a_drain_does_not_end_it(tmp_path):
     counter, discovery, server = Counter(), Discovery(), serving()
-    with running(tmp_path, server, counter=counter, discovery=discovery, **DOOR) as ingress:
+    with running(tmp_path, server, counter=counter, discovery=discovery, **MANAGEMENT) as ingress:
         ingress.call("POST /-/drain")
         ingress.reload(config_for(counter, discovery, [server], management="127.0.0.1:1"))
         assert ingress.event("reloaded")["until_restart"] == ["management"]
@@ -220,7 +220,7 @@
         (None, "management: "),
     ],
 )
-def test_a_door_that_cannot_be_opened_ends_the_start(tmp_path, value, fault):
+def test_a_management_address_that_cannot_be_used_ends_the_start(tmp_path, value, fault):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         value = value or f"127.0.0.1:{taken.getsockname()[1]}"
         process = start(config_for(Counter(), Discovery(), [], management=value), tmp_path)
@@ -229,14 +229,14 @@
     assert json.loads(error.splitlines()[-1])["fault"].startswith(fault)
 
 
-def test_several_workers_refuse_the_door(tmp_path):
-    config = config_for(Counter(), Discovery(), [], **DOOR)
+def test_several_workers_reject_a_management_address(tmp_path):
+    config = config_for(Counter(), Discovery(), [], **MANAGEMENT)
     process = start(config, tmp_path, command=("run", "--workers", "2"))
     assert process.wait(WAIT_S) == 2
     assert b"management: not with several workers" in process.stderr.read()
 
 
-def test_no_door_without_an_address(tmp_path):
+def test_no_management_listener_without_an_address(tmp_path):
     with running(tmp_path, serving()) as ingress:
-        assert ingress.door is None
+        assert ingress.management_address is None
         assert ingress.client().ask(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 404
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -17,7 +17,7 @@
 from mapleline.http1.translator import Translator
 from mapleline.ingress import Ingress
 from mapleline.lifecycle import Lifecycle
-from mapleline.net.clients import Front
+from mapleline.net.clients import ClientListener
 from mapleline.net.upstream import Place, UpstreamPool
 from mapleline.policy import interface as i
 from mapleline.settings.platform import read_config
@@ -120,8 +120,8 @@
         self.engine.connect(upstreams, counter=self, alarm=self)
         upstreams.update({1: Place(("127.0.0.1", 1), 0)})
         translator = Translator(config.start, config.class_names, config.plan_names)
-        front = Front(self, self.engine, translator, self.pool, 100, 100, 0, Lifecycle(), GATHER)
-        self.client = Wire(front.buildProtocol(None))
+        listener = ClientListener(self, self.engine, translator, self.pool, 100, 100, 0, Lifecycle(), GATHER)
+        self.client = Wire(listener.buildProtocol(None))
 
     def set(self, at_ns):
         pass
@@ -251,7 +251,7 @@
 
     def sweep(self, at):
         self.now = at
-        self.client.protocol.front._sweep()
+        self.client.protocol.listener._sweep()
         return self.client.closed or self.client.closing
 
 
@@ -308,7 +308,7 @@
         relay = Clocked()
         relay.client.grant(10**6)
         relay.client.give(coming[:20])
-        relay.client.protocol.front._accepting = False
+        relay.client.protocol.listener._is_accepting = False
         assert not relay.sweep(0.9)
         if goes_on:
             relay.client.give(coming[20:25])
@@ -319,7 +319,7 @@
     """A body that goes on and an answer that has begun are finished; the connection goes with the answer."""
     relay = Clocked()
     relay.client.grant(10**7)
-    life = relay.client.protocol.front.life
+    life = relay.client.protocol.listener.lifecycle
     life.mark_servers_known()
     sent, coming = request(400_000, "length")
     while not relay.servers:
@@ -344,4 +344,6 @@
     alone, beside = (Ingress(Relay(), read_config(raw, environment)) for environment in ({}, {"EDGE_ACCEPT_FD": "9"}))
     assert 2 * len(beside.counter.channels) == len(alone.counter.channels) == 16
     assert 2 * len(alone.counter.channels) <= 32
-    assert 3 * beside.front.gather < alone.front.gather  # of what memory leaves, not of all
+    assert (
+        3 * beside.front.stream_threshold_bytes < alone.front.stream_threshold_bytes
+    )  # of what memory leaves, not of all
