--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""The real program over sockets: each case is a rule of the protocol, or a failure it must stand."""
+"""The program as a process, over sockets: rules of the protocol, and failures that it must survive."""
 
 import json
 import os
@@ -27,7 +27,7 @@
     return Peer(lambda *_: message(body=body))
 
 
-def test_a_request_passes_through_unchanged_and_so_does_its_answer(tmp_path):
+def test_a_request_and_its_answer_pass_through_unchanged(tmp_path):
     server = serving(b"\x00binary\r\n")
     with running(tmp_path, server) as ingress:
         status, _, body = ingress.client().ask(
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 10_000])
-def test_messages_split_and_run_together(tmp_path, step):
+def test_split_and_pipelined_messages(tmp_path, step):
     with running(tmp_path, serving()) as ingress:
         client = ingress.client()
         data = b"\r\n" + b"".join(client.bytes_of(cls="book", body=b"x" * 300) for _ in range(3))
@@ -104,24 +104,24 @@
 }
 
 
-def test_bad_requests_get_a_plain_4xx_and_none_reaches_the_module(tmp_path):
+def test_bad_requests_get_a_4xx_and_none_reaches_the_module(tmp_path):
     server = serving()
     with running(tmp_path, server) as ingress:
         client = ingress.client()
         for name, (changes, status) in BAD.items():
-            assert client.ask(**changes)[0] == status, name  # the connection stays good
+            assert client.ask(**changes)[0] == status, name  # the connection stays usable
         for name, (data, status) in BROKEN.items():
             broken = ingress.client()
             assert broken.ask(data)[0] == status, name
-            assert broken.answer() is None, name  # where the next message begins is not known
+            assert broken.answer() is None, name  # closed, because the start of the next message is unknown
         assert client.ask()[0] == 200
         counts = ingress.counts()
     assert counts["client.bad_request"] == len(BAD) + len(BROKEN)
     assert counts["request.accepted"] == 1 and server.seen.qsize() == 1
 
 
-def test_a_body_in_chunks_goes_on_with_its_length(tmp_path):
-    """It got a 411, though an ordinary client may send one (RFC 9112, section 7.1)."""
+def test_a_small_chunked_body_is_forwarded_with_its_length(tmp_path):
+    """A chunked request was answered 411, although any client may send one (RFC 9112, section 7.1)."""
     server = serving()
     with running(tmp_path, server) as ingress:
         client = ingress.client()
@@ -130,13 +130,13 @@
         for at in range(0, len(data), 50):
             client.sock.sendall(data[at : at + 50])
         assert client.answer()[0] == 200
-        assert client.ask()[0] == 200  # what stands behind it is the next request
+        assert client.ask()[0] == 200  # the bytes behind the body are read as the next request
         _, headers, sent = server.next()
     assert (sent, headers["content-length"]) == (b"whoelse", "7") and "transfer-encoding" not in headers
 
 
-def test_the_id_of_an_open_request_is_turned_down_and_free_again_after_its_answer(tmp_path):
-    """Sent on, it was a second copy of the other client's request."""
+def test_the_id_of_a_request_in_flight_is_rejected_and_free_after_its_answer(tmp_path):
+    """A forwarded request with such an id was a second copy of the other client's request."""
     held = Peer(lambda *_: None)
     with running(tmp_path, held) as ingress:
         first, second = ingress.client().send(X_Request_ID="same", ttl=1000), ingress.client()
@@ -161,49 +161,52 @@
     ],
     ids=["silent", "half", "60 MB"],
 )
-def test_who_asks_nothing_whole_is_answered_or_closed_within_seconds(tmp_path, sent, status):
-    """Such clients waited 10 s, silent ones 120 s; those who asked once may stay."""
+def test_a_client_without_a_complete_request_is_disconnected_within_3_s(tmp_path, sent, status):
+    """Clients with a partial request kept a connection for 10 s, silent ones for 120 s.
+
+    A connection that has had a complete request may stay idle.
+    """
     with running(tmp_path, serving()) as ingress:
-        asked = ingress.client()
-        assert asked.ask()[0] == 200
+        used = ingress.client()
+        assert used.ask()[0] == 200
         bad = ingress.client()
         bad.sock.settimeout(3)
         bad.sock.sendall(sent)
         answer = bad.answer()
         assert answer is None if status is None else answer[0] == status
-        assert bad.answer() is None  # closed, not only told
-        assert asked.ask()[0] == 200
+        assert bad.answer() is None  # closed, not only answered
+        assert used.ask()[0] == 200
 
 
-def test_a_huge_body_is_not_read_to_its_end(tmp_path):
+def test_a_body_over_the_limit_is_not_read_to_its_end(tmp_path):
     with running(tmp_path, serving()) as ingress:
         client = ingress.client()
         client.sock.settimeout(WAIT_S)
-        with pytest.raises(OSError):  # the ingress closes with it unread
+        with pytest.raises(OSError):  # the ingress closes the connection with the body unread
             client.send(b"POST /book HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
             for _ in range(600):
                 client.sock.sendall(b"x" * 100_000)
 
 
-def test_floods_of_silent_connections_leave_room_for_requests(tmp_path):
-    """One turn of the reactor accepts dozens: without a hard cap they took every descriptor."""
+def test_a_flood_of_silent_connections_leaves_room_for_requests(tmp_path):
+    """One turn of the reactor accepts dozens of connections; without a hard limit they used every descriptor."""
     with running(tmp_path, serving(), limits={"sockets": 160}) as ingress:
         fds = f"/proc/{ingress.process.pid}/fd"
-        flood, most = [], 0
+        flood, max_descriptors = [], 0
         for _ in range(8):
             for _ in range(200):
                 flood.append(socket.socket())
                 flood[-1].setblocking(False)
                 flood[-1].connect_ex(ingress.address)
-            most = max(most, len(os.listdir(fds)))
+            max_descriptors = max(max_descriptors, len(os.listdir(fds)))
             assert ingress.client().ask() is not None
         assert ingress.client().ask()[0] == 200
         for sock in flood:
             sock.close()
-    assert most < 160
+    assert max_descriptors < 160
 
 
-def test_beyond_the_quota_is_refused_at_once_with_the_time_to_come_back(tmp_path):
+def test_a_request_over_quota_is_rejected_with_a_retry_time(tmp_path):
     with running(tmp_path, serving()) as ingress:
         client, served = ingress.client(), 0
         while (answer := client.ask(plan="tight"))[0] == 200:
@@ -213,7 +216,7 @@
     assert 0 < float(answer[1]["retry-after"]) <= 2
 
 
-def test_all_ingresses_count_on_the_same_names(tmp_path):
+def test_all_ingresses_use_the_same_counter_names(tmp_path):
     server, counters, paths = serving(), (Counter(), Counter()), (tmp_path / "1", tmp_path / "2")
     for path in paths:
         path.mkdir()
@@ -221,21 +224,23 @@
         running(paths[0], server, counter=counters[0]) as one,
         running(paths[1], server, counter=counters[1]) as two,
     ):
-        for _ in range(3):  # a window may end between the two
+        for _ in range(3):  # a window may end between the two ingresses' calls
             for ingress, counter in zip((one, two), counters, strict=True):
                 seen = len(counter.totals) if counter.totals else 0
-                ingress.ask_until(lambda c=counter, s=seen: len(c.totals) > s or c.seen.qsize() > 3)
+                ingress.ask_until(
+                    lambda counter=counter, seen=seen: len(counter.totals) > seen or counter.seen.qsize() > 3
+                )
             if set(counters[0].totals) & set(counters[1].totals):
                 return
     raise AssertionError("no name in common")
 
 
 @pytest.mark.parametrize("late", ["answers late", "never answers"])
-def test_a_counter_that_is_late_holds_nobody_up_and_late_answers_are_dropped_in_order(tmp_path, late):
+def test_a_late_counter_delays_no_request_and_its_late_answers_are_matched_in_order(tmp_path, late):
     calls, counter = Tally(), Counter()
 
     def answer(line, headers, body):
-        calls[line.split("?")[0]] += 1  # a name's second call brings the answers of both
+        calls[line.split("?")[0]] += 1  # the second call of a name is answered together with the first
         second = calls[line.split("?")[0]] == 2 and late == "answers late"
         return message(body=b"1") + message(body=b"2") if second else None
 
@@ -249,18 +254,18 @@
 
 
 @pytest.mark.parametrize("spoilt", [b"", b"{}", b"0x", b"nan", b"inf", b"--3", b"+3", b"1e"])
-def test_a_call_whose_answer_cannot_be_read_was_added_and_is_not_added_again(tmp_path, spoilt):
-    """The amount went out a second time with the next call, and calls behind it on the connection with it."""
+def test_a_counter_call_with_an_unreadable_answer_is_not_added_again(tmp_path, spoilt):
+    """The amount of such a call, and of calls behind it on the connection, was sent again with the next call."""
     counter = Counter(spoilt)
     with running(tmp_path, serving(), counter=counter) as ingress:
         ingress.ask_until(lambda: counter.seen.qsize() >= 4)
         counts = ingress.counts()
     assert counts["counter.timeout"] == counts["counter.malformed"] == 1
-    assert counts["counter.dialed"] >= 2  # its connection was of no more use
+    assert counts["counter.dialed"] >= 2  # its connection is not used again
     assert sum(counter.totals.values()) <= counts["request.served"]
 
 
-def test_a_refused_connection_never_ran_so_the_answer_is_a_refusal(tmp_path):
+def test_a_request_whose_connection_was_refused_is_answered_503(tmp_path):
     gone = serving()
     gone.stop()
     with running(tmp_path, gone) as ingress:
@@ -296,9 +301,7 @@
         (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 9000, "look", 200, "error", 2),
     ],
 )
-def test_what_may_have_run_is_repeated_or_refused_only_where_that_is_safe(
-    tmp_path, reply, cls, status, outcome, attempts
-):
+def test_an_attempt_that_may_have_run_is_retried_only_if_that_is_safe(tmp_path, reply, cls, status, outcome, attempts):
     replies = iter([reply])
     server = Peer(lambda *_: next(replies, message()))
     with running(tmp_path, server, settings={"classes": [*SETTINGS["classes"], KEYED]}) as ingress:
@@ -307,23 +310,23 @@
     assert server.seen.qsize() == attempts
 
 
-def test_a_server_that_dies_amid_its_answer_has_not_answered(tmp_path):
+def test_an_incomplete_answer_is_no_answer(tmp_path):
     dying = Peer(lambda *_: HALF)
     with running(tmp_path, dying) as ingress:
         client = ingress.client().send(cls="book", ttl=2000)
         dying.next()
-        assert client.answer()[0] == 502  # by the module's guard, before the client gives up
+        assert client.answer()[0] == 502  # by the module's timeout, before the client's deadline
 
 
-def test_a_silent_server_costs_an_answer_before_the_deadline_and_its_connection(tmp_path):
+def test_a_silent_server_loses_its_connection_and_the_client_gets_an_error_in_time(tmp_path):
     silent = Peer(lambda *_: None)
     with running(tmp_path, silent) as ingress:
         client = ingress.client()
         assert client.ask(cls="book", ttl=400)[0] in (502, 504)
-        assert silent.ended.get(timeout=WAIT_S)  # given up by closing
+        assert silent.ended.get(timeout=WAIT_S)  # the attempt is cancelled by closing its connection
 
 
-def test_a_client_that_leaves_takes_its_attempt_with_it(tmp_path):
+def test_a_disconnecting_client_cancels_its_attempt(tmp_path):
     silent = Peer(lambda *_: None)
     with running(tmp_path, silent) as ingress:
         client = ingress.client().send()
@@ -333,7 +336,7 @@
         assert ingress.counts()["request.left"] == 1
 
 
-def test_connections_to_servers_are_used_again_one_request_at_a_time(tmp_path):
+def test_connections_to_servers_are_reused(tmp_path):
     with running(tmp_path, serving()) as ingress:
         client = ingress.client()
         for _ in range(5):
@@ -343,18 +346,18 @@
 
 @pytest.mark.parametrize("surplus", [message(body=b"other"), b"\xff\x00noise\r\n"], ids=["copy", "noise"])
 @pytest.mark.parametrize("size", [100, 16384], ids=["same read", "next read"])
-def test_a_good_answer_with_more_behind_it_is_given_and_its_connection_never_used_again(tmp_path, surplus, size):
-    """A reader of 16 KiB can leave the surplus in the kernel, where it would answer the next request."""
-    room = 2 * size - 50 - len(message(body=b"x" * (size - 50)))
+def test_an_answer_with_surplus_bytes_is_used_and_its_connection_is_not_reused(tmp_path, surplus, size):
+    """With reads of 16 KiB the surplus can stay in the kernel's buffer and be taken for the next request's answer."""
+    body_bytes = 2 * size - 50 - len(message(body=b"x" * (size - 50)))
 
     def answer(line, headers, body):
-        return message(body=headers["x-request-id"].encode().ljust(room, b".")) + surplus
+        return message(body=headers["x-request-id"].encode().ljust(body_bytes, b".")) + surplus
 
     server = Peer(answer)
     with running(tmp_path, server) as ingress:
         client = ingress.client()
-        asked = [client.bytes_of(X_Request_ID=f"wish{n}") for n in range(4)]
-        client.sock.sendall(b"".join(asked))
+        requests = [client.bytes_of(X_Request_ID=f"wish{n}") for n in range(4)]
+        client.sock.sendall(b"".join(requests))
         for n in range(4):
             status, _, body = client.answer()
             assert (status, body.rstrip(b".")) == (200, b"wish%d" % n)
@@ -362,9 +365,11 @@
     assert counts["attempt.ok"] == counts["attempt.sent"] == 4 == counts["upstream.dialed"]
 
 
-def test_idle_connections_make_room_for_those_to_other_servers(tmp_path):
-    """They filled the share of descriptors, and servers not yet used were taken for unreachable ones."""
-    full = [Peer(lambda *_: message(503, X_Not_Processed="1")) for _ in range(40)]  # each is tried next
+def test_idle_connections_are_closed_for_connections_to_other_servers(tmp_path):
+    """Idle connections used all descriptors, so servers without one seemed unreachable."""
+    full = [
+        Peer(lambda *_: message(503, X_Not_Processed="1")) for _ in range(40)
+    ]  # each attempt goes to another of them
     with running(tmp_path, *full, limits={"sockets": 128}) as ingress:
         client = ingress.client()
         assert Tally(client.ask()[0] for _ in range(60)) == {503: 60}
@@ -373,7 +378,7 @@
 
 
 def test_an_idle_connection_past_the_limit_is_not_used_again(tmp_path):
-    """The sweep alone looks once a second: under a short limit a request went out on a closed connection."""
+    """Only a sweep once a second checked the limit, so with a short one a request went out on a closed connection."""
     settings = {"limits": {**SETTINGS["limits"], "conn_idle_ns": 1}}
     with running(tmp_path, serving(), settings=settings) as ingress:
         client = ingress.client()
@@ -381,15 +386,15 @@
         assert ingress.counts()["upstream.dialed"] == 2
 
 
-def test_drained_and_gone_servers_get_nothing_new(tmp_path):
+def test_draining_and_removed_servers_get_no_new_requests(tmp_path):
     old, new, discovery = serving(), serving(), Discovery()
     with running(tmp_path, old, discovery=discovery) as ingress:
         client = ingress.client()
         assert client.ask()[0] == 200
         assert "after=1&" in discovery.next()[0]
-        odd = [{"uid": "odd"}, {**target(new), "uid": ["odd"]}, {**target(new), "model": {}}, 7]
-        discovery.tell(2, [target(old, 0, "terminating"), target(new, 1), *odd])
-        assert "after=2&" in discovery.next()[0]  # the next watch: the news has been taken in
+        malformed = [{"uid": "odd"}, {**target(new), "uid": ["odd"]}, {**target(new), "model": {}}, 7]
+        discovery.tell(2, [target(old, 0, "terminating"), target(new, 1), *malformed])
+        assert "after=2&" in discovery.next()[0]  # the next watch: the changes have been applied
         before = old.seen.qsize()
         assert {client.ask()[0] for _ in range(6)} == {200}
         assert old.seen.qsize() == before
@@ -402,7 +407,7 @@
 
 
 @pytest.mark.parametrize("reply", ["close", b"junk\r\n\r\n", message(500), message(body=b"[]"), REVLESS])
-def test_discovery_that_fails_is_asked_again_and_nothing_is_forgotten(tmp_path, reply):
+def test_a_failed_watch_is_retried_and_the_server_list_is_kept(tmp_path, reply):
     discovery = Discovery()
     watch = discovery.answer
     discovery.answer = lambda *_: reply
@@ -432,7 +437,7 @@
     assert counts["counter.rejected"] == 1 and counts["request.served"] == counts["request.accepted"]
 
 
-def test_sigterm_serves_what_comes_finishes_what_is_open_and_exits(tmp_path):
+def test_sigterm_finishes_requests_and_exits(tmp_path):
     held = Peer(lambda *_: None)
     with running(tmp_path, held) as ingress:
         open_one, late_one = ingress.client().send(cls="book", ttl=2500), ingress.client()
@@ -445,13 +450,13 @@
         late_one.send(ttl=2500)
         held.next()  # still served
         ingress.event("leaving")
-        assert half.ask(request[-1:])[0] == 404  # taken up to its last byte
+        assert half.ask(request[-1:])[0] == 404  # a partial request is received and answered
         assert open_one.answer()[0] == 502 and late_one.answer() is not None
         assert ingress.event("counters")["counts"]["request.accepted"] == 2
         assert ingress.process.wait(timeout=WAIT_S) == 0
 
 
-def test_slow_readers_and_eager_writers_hold_bounded_memory(tmp_path):
+def test_slow_readers_and_fast_writers_use_bounded_memory(tmp_path):
     with running(tmp_path, serving(b"x" * 60_000)) as ingress:
         client = ingress.client()
         client.sock.settimeout(2)
@@ -464,26 +469,26 @@
         assert pages * 4096 < 100 << 20
 
 
-def test_a_reader_that_stops_is_read_no_further_though_nothing_waits_behind_its_answer(tmp_path):
-    """Reading stopped only behind a request in hand: behind an answer not taken, all that came was kept."""
+def test_a_client_that_stops_reading_its_answer_is_not_read(tmp_path):
+    """Reading was paused only during a request; bytes behind an answer that was not read were all buffered."""
     with running(tmp_path, serving(b"x" * 65_000)) as ingress:
-        client, asked, served, same = ingress.client(), 0, 0, 0
+        client, sent, served, unchanged = ingress.client(), 0, 0, 0
         client.sock.settimeout(2)
-        client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # the kernel would make it larger
-        while same < 50:  # looks without progress: an answer is stuck
-            if served == asked:
+        client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # otherwise the kernel enlarges it
+        while unchanged < 50:  # checks without progress: an answer is blocked
+            if served == sent:
                 client.sock.sendall(b"".join(client.bytes_of() for _ in range(20)))
-                asked += 20
+                sent += 20
             now = ingress.counts().get("request.served", 0)
-            served, same = now, same + 1 if now == served else 0
+            served, unchanged = now, unchanged + 1 if now == served else 0
             time.sleep(0.02)
         with pytest.raises(TimeoutError):
             for _ in range(640):
                 client.sock.sendall(b"x" * 100_000)
 
 
-def test_a_restarted_servers_old_connections_are_not_used_again(tmp_path):
-    """After a machine was cut off they may be dead without a word, and a request on one may have run."""
+def test_connections_from_before_a_servers_restart_are_not_reused(tmp_path):
+    """After a network failure such connections may be dead without notice, and a request sent on one may have run."""
     server, discovery = serving(), Discovery()
     with running(tmp_path, server, discovery=discovery) as ingress:
         client = ingress.client()
@@ -495,7 +500,7 @@
         assert ingress.counts()["upstream.dialed"] == 2
 
 
-def test_descriptors_are_capped_and_idle_clients_make_room(tmp_path):
+def test_idle_client_connections_are_closed_at_the_descriptor_limit(tmp_path):
     with running(tmp_path, serving(), limits={"sockets": 160}) as ingress:
         clients = [ingress.client() for _ in range(200)]
         assert clients[-1].ask()[0] == 200
@@ -503,8 +508,8 @@
     assert counts["client.closed_for_room"] >= 100
 
 
-def test_a_reload_moves_counter_and_discovery_while_what_is_out_finishes(tmp_path):
-    """SIGHUP ended the process.  Calls out finish on the old counter, in order with those to the new one."""
+def test_a_reload_moves_counter_and_discovery_and_calls_in_flight_finish(tmp_path):
+    """SIGHUP ended the process.  Calls in flight must finish on the old counter while others go to the new one."""
     servers, discoveries = (serving(), serving()), [Discovery(), Discovery()]
     counters = [Counter(), Counter()]
     with running(tmp_path, servers[0], counter=counters[0], discovery=discoveries[0]) as ingress:
@@ -517,10 +522,12 @@
         for _ in range(3):  # the second and the third change nothing
             ingress.reload({**config, "seed": "5"})
             assert ingress.event("reloaded")["until_restart"] == []
-        assert discoveries[1].next()[0] == "GET /registry/instances HTTP/1.1"  # whole, not after the old rev
-        discoveries[0].tell(9, [], whole=True)  # to nobody
+        assert (
+            discoveries[1].next()[0] == "GET /registry/instances HTTP/1.1"
+        )  # the complete list, not changes since the old revision
+        discoveries[0].tell(9, [], whole=True)  # no watch is open here any more
         assert discoveries[0].ended.get(timeout=WAIT_S) and counters[0].ended.get(timeout=WAIT_S)
-        discoveries[1].tell(1, [target(servers[1], 1)])  # changes to a list that is not ours
+        discoveries[1].tell(1, [target(servers[1], 1)])  # changes without a complete list before them are rejected
         assert discoveries[1].next()[0] == "GET /registry/instances HTTP/1.1"
         discoveries[1].tell(1, [target(servers[1], 1)], whole=True)
         assert "after=1&" in discoveries[1].next()[0]
@@ -534,7 +541,7 @@
         ingress.event("reloaded")
         assert ingress.process.wait(timeout=WAIT_S) == 0
     assert (counts["reload.done"], counts["reload.failed"], discoveries[0].seen.qsize()) == (3, 2, 1)
-    assert counts["discovery.failed"] == 1  # the list that was not whole; leaving the old one is no failure
+    assert counts["discovery.failed"] == 1  # the incomplete list; stopping the old watch is not a failure
 
 
 FAULTS = {
@@ -551,7 +558,7 @@
 
 
 @pytest.mark.parametrize("key", [*FAULTS, "EDGE_CONFIG"])
-def test_bad_configuration_ends_with_one_line_that_names_the_key(tmp_path, key):
+def test_a_bad_configuration_ends_the_process_with_one_line_that_names_the_key(tmp_path, key):
     peer = serving()
     config = {**config_for(peer, peer, [peer]), **FAULTS.get(key, {})}
     process = start("{" if key == "EDGE_CONFIG" else config, tmp_path)
@@ -560,14 +567,14 @@
     assert json.loads(err)["fault"].startswith(key + ":")
 
 
-def test_an_address_in_use_is_named_too(tmp_path):
+def test_the_error_for_an_address_in_use_names_its_key(tmp_path):
     peer = serving()
     process = start({**config_for(peer, peer, [peer]), "listen": peer.address}, tmp_path)
     _, err = process.communicate(timeout=WAIT_S)
     assert process.returncode != 0 and b'"listen:' in err
 
 
-def test_half_a_request_is_no_request(tmp_path):
+def test_an_incomplete_request_is_not_accepted(tmp_path):
     server = serving()
     with running(tmp_path, server) as ingress:
         client = ingress.client()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""A client and a server with the drivers between them, on wires that take and give what they like."""
+"""Streamed requests and answers between a client and a server, on simulated transports of arbitrary speed."""
 
 import socket
 from random import Random
@@ -27,7 +27,10 @@
 
 
 class Wire:
-    """A transport: the kernel takes `room` bytes, the rest waits here as it does in Twisted."""
+    """A transport on a simulated socket.
+
+    The socket's buffer takes `room` more bytes into `taken`; the rest waits in `waiting`, as in Twisted's transport.
+    """
 
     def __init__(self, protocol):
         self.protocol, self.room, self.waiting, self.taken = protocol, 0, b"", b""
@@ -66,7 +69,7 @@
         self.producer = None
 
     def grant(self, size):
-        """The kernel takes so much more."""
+        """Let the socket take `size` more bytes."""
         part, self.waiting = self.waiting[:size], self.waiting[size:]
         self.taken += part
         self.room += size - len(part)
@@ -76,7 +79,7 @@
             self.end(CLEAN)
 
     def give(self, data):
-        """Bytes from the other side, if this one reads; returns what is left."""
+        """Deliver up to 16 KiB from the other side unless reading is paused; return the bytes left."""
         if not self.reading or self.closed:
             return data
         self.protocol.dataReceived(data[:16384])
@@ -105,7 +108,7 @@
 
 
 class Relay:
-    """The real drivers; time stands still and dials succeed at once."""
+    """The client listener and the upstream pool with a scripted module; time is fixed and connects succeed at once."""
 
     def __init__(self):
         config = read_config(config_for(Counter(), Discovery(), []), {})
@@ -129,7 +132,7 @@
     def seconds(self):
         return 0.0
 
-    def callLater(self, after, call, *args):
+    def callLater(self, delay_s, call, *args):
         pass
 
     def connectTCP(self, host, port, factory, timeout):
@@ -137,7 +140,7 @@
 
 
 def read_whole(data, answer=False):
-    """The one message in `data`, or None where it is not whole."""
+    """Return the message in `data`; None if it is incomplete."""
     reader = (ResponseReader if answer else RequestReader)(BufferPool(), 1 << 26)
     reader.feed(data)
     return reader.next_response() if answer else reader.next_request()
@@ -164,12 +167,12 @@
 sizes = st.sampled_from([0, 10, 70_000, 150_000, 400_000])
 forms = st.sampled_from(["length", "chunks"])
 breaking = st.sampled_from(["none", "server", "client"])
-paces = st.sampled_from([(30_000, 30_000), (3000, 30_000), (30_000, 3000)])  # of the client, of the server
+paces = st.sampled_from([(30_000, 30_000), (3000, 30_000), (30_000, 3000)])  # max bytes a step: client, server
 
 
 @settings(max_examples=120, derandomize=True, deadline=None)
 @given(sizes, forms, sizes, forms, st.integers(0, 10**6), breaking, paces)
-def test_nothing_is_lost_doubled_or_reordered(up, up_form, down, down_form, seed, breaks, pace):
+def test_no_bytes_are_lost_duplicated_or_reordered(up, up_form, down, down_form, seed, breaks, pace):
     rng, relay = Random(seed), Relay()
     sent, coming = request(up, up_form)
     given_body, answering = answer(down, down_form)
@@ -184,16 +187,16 @@
         if breaks != "none" and step == break_at:
             (server if breaks == "server" and server else client).end(BROKEN)
             continue
-        what = rng.randrange(4)
-        if what == 0:
+        action = rng.randrange(4)
+        if action == 0:
             coming = client.give(coming) if coming else b""
-        elif what == 1 and server:
+        elif action == 1 and server:
             server.grant(rng.randrange(1, pace[1]))
-        elif what == 2:
+        elif action == 2:
             client.grant(rng.randrange(1, pace[0]))
         elif server and answering and read_whole(server.taken) is not None:
             answering = server.give(answering)
-        assert relay.pool.buffers_in_use * 16384 < GATHER + 80_000  # back-pressure: neither side is read ahead
+        assert relay.pool.buffers_in_use * 16384 < GATHER + 80_000  # flow control: neither side is read ahead
         assert len(client.waiting) < 100_000 and (not server or len(server.waiting) < GATHER + 40_000)
     else:
         raise AssertionError("stands still")
@@ -206,28 +209,28 @@
     elif whole is not None and whole.status == 200:
         assert whole.body == given_body
     elif breaks == "server" and whole is None and relay.servers:
-        assert client.closed or client.waiting or client.room  # what broke off is never completed
+        assert client.closed or client.waiting or client.room  # an interrupted answer is never completed
     assert len(relay.servers) <= 1  # the module of this test asks for no second attempt
     for wire in [client, *relay.servers]:
         wire.end(BROKEN)
     assert relay.pool.buffers_in_use == 0 and relay.pool.reserved_bytes == 0 and not relay.engine.requests
 
 
-def test_a_body_that_is_held_counts_until_it_is_of_no_more_use():
+def test_a_buffered_body_is_counted_until_it_cannot_be_sent_again():
     relay = Relay()
     _, coming = request(400_000, "length")
     while not relay.servers:
         coming = relay.client.give(coming)
-    held = relay.pool.reserved_bytes
-    assert 2 * GATHER < held < 3 * GATHER and not relay.client.reading
+    reserved_bytes = relay.pool.reserved_bytes
+    assert 2 * GATHER < reserved_bytes < 3 * GATHER and not relay.client.reading
     relay.servers[0].grant(10**6)
-    assert relay.client.reading and relay.pool.reserved_bytes == held  # it could still go to another server
+    assert relay.client.reading and relay.pool.reserved_bytes == reserved_bytes  # it can still go to another server
     relay.client.give(coming)
-    assert relay.pool.reserved_bytes == 0  # more has gone out than is held
+    assert relay.pool.reserved_bytes == 0  # more has been sent than is buffered
 
 
 @pytest.mark.parametrize("form", ["length", "chunks"])
-def test_what_breaks_off_is_never_whole_to_the_client(form):
+def test_an_interrupted_answer_never_seems_complete_to_the_client(form):
     relay = Relay()
     relay.client.grant(10**7)
     _, coming = request(10, "length")
@@ -238,56 +241,57 @@
         answering = relay.servers[0].give(answering)
     relay.servers[0].end(BROKEN)
     assert relay.client.closed and read_whole(relay.client.taken, answer=True) is None
-    assert len(relay.client.taken) > 8 * 16_000  # what came still went out
+    assert len(relay.client.taken) > 8 * 16_000  # the parts received before are still sent
 
 
 class Clocked(Relay):
-    """With a clock that the test moves."""
+    """A relay whose clock the test moves."""
 
     now = 0.0
 
     def seconds(self):
         return self.now
 
-    def sweep(self, at):
-        self.now = at
+    def sweep(self, at_s):
+        """Run the timeouts at a time; return whether the client's connection is closed or closing."""
+        self.now = at_s
         self.client.protocol.listener._sweep()
         return self.client.closed or self.client.closing
 
 
-def test_a_head_may_take_two_seconds_and_is_ended_before_three():
+def test_a_head_may_take_2_s_and_is_rejected_before_3_s():
     _, coming = request(10, "length")
-    slow, still = Clocked(), Clocked()
-    for relay in (slow, still):
+    slow, stopped = Clocked(), Clocked()
+    for relay in (slow, stopped):
         relay.client.grant(10**6)
         relay.client.give(coming[:30])
         assert not relay.sweep(2.2)
     slow.client.give(coming[30:])
     assert slow.servers and not slow.sweep(2.7)
-    assert still.sweep(2.7) and still.client.taken.startswith(b"HTTP/1.1 408")
+    assert stopped.sweep(2.7) and stopped.client.taken.startswith(b"HTTP/1.1 408")
 
 
-def test_who_connects_and_says_nothing_is_ended_before_three_seconds():
+def test_a_silent_connection_is_closed_before_3_s():
     relay = Clocked()
     assert not relay.sweep(2.2) and relay.sweep(2.7)
 
 
 @pytest.mark.parametrize(("per_s", "kept"), [(64_000, True), (8_000, False)])
-def test_a_body_is_given_time_by_its_progress(per_s, kept):
+def test_the_timeout_of_a_body_grows_with_the_bytes_received(per_s, kept):
     relay = Clocked()
     _, coming = request(90_000, "length")
     head = coming.index(b"\r\n\r\n") + 4
     relay.client.grant(10**6)
     relay.client.give(coming[:head])
-    at, ended = 0.0, False
+    at_s, is_ended = 0.0, False
     for piece in range(head, len(coming), per_s // 8):
-        ended = ended or relay.sweep(at)
+        is_ended = is_ended or relay.sweep(at_s)
         relay.client.give(coming[piece : piece + per_s // 8])
-        at += 0.125
-    assert ended != kept and bool(relay.servers) == kept
+        at_s += 0.125
+    assert is_ended != kept and bool(relay.servers) == kept
 
 
-def test_a_body_that_goes_on_may_not_stand_still():
+def test_a_streamed_body_that_stops_arriving_is_rejected():
     relay = Clocked()
     relay.module.reactions[i.Left] = lambda ev: [i.Cancel(ev.request, 0)]  # as the module does
     relay.client.grant(10**6)
@@ -302,30 +306,30 @@
     assert relay.servers[0].closed and relay.pool.reserved_bytes == 0
 
 
-def test_in_a_crowd_who_goes_on_writing_stays_and_who_stopped_gives_way():
+def test_at_the_connection_limit_a_partial_request_must_make_progress():
     _, coming = request(10, "length")
-    for goes_on in (False, True):
+    for makes_progress in (False, True):
         relay = Clocked()
         relay.client.grant(10**6)
         relay.client.give(coming[:20])
         relay.client.protocol.listener._is_accepting = False
         assert not relay.sweep(0.9)
-        if goes_on:
+        if makes_progress:
             relay.client.give(coming[20:25])
-        assert relay.sweep(1.3) != goes_on
+        assert relay.sweep(1.3) != makes_progress
 
 
-def test_a_drain_keeps_what_is_under_way_each_way():
-    """A body that goes on and an answer that has begun are finished; the connection goes with the answer."""
+def test_a_drain_lets_streamed_bodies_finish_both_ways():
+    """A streamed request body and a streamed answer are completed; the connection closes after the answer."""
     relay = Clocked()
     relay.client.grant(10**7)
-    life = relay.client.protocol.listener.lifecycle
-    life.mark_servers_known()
+    lifecycle = relay.client.protocol.listener.lifecycle
+    lifecycle.mark_servers_known()
     sent, coming = request(400_000, "length")
     while not relay.servers:
         coming = relay.client.give(coming)
     relay.servers[0].grant(10**7)
-    life.drain(0.0)
+    lifecycle.drain(0.0)
     assert not relay.sweep(1.0)
     while coming:
         coming = relay.client.give(coming)
@@ -339,11 +343,11 @@
     assert whole.body == given_body and not whole.keep_alive and relay.client.closed
 
 
-def test_an_inherited_listener_halves_what_the_other_process_has_as_well():
+def test_an_inherited_listener_halves_the_limits_that_two_processes_share():
     raw = config_for(Counter(), Discovery(), [], limits={"sockets": 512, "memory_mb": 80})
     alone, beside = (Ingress(Relay(), read_config(raw, environment)) for environment in ({}, {"EDGE_ACCEPT_FD": "9"}))
     assert 2 * len(beside.counter.channels) == len(alone.counter.channels) == 16
     assert 2 * len(alone.counter.channels) <= 32
     assert (
         3 * beside.front.stream_threshold_bytes < alone.front.stream_threshold_bytes
-    )  # of what memory leaves, not of all
+    )  # a share of the memory beyond the program's own, so more than halved
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""The order of a start: nobody may connect to a process that is still busy with it."""
+"""The order of a start: a process must not listen before it is ready to serve at once."""
 
 import os
 import subprocess
@@ -12,27 +12,27 @@
 
 
 class Reactor:
-    """Runs what is due in the order of its time, as a turn after a wait, and notes what happened."""
+    """A reactor that runs the start-up calls and then the earliest delayed call, and records the order of events."""
 
     def __init__(self, seen):
-        self.seen, self.delayed, self.first = seen, [], []
+        self.seen, self.delayed_calls, self.startup_calls = seen, [], []
 
     def seconds(self):
         return 0.0
 
-    def callLater(self, after, call, *args):
-        self.delayed.append((after, call, args))
+    def callLater(self, delay_s, call, *args):
+        self.delayed_calls.append((delay_s, call, args))
 
     def callWhenRunning(self, call):
-        self.first.append(call)
+        self.startup_calls.append(call)
 
     def run(self):
         self.seen.append("runs")
-        for call in self.first:
+        for call in self.startup_calls:
             call()
         self.seen.append("waits")
-        after, call, args = min(self.delayed, key=lambda d: d[0])
-        assert after > 0  # without a wait the whole start is one turn
+        delay_s, call, args = min(self.delayed_calls, key=lambda delayed: delayed[0])
+        assert delay_s > 0  # without a delay the whole start is one turn
         call(*args)
 
     def stop(self):
@@ -44,20 +44,20 @@
     seen = []
     environment = {"EDGE_ACCEPT_FD": "9"} if shared else {}
     config = read_config(config_for(Counter(), Discovery(), [], management="127.0.0.1:0"), environment)
-    made = ingress.Ingress(Reactor(seen), config)
+    started = ingress.Ingress(Reactor(seen), config)
     for name in ("_listen", "_inherit", "_heed_signals", "told"):
-        monkeypatch.setattr(made, name, lambda *_, name=name: seen.append(name))
+        monkeypatch.setattr(started, name, lambda *_, name=name: seen.append(name))
     monkeypatch.setattr(ingress, "calm_gc", lambda: seen.append("gc"))
-    monkeypatch.setattr(ingress, "log_counters", lambda why: None)
+    monkeypatch.setattr(ingress, "log_counters", lambda reason: None)
     monkeypatch.setattr(ingress, "log", lambda event, **_: seen.append(event))
-    made.watcher.start = lambda: seen.append("watch")
-    made.run()
+    started.watcher.start = lambda: seen.append("watch")
+    started.run()
     listening = ["_inherit", "_listen"] if shared else ["_listen", "_listen"]
     assert seen == ["told", "watch", "gc", "runs", "_heed_signals", "waits", *listening, "serving"]
 
 
-def test_a_start_does_without_what_it_never_uses(tmp_path):
-    """Each of these cost a tenth or a twentieth of a start's CPU time; twisted brings them in unasked."""
+def test_a_start_imports_no_unused_modules(tmp_path):
+    """Each of these modules, which Twisted imports, took a tenth or a twentieth of a start's CPU time."""
     code = (
         "import sys, mapleline.__main__ as m, mapleline\n"
         "sys.argv = ['mapleline']\n"
@@ -67,5 +67,5 @@
     )
     environment = {**os.environ, "EDGE_CONFIG": str(tmp_path / "missing")}
     line = [sys.executable, "-c", code]
-    done = subprocess.run(line, cwd=ROOT, env=environment, capture_output=True, text=True)
-    assert done.stdout.strip() == "[]" and "EDGE_CONFIG" in done.stderr
+    finished = subprocess.run(line, cwd=ROOT, env=environment, capture_output=True, text=True)
+    assert finished.stdout.strip() == "[]" and "EDGE_CONFIG" in finished.stderr
