--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -219,7 +219,7 @@
 
 def test_the_timeout_of_a_streamed_request_starts_with_its_last_byte():
     g = Gateway()
-    acts = g.do(i.Arrival(1, 0, 2, 5, 4 * S, coming=True))
+    acts = g.do(i.Arrival(1, 0, 2, 5, 4 * S, is_body_pending=True))
     (send,) = only(acts, i.Send)
     guards = [a for a in acts if type(a) is i.SetTimer and a.request == 1]
     assert guards == []
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -44,7 +44,7 @@
 
 def fleet(clock, discovery, size, pauses=None):
     for number in range(size):
-        pause = pauses or backoff(i.Start(seed=number, gateways=size, list_on_request=True))
+        pause = pauses or backoff(i.Start(seed=number, ingresses=size, list_on_request=True))
         watcher = Watcher(clock, ("10.0.0.1", 1), BufferPool(), Directory([], []), lambda news: None, pause)
         watcher._ask = discovery.ask
         watcher.start()
@@ -66,7 +66,7 @@
     """The agent of this machine serves one ingress; a late watch would learn of a drain late."""
     clock = Clock()
     discovery = Discovery(clock, 100)
-    pushed = backoff(i.Start(seed=1, gateways=40, list_ask_within_ns=10_000_000_000))
+    pushed = backoff(i.Start(seed=1, ingresses=40, list_ask_within_ns=10_000_000_000))
     fleet(clock, discovery, 1, pushed)
     assert discovery.calls == 1
     assert max(pushed.pause() for _ in range(100)) <= 0.5
