--- a/mapleline/cores/supervisor.py
+++ b/mapleline/cores/supervisor.py
@@ -12,7 +12,7 @@
 
 from twisted.internet import error
 
-from ..ingress import BACKLOG, STAY_S, wait_for_reload, watch_twisted
+from ..ingress import BACKLOG, SHUTDOWN_DELAY_S, block_reload_signal, observe_twisted_failures
 from ..net.alarm import clock_start_ns
 from ..net.discovery import Directory
 from ..settings import platform
@@ -319,7 +319,7 @@
         log("told to leave", open=sum(worker.open_requests for worker in self._workers.values()))
         for worker in self._workers.values():
             worker.send(ShutDown())
-        self._reactor.callLater(STAY_S, self._close_listener)
+        self._reactor.callLater(SHUTDOWN_DELAY_S, self._close_listener)
 
     def _close_listener(self) -> None:
         self._acceptor.close()  # what the kernel accepted is still served: workers stay a little longer
@@ -342,14 +342,14 @@
 
 def main(own: Own, workers: int) -> int:
     """Serve with several workers; returns the exit code."""
-    wait_for_reload()
+    block_reload_signal()
     try:
         path = os.environ.get("EDGE_CONFIG")
         if not path:
             raise ConfigError("EDGE_CONFIG: not set")
         raw_config = platform.read_file(path)
         config = platform.read_config(raw_config, os.environ)
-        watch_twisted()
+        observe_twisted_failures()
         from twisted.internet import reactor
 
         return Supervisor(reactor, config, raw_config, own, workers).run()
--- a/mapleline/cores/worker.py
+++ b/mapleline/cores/worker.py
@@ -15,7 +15,7 @@
 
 from twisted.internet.protocol import Factory
 
-from ..ingress import STAY_S, Ingress, calm_gc, watch_twisted
+from ..ingress import SHUTDOWN_DELAY_S, Ingress, freeze_gc, observe_twisted_failures
 from ..lifecycle import Phase
 from ..net.reactor import install
 from ..net.upstream import Place
@@ -100,7 +100,7 @@
         connections = worker_counter_connections(start.workers)
         super().__init__(reactor, config, brain, start.clock_start_ns, connections)
         ids = OpenRequestIds(memory, start.workers, start.number)
-        self.front.ids = ids
+        self.client_listener.request_ids = ids
         self.upstreams.vetoed = DrainFlags(memory).is_draining
         self._channel = channel
         self._offered: dict[int, OfferedConnection] = {}
@@ -135,12 +135,12 @@
             case QueryCounters():
                 self._channel.send(CounterSnapshot(dict(COUNTS), command.query))
             case ShutDown():
-                self.leave(STAY_S + EXTRA_STAY_S)
+                self.shut_down(SHUTDOWN_DELAY_S + EXTRA_STAY_S)
 
     def _has_room(self) -> bool:
         """Whether it can take a connection: under the limit, or by closing one that is idle."""
-        streams = self.front.streams
-        return len(streams) < self.front.most or any(stream.idle for stream in streams)
+        streams = self.client_listener.streams
+        return len(streams) < self.client_listener.max_connections or any(stream.is_idle for stream in streams)
 
     def _handle_offer(self, offer: OfferConnection, handle: socket.socket) -> None:
         if not self._has_room():
@@ -154,14 +154,14 @@
     def _handle_claim_reply(self, reply: ClaimReply) -> None:
         offered = self._offered.pop(reply.connection)
         if reply.is_granted:
-            self.front.adopt(offered.handle, offered.has_had_request)
-        offered.handle.close()  # the front has its own copy, or another worker has the connection
+            self.client_listener.adopt(offered.handle, offered.has_had_request)
+        offered.handle.close()  # the listener has its own copy, or another worker has the connection
 
     def _handle_server_list(self, update: ServerListUpdate) -> None:
         if update.is_complete:
             self.directory.places = {}
         servers = [self._apply_server(entry) for entry in update.servers]
-        self.told(interface.ServerNews(_kind_of_update(update), servers))
+        self.apply_server_list(interface.ServerNews(_kind_of_update(update), servers))
         self._channel.send(AcknowledgeServerList(update.revision))
 
     def _apply_server(self, entry: ServerEntry) -> interface.Server:
@@ -175,8 +175,8 @@
         )
 
     def _handle_handover_request(self, request: RequestHandover) -> None:
-        if self.life.phase is not Phase.SHUTTING_DOWN:
-            self.front.hand_over(request.wanted_load, self._hand_over)
+        if self.lifecycle.phase is not Phase.SHUTTING_DOWN:
+            self.client_listener.hand_over(request.wanted_load, self._hand_over)
 
     def _hand_over(self, handle: socket.socket, load: float) -> None:
         self._channel.send(HandOverConnection(load), handle)
@@ -186,9 +186,9 @@
 
     def _send_report(self) -> None:
         self.reactor.callLater(REPORT_INTERVAL_S, self._send_report)
-        streams = self.front.streams
-        load = sum(stream.recent for stream in streams)
-        self.front.fade()
+        streams = self.client_listener.streams
+        load = sum(stream.recent_requests for stream in streams)
+        self.client_listener.decay_loads()
         if self._is_full and self._has_room():
             self._is_full = False
         self._reports = (self._reports + 1) % REPORTS_PER_COUNTERS
@@ -222,7 +222,7 @@
         """Finish what is open and stop: the supervisor is gone, and nothing new will come."""
         if self._has_stopped:
             self.reactor.stop()
-        elif self.life.begin_shutdown(self.reactor.seconds()):
+        elif self.lifecycle.begin_shutdown(self.reactor.seconds()):
             log("supervisor gone", open=len(self.engine.requests))
             self._finish()
 
@@ -260,7 +260,7 @@
         elif isinstance(command, StartWorker):
             configure_log(command.log_form, worker=command.number)
             self._worker = Worker(self._reactor, command, self._memory, self._channel)
-            calm_gc()
+            freeze_gc()
             self._worker.report_ready()
 
     def _handle_disconnect(self) -> None:
@@ -274,7 +274,7 @@
 
     def _shut_down(self) -> None:
         if self._worker is not None:
-            self._worker.leave()
+            self._worker.shut_down()
         else:
             self._reactor.stop()
 
@@ -284,7 +284,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a terminal's goes to the whole group
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
-    watch_twisted()
+    observe_twisted_failures()
     reactor = install()
     memory = memoryview(mmap.mmap(SHARED_MEMORY_FD, 0))
     WorkerProgram(reactor, memory).run()
--- a/mapleline/engine/drivers.py
+++ b/mapleline/engine/drivers.py
@@ -54,13 +54,13 @@
         """Send a complete answer."""
 
     def begin_answer(self, response: Response, source: AnswerSource) -> None:
-        """Begin an answer; the driver that has it passes its body to `part` and then calls `ended`."""
+        """Begin an answer; the driver that has it passes its body to `send_part` and then calls `end_answer`."""
 
-    def part(self, data: bytes) -> None:
+    def send_part(self, data: bytes) -> None:
         """Send a part of the body of an answer that has begun."""
 
-    def ended(self, whole: bool) -> None:
-        """End an answer that has begun; `whole` if its last byte has been passed on."""
+    def end_answer(self, is_whole: bool) -> None:
+        """End an answer that has begun; `is_whole` if its last byte has been passed on."""
 
     def reject(self, retry_after_ns: int, is_over_quota: bool) -> None:
         """Say that the request was not executed and may be sent again."""
--- a/mapleline/ingress.py
+++ b/mapleline/ingress.py
@@ -35,7 +35,7 @@
     from .net.fleet_member import FleetMember
     from .settings.own import Own
 
-STAY_S = 0.75  # after SIGTERM clients still come for a while, and what comes is served
+SHUTDOWN_DELAY_S = 0.75  # after SIGTERM clients still come for a while, and what comes is served
 HALF_IN_S = 2.0  # after that, for requests that have begun to come in
 LEFT_S = 0.05  # between two looks at whether everything is answered
 BACKLOG = 512
@@ -79,10 +79,10 @@
         self.fleet_member: FleetMember | None = None
         start = config.start
         clock = unix_clock(clock_start)
-        self.life = Lifecycle(is_socket_shared=config.accept_fd is not None)
-        if self.life.is_socket_shared:
+        self.lifecycle = Lifecycle(is_socket_shared=config.accept_fd is not None)
+        if self.lifecycle.is_socket_shared:
             lanes //= 2  # the other process has as many
-        memory = config.memory // (2 if self.life.is_socket_shared else 1)  # the other process needs as much
+        memory = config.memory // (2 if self.lifecycle.is_socket_shared else 1)  # the other process needs as much
         for_bodies = int(max(BODIES_LEAST, (memory - OWN_MEMORY) * BODIES_SHARE))
         buffers = self.buffers = BufferPool(limit_bytes=for_bodies)
         self.engine = Engine(brain or Brain(start), clock)
@@ -102,7 +102,7 @@
         alarm = ReactorAlarm(reactor, clock, self.engine.handle_alarm)
         self.engine.connect(self.upstreams, self.counter, alarm)
         translator = Translator(start, config.class_names, config.plan_names)
-        self.front = ClientListener(
+        self.client_listener = ClientListener(
             reactor,
             self.engine,
             translator,
@@ -110,17 +110,17 @@
             for_clients,
             config.open_cap,
             start.max_retry_after_ns,
-            self.life,
+            self.lifecycle,
             max(MAX_BUFFERED_BODY_BYTES, int(for_bodies * BODY_SHARE)),
         )
         self.fault: ConfigError | None = None  #: why it could not start
-        self.management = ManagementListener(reactor, self.life, buffers, self._held)
+        self.management = ManagementListener(reactor, self.lifecycle, buffers, self._held)
         self.directory = Directory(config.zone_names, config.kind_names)
-        self.watcher = self._watcher(config.discovery, whole=self.life.is_socket_shared)
+        self.watcher = self._watcher(config.discovery, whole=self.lifecycle.is_socket_shared)
 
     def _watcher(self, address: Address, whole: bool = False) -> Watcher:
         pauses = backoff(self.config.start)
-        return Watcher(self.reactor, address, self.buffers, self.directory, self.told, pauses, whole)
+        return Watcher(self.reactor, address, self.buffers, self.directory, self.apply_server_list, pauses, whole)
 
     def _divided(self, sockets: int) -> tuple[int, int]:
         """Of so many descriptors, those for clients and those for agenda servers."""
@@ -128,7 +128,7 @@
         for_clients = int(room * CLIENTS_SHARE)
         return for_clients, room - for_clients
 
-    def told(self, news: i.ServerNews) -> None:
+    def apply_server_list(self, news: i.ServerNews) -> None:
         """Addresses first: the module may send as soon as it knows."""
         COUNTS["discovery.lines"] += len(news.servers)
         self.upstreams.update(self.directory.places)
@@ -141,14 +141,14 @@
             self._listed()
         elif news.servers:
             # Who takes over from a process that serves has time to hear what is true now.
-            self.reactor.callLater(LISTED_S, self._listed) if self.life.is_socket_shared else self._listed()
+            self.reactor.callLater(LISTED_S, self._listed) if self.lifecycle.is_socket_shared else self._listed()
 
     def _listed(self) -> None:
-        self.life.mark_servers_known()
-        self.front.update_accepting()
+        self.lifecycle.mark_servers_known()
+        self.client_listener.update_accepting()
 
     def run(self) -> None:
-        self.told(self._read_known(self.directory, self.config))
+        self.apply_server_list(self._read_known(self.directory, self.config))
         self.watcher.start()
         own = self.own_settings
         if own is not None and (own.budgets.enabled or own.handoff.enabled):  # off on the platform
@@ -156,7 +156,7 @@
 
             self.fleet_member = join_fleet(self, own)
         self.reactor.callWhenRunning(self._heed_signals)
-        calm_gc()
+        freeze_gc()
         # Whoever connects is kept waiting by all that a start has still to do, and its request's time has
         # begun.  So nothing listens before the reactor has come round once.
         self.reactor.callWhenRunning(lambda: self.reactor.callLater(FIRST_TURN_S, self._open))
@@ -167,19 +167,21 @@
 
     def _open(self) -> None:
         """Listen, and say so."""
-        if self.life.phase is Phase.SHUTTING_DOWN:
+        if self.lifecycle.phase is Phase.SHUTTING_DOWN:
             return
         try:
-            if self.life.is_socket_shared:
+            if self.lifecycle.is_socket_shared:
                 self._inherit()
             else:
-                self.front.port = self._listen("listen", self.config.listen, self.front, ClientListenerPort)
+                self.client_listener.port = self._listen(
+                    "listen", self.config.listen, self.client_listener, ClientListenerPort
+                )
             if self.config.management:
                 self.management.port = self._listen("management", self.config.management, self.management)
         except ConfigError as fault:
             self.fault = fault
             return self.reactor.stop()
-        ports = {"listen": self.front.port, "management": self.management.port}
+        ports = {"listen": self.client_listener.port, "management": self.management.port}
         bound = {key: port.getHost() for key, port in ports.items() if port is not None}
         addresses = {key: f"{at.host}:{at.port}" for key, at in bound.items()}
         log("serving", name=self.config.name, servers=len(self.directory.places), **addresses)
@@ -205,12 +207,12 @@
             if self.config.sockets // 2 <= self.own:
                 raise ConfigError(f"limits.sockets: expected more than {2 * self.own} for two processes")
             os.set_blocking(fd, False)  # the other process may take what woke us: accept must not wait
-            self.front.port = inherited_port(self.reactor, fd, self.front)
+            self.client_listener.port = inherited_port(self.reactor, fd, self.client_listener)
         except OSError as err:
             raise ConfigError(f"{ACCEPT_FD}: {err.strerror or err}") from None
         os.close(fd)  # the reactor has a copy, and this one would outlive it
-        self.front.update_accepting()
-        host, port = self.front.port.getHost().host, self.front.port.getHost().port
+        self.client_listener.update_accepting()
+        host, port = self.client_listener.port.getHost().host, self.client_listener.port.getHost().port
         self.slots: Slots | None = None
         try:
             self.slots = Slots(os.environ.get("TMPDIR") or "/tmp", f"{host}-{port}")
@@ -225,9 +227,9 @@
         total, start = self.config.sockets, self.own
         claimed = total // 2  # whatever the others do
         if self.slots is not None:
-            held = self.own + len(self.front.streams) + self.upstreams.held
+            held = self.own + len(self.client_listener.streams) + self.upstreams.held
             others = [total - start if one is None else one for one in self.slots.others()]
-            leaving = self.life.phase is Phase.SHUTTING_DOWN
+            leaving = self.lifecycle.phase is Phase.SHUTTING_DOWN
             use = DescriptorUse(total, start, held, self.slots.is_elder, leaving)
             claimed = descriptor_claim(use, others)
             try:
@@ -236,13 +238,13 @@
                 COUNTS["takeover.not_published"] += 1
             COUNTS["takeover.beside"] += bool(others)
         for_clients, for_servers = self._divided(claimed)
-        if (for_clients, for_servers) != (self.front.most, self.upstreams.most):
-            self.front.resize(for_clients)
+        if (for_clients, for_servers) != (self.client_listener.max_connections, self.upstreams.max_connections):
+            self.client_listener.resize(for_clients)
             self.upstreams.resize(for_servers)
 
     def _held(self) -> dict[str, int]:
         """What an operator watches during a drain: it falls to nothing."""
-        return {"connections": len(self.front.streams), "open_requests": len(self.engine.requests)}
+        return {"connections": len(self.client_listener.streams), "open_requests": len(self.engine.requests)}
 
     @staticmethod
     def _read_known(directory: Directory, config: Config) -> i.ServerNews:
@@ -255,8 +257,8 @@
         """Before anything says that we serve: SIGUSR1 ends a process that does not handle it."""
         handlers = {
             signal.SIGHUP: self.reload,
-            signal.SIGTERM: self.leave,
-            signal.SIGINT: self.leave,
+            signal.SIGTERM: self.shut_down,
+            signal.SIGINT: self.shut_down,
             signal.SIGUSR1: lambda: log_counters("asked"),
         }
         for number, handler in handlers.items():
@@ -297,22 +299,22 @@
             until_restart=kept,
         )
 
-    def leave(self, stay_s: float = STAY_S) -> None:
+    def shut_down(self, stay_s: float = SHUTDOWN_DELAY_S) -> None:
         """Go on serving for a while, then take nothing new, finish what is open, and stop."""
-        if not self.life.begin_shutdown(self.reactor.seconds()):
+        if not self.lifecycle.begin_shutdown(self.reactor.seconds()):
             return
         log("told to leave", open=len(self.engine.requests))
-        if self.life.is_socket_shared:
-            self.front.stop_accepting()  # at once: the other process takes what waits
+        if self.lifecycle.is_socket_shared:
+            self.client_listener.stop_accepting()  # at once: the other process takes what waits
             stay_s = GIVEN_UP_S
         self.reactor.callLater(stay_s, self._finish)
 
     def _finish(self) -> None:
-        self.front.begin_shutdown()
+        self.client_listener.begin_shutdown()
         self._stop_when_done(self.reactor.seconds() + HALF_IN_S)
 
     def _stop_when_done(self, last: float) -> None:
-        if self.engine.requests or self.front.has_unfinished(self.reactor.seconds() < last):
+        if self.engine.requests or self.client_listener.has_unfinished(self.reactor.seconds() < last):
             self.reactor.callLater(LEFT_S, self._stop_when_done, last)
         else:
             self.watcher.stop()
@@ -322,14 +324,14 @@
         self.reactor.stop()
 
 
-def calm_gc() -> None:
+def freeze_gc() -> None:
     """What there is after the start stays, and is looked at no more."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD, 20, 20)
 
 
-def watch_twisted() -> None:
+def observe_twisted_failures() -> None:
     """What Twisted catches for us is a fault of ours: counted, and logged a few times."""
 
     def observe(event: dict[str, Any]) -> None:
@@ -342,17 +344,17 @@
     globalLogPublisher.addObserver(observe)
 
 
-def wait_for_reload() -> None:
+def block_reload_signal() -> None:
     """A reload asked for before there is anything to reload waits for it, and must not end the process."""
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
 
 
 def main(own: Own | None = None, settings_file: str | None = None) -> int:
     """One process that reads `EDGE_CONFIG` and serves; returns the exit code.  `own`: our own HCL."""
-    wait_for_reload()
+    block_reload_signal()
     try:
         config = configuration.load()
-        watch_twisted()
+        observe_twisted_failures()
         from .net.reactor import install
 
         Ingress(install(), config, own=own, settings_file=settings_file).run()
--- a/mapleline/net/clients.py
+++ b/mapleline/net/clients.py
@@ -66,7 +66,7 @@
         reserved_bytes: the part of the pool's limit that the current request's body uses.
         discarded_bytes: bytes that arrived after the last answer.
         max_discarded_bytes: reading stops beyond this many discarded bytes.
-        recent: the connection's load: requests received, halved by each `ClientListener.fade`.
+        recent_requests: the connection's load: requests received, halved by each `ClientListener.decay_loads`.
     """
 
     def __init__(self, listener: ClientListener) -> None:
@@ -81,7 +81,7 @@
         self.answer_source: Any = None
         self.reserved_bytes = 0
         self.discarded_bytes, self.max_discarded_bytes = 0, MAX_DISCARDED_BYTES
-        self.recent = 0.0
+        self.recent_requests = 0.0
 
     def connectionMade(self) -> None:
         """Add the connection to the listener's."""
@@ -176,13 +176,16 @@
         if len(self.listener.engine.requests) >= self.listener.open_cap:
             COUNTS["client.over_open_cap"] += 1
             return self.reject(self.listener.retry_after_ns, False)
-        if not self.listener.ids.claim(client_request.id):
-            if self.listener.outcome is not None and (known := self.listener.outcome(client_request.id)) is not None:
+        if not self.listener.request_ids.claim(client_request.id):
+            if (
+                self.listener.find_outcome is not None
+                and (known := self.listener.find_outcome(client_request.id)) is not None
+            ):
                 return self.answer(known[0], known[1], known[2])
             # If it were forwarded, servers that deduplicate by id would take it for a copy of the request in flight.
             raise RejectedRequestError(409, "the id of an open request")
         self.request_id = client_request.id
-        self.recent += 1
+        self.recent_requests += 1
         if request.is_streamed:
             self.upload = client_request.upload = Upload(request.length, self._resume_if_paused, self._drop_sent_body)
             self.pause_reading()  # until an attempt has sent the bytes received so far
@@ -234,7 +237,7 @@
     def _release_request(self) -> None:
         """Release the id and the memory of the current request."""
         if self.request_id:
-            self.listener.ids.release(self.request_id)
+            self.listener.request_ids.release(self.request_id)
             self.request_id = b""
         self._release_reservation()
 
@@ -254,7 +257,7 @@
         self.answer(200, response.body, b"Content-Type: %b\r\n" % content_type if content_type else b"")
 
     def begin_answer(self, response: Response, source: Any) -> None:
-        """Begin a streamed answer: calls of `part` and one of `ended` follow; `source` is paused and resumed."""
+        """Begin a streamed answer: calls of `send_part` and one of `end_answer` follow; `source` can be paused."""
         if not self.connected:
             return
         if self.listener.lifecycle.closes_after_answer:
@@ -265,19 +268,19 @@
         lines = b"Content-Type: %b\r\n" % content_type if content_type else b""
         self.send(self.http1.begin(200, lines, response.length))
 
-    def part(self, data: bytes) -> None:
+    def send_part(self, data: bytes) -> None:
         """Send a part of the body of a streamed answer."""
         self.send(self.http1.part(data))
         if not self.is_flushed and self.answer_source is not None:
             self.answer_source.pause()
 
-    def ended(self, whole: bool) -> None:
-        """End a streamed answer; if it is not `whole`, the client can tell so from how the connection closes."""
+    def end_answer(self, is_whole: bool) -> None:
+        """End a streamed answer; if it is not `is_whole`, the client can tell so from how the connection closes."""
         self.open_request = self.answer_source = None
         self._release_request()
         if not self.connected:
             return
-        if whole:
+        if is_whole:
             if end := self.http1.end():
                 self.send(end)
             return self._finish_answer(False)
@@ -287,14 +290,14 @@
         else:
             self.transport.loseConnection()  # after the parts received so far are written
 
-    def reject(self, retry_in_ns: int, over_quota: bool) -> None:
-        """Reject the request with 429 or 503, and Retry-After unless `retry_in_ns` is 0."""
-        lines = b"Retry-After: %.3f\r\n" % (retry_in_ns / 1e9) if retry_in_ns > 0 else b""
-        self.answer(429 if over_quota else 503, lines=lines)
+    def reject(self, retry_after_ns: int, is_over_quota: bool) -> None:
+        """Reject the request with 429 or 503, and Retry-After unless `retry_after_ns` is 0."""
+        lines = b"Retry-After: %.3f\r\n" % (retry_after_ns / 1e9) if retry_after_ns > 0 else b""
+        self.answer(429 if is_over_quota else 503, lines=lines)
 
-    def fail(self, overdue: bool) -> None:
+    def fail(self, is_overdue: bool) -> None:
         """Answer 504 after the deadline, else 502."""
-        self.answer(504 if overdue else 502)
+        self.answer(504 if is_overdue else 502)
 
     def drop(self) -> None:
         """Close the connection without an answer: another ingress has taken the request over."""
@@ -326,7 +329,7 @@
             self.listener.engine.handle_disconnect(open_request)
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the connection waits for a request of which no byte has arrived."""
         return not self.http1.busy and not self.http1.partial and self.is_flushed
 
@@ -374,7 +377,7 @@
 
     def doRead(self) -> None:
         """Accept connections up to the free room of the listener, and at least `MIN_ACCEPTS_PER_TURN`."""
-        room = self.factory.most - len(self.factory.streams)
+        room = self.factory.max_connections - len(self.factory.streams)
         self.numberAccepts = min(self.numberAccepts, max(MIN_ACCEPTS_PER_TURN, room))
         super().doRead()
 
@@ -391,10 +394,10 @@
 
     Attributes:
         streams: the open connections, ordered by `wait_began_s`.
-        ids: the ids of requests in flight.
-        outcome: returns the status, body and header lines of a request id taken over from another ingress, if known.
+        request_ids: the ids of requests in flight.
+        find_outcome: returns the status, body and header lines of the answer to a request taken over, by its id.
         port: the listening port, if this process has one.
-        most: the limit on connections.
+        max_connections: the limit on connections.
         open_cap: the limit on requests in flight.
         retry_after_ns: sent with a rejection at that limit, in nanoseconds.
         stream_threshold_bytes: larger request bodies are streamed.
@@ -421,10 +424,10 @@
         """
         self.reactor, self.engine, self.translator, self.pool = reactor, engine, translator, pool
         self.lifecycle, self.stream_threshold_bytes = lifecycle, stream_threshold_bytes
-        self.most, self.open_cap, self.retry_after_ns = max_connections, open_cap, retry_after_ns
+        self.max_connections, self.open_cap, self.retry_after_ns = max_connections, open_cap, retry_after_ns
         self.streams: OrderedDict[ClientStream, None] = OrderedDict()  # ordered by `wait_began_s`
-        self.ids: RequestIds = OpenIds()
-        self.outcome: Callable[[bytes], tuple[int, bytes, bytes] | None] | None = None
+        self.request_ids: RequestIds = OpenIds()
+        self.find_outcome: Callable[[bytes], tuple[int, bytes, bytes] | None] | None = None
         self.port: Any = None
         self._adopted_had_request = False
         self.wanted_load = 0.0
@@ -433,7 +436,7 @@
 
     def buildProtocol(self, addr: Any) -> ClientStream | None:
         """Return the protocol of a new connection; None, which closes it, above the overshoot of the limit."""
-        if len(self.streams) >= self.most + MAX_CONNECTIONS_OVER_LIMIT:
+        if len(self.streams) >= self.max_connections + MAX_CONNECTIONS_OVER_LIMIT:
             COUNTS["client.turned_away"] += 1  # one turn accepts dozens; a pause takes effect after it
             return None
         stream = ClientStream(self)
@@ -458,7 +461,7 @@
         """Add a new connection, and make room for the next one at the limit."""
         COUNTS["client.connected"] += 1
         self.streams[stream] = None
-        if len(self.streams) >= self.most:
+        if len(self.streams) >= self.max_connections:
             self._make_room(stream)
 
     def _make_room(self, newest: ClientStream) -> None:
@@ -471,7 +474,7 @@
     def _close_longest_idle(self, newest: ClientStream | None = None) -> bool:
         """Close the connection that has been idle longest; only busy ones precede it in `streams`."""
         for stream in self.streams:
-            if stream.idle and not stream.http1.closing and stream is not newest:
+            if stream.is_idle and not stream.http1.closing and stream is not newest:
                 COUNTS["client.closed_for_room"] += 1
                 # Frees the descriptor now and not in the reactor's next turn: this turn may accept dozens more.
                 stream.transport.connectionLost(Failure(ConnectionDone()))
@@ -481,7 +484,7 @@
     def remove(self, stream: ClientStream) -> None:
         """Remove a closed connection, and accept again if there is room."""
         self.streams.pop(stream, None)
-        if not self._is_accepting and len(self.streams) < self.most and self.port is not None:
+        if not self._is_accepting and len(self.streams) < self.max_connections and self.port is not None:
             self._is_accepting = True
             self.update_accepting()
 
@@ -496,7 +499,7 @@
 
     def resize(self, max_connections: int) -> None:
         """Change the limit on connections, and close idle ones above it."""
-        self.most = max_connections
+        self.max_connections = max_connections
         while len(self.streams) > max_connections and self._close_longest_idle():
             pass
         self._is_accepting = len(self.streams) < max_connections
@@ -538,13 +541,13 @@
                 COUNTS["client.idle" if stream.has_had_request else "client.silent"] += 1
                 stream.close()
 
-    def fade(self) -> None:
-        """Halve the load (`recent`) of each connection; called at regular intervals."""
+    def decay_loads(self) -> None:
+        """Halve the load (`recent_requests`) of each connection; called at regular intervals."""
         for stream in self.streams:
-            stream.recent *= 0.5
+            stream.recent_requests *= 0.5
 
     def hand_over(self, wanted_load: float, on_handed_over: Callable[[socket, float], None]) -> None:
-        """Give a connection between requests away: the one whose load (`recent`) is nearest to `wanted_load`.
+        """Give a connection between requests away: the one whose load (`recent_requests`) is nearest to `wanted_load`.
 
         Only loads from an eighth to twice the wanted one qualify.  If no such connection is between requests now, the
         next one that is goes, because busy connections are between requests for moments only.
@@ -556,14 +559,16 @@
         """
         self.wanted_load, self._on_handed_over = wanted_load, on_handed_over
         best = min(
-            filter(self._is_hand_over_candidate, self.streams), key=lambda s: abs(s.recent - wanted_load), default=None
+            filter(self._is_hand_over_candidate, self.streams),
+            key=lambda s: abs(s.recent_requests - wanted_load),
+            default=None,
         )
         if best is not None:
             self._detach(best)
 
     def _is_hand_over_candidate(self, stream: ClientStream) -> bool:
-        is_load_near = self.wanted_load / 8 <= stream.recent <= 2 * self.wanted_load
-        return is_load_near and stream.has_had_request and stream.idle and not stream.http1.closing
+        is_load_near = self.wanted_load / 8 <= stream.recent_requests <= 2 * self.wanted_load
+        return is_load_near and stream.has_had_request and stream.is_idle and not stream.http1.closing
 
     def offer_for_hand_over(self, stream: ClientStream) -> None:
         """Hand a connection that is now between requests over, if its load is near the wanted one."""
@@ -586,7 +591,7 @@
         dummy_peer.close()
         stream.transport.connectionLost(Failure(ConnectionDone()))
         COUNTS["client.handed_over"] += 1
-        self._on_handed_over(duplicate, stream.recent)
+        self._on_handed_over(duplicate, stream.recent_requests)
 
     def has_unfinished(self, counts_partial: bool) -> bool:
         """Return whether an answer is not flushed, or, with `counts_partial`, a request is partly received.
@@ -606,7 +611,7 @@
     def close_idle_connections(self) -> None:
         """Close the connections between requests; one with a request on its way stays open."""
         for stream in list(self.streams):
-            if stream.idle and stream.has_had_request and not stream.http1.closing and not stream.has_unread:
+            if stream.is_idle and stream.has_had_request and not stream.http1.closing and not stream.has_unread:
                 COUNTS["client.shed"] += 1
                 stream.close()
 
@@ -621,7 +626,7 @@
         self.lifecycle.mark_listener_closed()
         self.stop_accepting()
         for stream in list(self.streams):
-            if stream.idle and not stream.has_had_request and not self.lifecycle.is_socket_shared:
+            if stream.is_idle and not stream.has_had_request and not self.lifecycle.is_socket_shared:
                 stream.close()
         self.close_idle_connections()
         log("leaving", open=len(self.engine.requests), connections=len(self.streams))
--- a/mapleline/net/fleet.py
+++ b/mapleline/net/fleet.py
@@ -42,8 +42,8 @@
     except OSError as error:
         raise ConfigError(f"handoff.dir: {error.strerror or error}: {own.handoff.dir}") from None
     ingress.engine.journal = handoff
-    ingress.front.ids = handoff.ids
-    ingress.front.outcome = handoff.known_outcome
+    ingress.client_listener.request_ids = handoff.ids
+    ingress.client_listener.find_outcome = handoff.known_outcome
     ingress.reactor.callWhenRunning(handoff.start)
 
 
--- a/mapleline/net/log_adoption.py
+++ b/mapleline/net/log_adoption.py
@@ -66,10 +66,10 @@
         """Keep that the outcome is unknown: the request was executed, and its answer is too long to keep."""
         self._handoff.publish(self._request_id, UNKNOWN_OUTCOME)
 
-    def part(self, data: bytes) -> None:
+    def send_part(self, data: bytes) -> None:
         """Drop a part of a long answer."""
 
-    def ended(self, whole: bool) -> None:
+    def end_answer(self, is_whole: bool) -> None:
         """Do nothing at the end of a long answer."""
 
     def reject(self, retry_after_ns: int, is_over_quota: bool) -> None:
--- a/mapleline/net/upstream.py
+++ b/mapleline/net/upstream.py
@@ -93,7 +93,7 @@
                 pool.relays[self] = None
                 self.transport.bufferSize = RELAY_READ
                 self.heard = pool.reactor.seconds()
-                return self.sink.part(response.body)
+                return self.sink.send_part(response.body)
             self.sink, result = None, Result.CANCELLED
         self._end_attempt()
         self.transport.abortConnection()
@@ -105,7 +105,7 @@
         self.heard = pool.reactor.seconds()
         part = self.machine.receive_part(data)
         if part:
-            sink.part(part)
+            sink.send_part(part)
         if self.machine.is_streaming or self.sink is None:
             return  # more is to come, or nobody takes it any more
         cut = self.machine.is_truncated
@@ -125,7 +125,7 @@
                 self.server.rest(self)
             else:
                 self.transport.abortConnection()
-        sink.ended(whole)
+        sink.end_answer(whole)
         if attempt is not None:
             pool.engine.handle_attempt_end(attempt, Result.OK if whole else otherwise)
 
@@ -224,7 +224,7 @@
             if stream.idle_since >= oldest and stream.quiet:
                 return self._start(stream, attempt)
             stream.drop()
-        if self.pool.held >= self.pool.most and not self.pool.make_room():
+        if self.pool.held >= self.pool.max_connections and not self.pool.make_room():
             COUNTS["upstream.no_descriptor"] += 1  # no fault of the server's: never sent
             return self.pool.engine.handle_attempt_end(attempt, Result.MOOT)
         COUNTS["upstream.dialed"] += 1
@@ -307,7 +307,7 @@
         most: int,
     ) -> None:
         self.reactor, self.engine, self.clock, self.buffers = reactor, engine, clock, buffers
-        self.dial_timeout_s, self.idle_s, self.most = dial_timeout_s, idle_s * IDLE_SHARE, most
+        self.dial_timeout_s, self.idle_s, self.max_connections = dial_timeout_s, idle_s * IDLE_SHARE, most
         self.servers: dict[int, UpstreamServer] = {}
         self.relays: dict[UpstreamStream, None] = {}  #: answers that are being passed on
         self.held = 0  #: connections up or on their way
@@ -342,7 +342,7 @@
 
     def resize(self, most: int) -> None:
         """Another bound on connections; what is idle beyond it goes, what is in use stays."""
-        self.most = most
+        self.max_connections = most
         while self.held > most and self.make_room():
             pass
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -349,5 +349,5 @@
     assert 2 * len(beside.counter.channels) == len(alone.counter.channels) == 16
     assert 2 * len(alone.counter.channels) <= 32
     assert (
-        3 * beside.front.stream_threshold_bytes < alone.front.stream_threshold_bytes
+        3 * beside.client_listener.stream_threshold_bytes < alone.client_listener.stream_threshold_bytes
     )  # a share of the memory beyond the program's own, so more than halved
