--- a/mapleline/cores/worker.py
+++ b/mapleline/cores/worker.py
@@ -101,7 +101,7 @@
         super().__init__(reactor, config, brain, start.clock_start_ns, connections)
         ids = OpenRequestIds(memory, start.workers, start.number)
         self.client_listener.request_ids = ids
-        self.upstreams.vetoed = DrainFlags(memory).is_draining
+        self.upstreams.is_vetoed = DrainFlags(memory).is_draining
         self._channel = channel
         self._offered: dict[int, OfferedConnection] = {}
         self._reports = 0  # since the last one with the counters
--- a/mapleline/ingress.py
+++ b/mapleline/ingress.py
@@ -227,7 +227,7 @@
         total, start = self.config.sockets, self.own
         claimed = total // 2  # whatever the others do
         if self.slots is not None:
-            held = self.own + len(self.client_listener.streams) + self.upstreams.held
+            held = self.own + len(self.client_listener.streams) + self.upstreams.connection_count
             others = [total - start if one is None else one for one in self.slots.others()]
             leaving = self.lifecycle.phase is Phase.SHUTTING_DOWN
             use = DescriptorUse(total, start, held, self.slots.is_elder, leaving)
--- a/mapleline/net/discovery.py
+++ b/mapleline/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the agent's list of agenda servers, watched without a gap."""
+"""Service discovery: watches the agent's list of agenda servers by long polling."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from twisted.python.failure import Failure
 
 from ..http1 import BufferPool, ClientConnection, Response, write_request
-from ..policy import interface as i
+from ..policy import interface
 from ..settings.platform import Address, read_address
 from ..telemetry import COUNTS, log
 from .backoff import Backoff
@@ -22,110 +22,154 @@
 from .streams import Stream
 from .upstream import Place
 
-WAIT_MS = 20_000
-DIAL_S = 1.0
-SPARE_S = 1.5  # for the answer of a watch whose time is over
-WHOLE_S = 1.0  # for the whole list, which the agent gives without waiting
-ASK_SHARE = 2.0  # of the time without a call after which the list counts as told; four times it after one
-LIVES = {"in_service": i.ServerState.READY, "terminating": i.ServerState.DRAINING, "terminated": i.ServerState.GONE}
+WATCH_TIMEOUT_MS = 20_000  # the agent answers a watch after this time at the latest
+CONNECT_TIMEOUT_S = 1.0
+WATCH_ANSWER_MARGIN_S = 1.5  # added to that time for the answer to arrive
+FULL_LIST_TIMEOUT_S = 1.0  # for the complete list, which the agent returns without waiting
+#: Limit on the pauses between calls, as a multiple of the time without a call after which the list counts as
+#: delivered; after a call, that time is four times as long.
+MAX_PAUSE_SHARE = 2.0
+SERVER_STATES = {
+    "in_service": interface.ServerState.READY,
+    "terminating": interface.ServerState.DRAINING,
+    "terminated": interface.ServerState.GONE,
+}
 
 
 class Directory:
-    """The list as last told: numbers for the module, places for the upstream driver."""
+    """The server list as last received.
+
+    Attributes:
+        places: the address and start time of each server's process, by the server's number.
+        zones: the zone of each server, by number.
+        ids: the CRC-32 of each server's uid, by number; the same on every ingress, unlike the number.
+        rev: the list's revision.
+    """
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
-        self._zones = {name: n for n, name in enumerate(zones)}
-        self._kinds = {name: n for n, name in enumerate(kinds)}
+        """Start without servers; `zones` and `kinds` are the names in the settings."""
+        self._zones = {name: number for number, name in enumerate(zones)}
+        self._kinds = {name: number for number, name in enumerate(kinds)}
         self._numbers: dict[str, int] = {}
-        self._next = 0
+        self._last_number = 0
         self.places: dict[int, Place] = {}
-        self.zones: dict[int, int] = {}  #: zone by server's number
-        self.ids: dict[int, int] = {}  #: by number: of the uid, so the same on every ingress
+        self.zones: dict[int, int] = {}
+        self.ids: dict[int, int] = {}
         self.rev = 0
 
-    def read(self, raw: object, cached: bool = False) -> i.ServerNews:
-        """Take in a list or changes in discovery's form; raises ValueError if neither it is."""
+    def read(self, raw: object, cached: bool = False) -> interface.ServerNews:
+        """Apply a complete list or changes in discovery's form.
+
+        Args:
+            raw: the decoded JSON.
+            cached: whether the list was known before the start.
+
+        Returns:
+            The update for the decision module.
+
+        Raises:
+            ValueError: if it is neither a list nor changes.
+        """
         if not isinstance(raw, dict) or not isinstance(raw.get("targets"), list):
             raise ValueError("targets: expected a list")
-        rev, whole = raw.get("rev"), raw.get("all")
-        if isinstance(rev, bool) or not isinstance(rev, int) or not isinstance(whole, bool):
+        revision, is_complete = raw.get("rev"), raw.get("all")
+        if isinstance(revision, bool) or not isinstance(revision, int) or not isinstance(is_complete, bool):
             raise ValueError("rev, all: missing or of another kind")
-        lines = [line for entry in raw["targets"] if (line := self._line(entry)) is not None]
-        if whole:
-            listed = {line.server for line in lines}
-            self.places = {n: place for n, place in self.places.items() if n in listed}
-        for line in lines:
-            if line.state == i.ServerState.GONE:
-                self.places.pop(line.server, None)
-        self._numbers = {uid: n for uid, n in self._numbers.items() if n in self.places}
+        servers = [server for entry in raw["targets"] if (server := self._read_entry(entry)) is not None]
+        if is_complete:
+            listed = {server.server for server in servers}
+            self.places = {number: place for number, place in self.places.items() if number in listed}
+        for server in servers:
+            if server.state == interface.ServerState.GONE:
+                self.places.pop(server.server, None)
+        self._numbers = {uid: number for uid, number in self._numbers.items() if number in self.places}
         for table in (self.zones, self.ids):
-            for gone in table.keys() - self.places.keys():
-                del table[gone]
-        self.rev = rev
-        kind = i.News.CACHED if cached else i.News.FULL if whole else i.News.CHANGES
-        return i.ServerNews(kind, lines)
+            for number in table.keys() - self.places.keys():
+                del table[number]
+        self.rev = revision
+        kind = interface.News.CACHED if cached else interface.News.FULL if is_complete else interface.News.CHANGES
+        return interface.ServerNews(kind, servers)
 
-    def _line(self, entry: object) -> i.Server | None:
+    def _read_entry(self, entry: object) -> interface.Server | None:
         try:
-            uid, life = entry["uid"], LIVES[entry["state"]]
+            uid, state = entry["uid"], SERVER_STATES[entry["state"]]
             if not isinstance(uid, str):
                 raise TypeError("uid")
             address = read_address(entry["endpoint"])
-            started = int(entry.get("boot_ms") or 0) * 1_000_000
+            started_ns = int(entry.get("boot_ms") or 0) * 1_000_000
             weight = float(entry.get("capacity_hint") or 1.0)
             cell = int(entry.get("pod_group") or 0)
             kind, zone = self._kinds.get(entry.get("model"), 0), self._zones.get(entry.get("az"), 0)
         except (KeyError, TypeError, ValueError, AttributeError):
-            COUNTS["discovery.bad_entry"] += 1  # the others on the list are still good
+            COUNTS["discovery.bad_entry"] += 1  # the other entries are still used
             return None
         if uid not in self._numbers:
-            self._next += 1
-            self._numbers[uid] = self._next
+            self._last_number += 1
+            self._numbers[uid] = self._last_number
         number = self._numbers[uid]
-        self.places[number] = Place(address, started)
+        self.places[number] = Place(address, started_ns)
         self.zones[number], self.ids[number] = zone, crc32(uid.encode())
-        return i.Server(number, life, started, weight, kind, zone, cell)
+        return interface.Server(number, state, started_ns, weight, kind, zone, cell)
 
 
 class AgentStream(Stream):
-    """A connection to the agent, or the counter; each call is a Deferred, and answers come in their order."""
+    """A connection to the agent, or to the counter; calls are pipelined, and each returns a Deferred."""
 
     def __init__(self, pool: BufferPool) -> None:
+        """Start without calls; answers are read into buffers of `pool`."""
         self.machine = ClientConnection(pool)
 
     def call(self, target: bytes, host_line: bytes, method: bytes = b"GET") -> Deferred[Response]:
-        done: Deferred[Response] = Deferred()
-        self.machine.add_request(done)
+        """Send a request; returns a Deferred that fires with the response, or fails with the reason of the close."""
+        result: Deferred[Response] = Deferred()
+        self.machine.add_request(result)
         self.send(write_request(method, target, host_line))
-        return done
+        return result
 
     def dataReceived(self, data: bytes) -> None:
-        for done, response in self.machine.receive(data):
-            done.callback(response)
+        """Take bytes, and report the responses among them."""
+        for result, response in self.machine.receive(data):
+            result.callback(response)
         if self.machine.protocol_error:
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure) -> None:
+        """Report the calls without a response."""
         super().connectionLost(reason)
-        for done, response in self.machine.on_closed(reason.check(ConnectionDone) is not None):
-            done.callback(response)
+        for result, response in self.machine.on_closed(reason.check(ConnectionDone) is not None):
+            result.callback(response)
         while self.machine.pending:
             self.machine.pending.popleft().errback(reason)
 
 
-def backoff(start: i.Start) -> Backoff:
-    """The pauses of one watcher.  Asked calls are work for the fleet's one discovery; where changes are
-    pushed, the agent on this machine answers alone, and each moment without a watch is one without news."""
-    most_s = ASK_SHARE * start.list_ask_within_ns / 1e9
-    fleet = start.ingresses if start.list_on_request else 1
-    return Backoff(start.seed, fleet, most_s or float("inf"))
+def backoff(start: interface.Start) -> Backoff:
+    """Return the pauses between the calls of a watcher.
+
+    If the list must be requested, the whole fleet calls one discovery service, which backoff protects.  If changes are
+    pushed, the agent of this machine serves this ingress alone, and short pauses keep the time without a watch, in
+    which no change is seen, short.
+    """
+    max_bound_s = MAX_PAUSE_SHARE * start.list_ask_within_ns / 1e9
+    fleet_size = start.ingresses if start.list_on_request else 1
+    return Backoff(start.seed, fleet_size, max_bound_s or float("inf"))
 
 
 class Watcher:
-    """Asks one address for what is newer than the list in hand, again and again.
+    """Requests the changes since the known revision from one address, again and again.
 
-    After a move `whole` is set: another discovery's versions need not go on from the old ones, so it is asked
-    for its whole list first.
+    Attributes:
+        reactor: the event loop.
+        address: the agent's.
+        directory: the list that is kept up to date.
+        on_update: receives each update of the list.
+        pauses: before the first call and between failed ones.
+        needs_full_list: whether to request the complete list first.  This is so after a move, because the revisions of
+            another discovery service need not continue the old ones.
+        host_line: the Host header line of each request.
+        buffers: where answers are read into.
+        stream: the connection, if there is one.
+        running: whether it has not been stopped.
+        failing: whether the last call failed.
     """
 
     def __init__(
@@ -134,12 +178,13 @@
         address: Address,
         buffers: BufferPool,
         directory: Directory,
-        told: Callable[[i.ServerNews], None],
+        on_update: Callable[[interface.ServerNews], None],
         pauses: Backoff,
-        whole: bool = False,
+        needs_full_list: bool = False,
     ) -> None:
-        self.reactor, self.address, self.directory, self.told = reactor, address, directory, told
-        self.pauses, self.whole = pauses, whole
+        """Prepare a watch; `start` begins it."""
+        self.reactor, self.address, self.directory, self.on_update = reactor, address, directory, on_update
+        self.pauses, self.needs_full_list = pauses, needs_full_list
         self.host_line = b"Host: %b:%d\r\n" % (address[0].encode(), address[1])
         self.buffers = buffers
         self.stream: AgentStream | None = None
@@ -147,67 +192,71 @@
         self.failing = False
 
     def start(self) -> None:
+        """Begin to watch."""
         self._loop = self._run()
-        self._loop.addErrback(lambda failure: failure.trap(CancelledError))  # `stop` within a pause: no fault
+        self._loop.addErrback(lambda failure: failure.trap(CancelledError))  # raised by a `stop` during a pause
 
     @inlineCallbacks
     def _run(self):  # type: ignore[no-untyped-def]
-        """Until stopped.  Nothing that comes back may end it: without it the ingress goes blind."""
-        if not self.whole and self.pauses.shared:  # a start may be the whole fleet's; a move is one ingress's
+        """Call until stopped; no answer or error may end the loop, or the server list would never change again."""
+        # The whole fleet may start at once; a move to another address concerns this ingress only.
+        if not self.needs_full_list and self.pauses.shared:
             yield deferLater(self.reactor, self.pauses.pause())
         while self.running:
             try:
-                response = yield self._ask()
-                news = self._read(response)
+                response = yield self._request_list()
+                update = self._read(response)
                 self.pauses.succeeded()
                 if self.failing:
                     self.failing = False
                     log("discovery back", rev=self.directory.rev)
-                if news is not None:
-                    self.told(news)
+                if update is not None:
+                    self.on_update(update)
             except Exception as err:
                 if not self.running:
-                    return  # stopped: what broke off is no failure, and there is nothing to try again
+                    return  # the interrupted call is no failure, and is not retried
                 COUNTS["discovery.failed"] += 1
                 if not self.failing:
                     self.failing = True
                     log("discovery failing", why=f"{type(err).__name__}: {err}")
-                self.drop()
+                self.disconnect()
                 yield deferLater(self.reactor, self.pauses.pause())
 
-    def _read(self, response: Response) -> i.ServerNews | None:
+    def _read(self, response: Response) -> interface.ServerNews | None:
         if response.status != 200:
             raise ValueError(f"status {response.status}")
         raw = orjson.loads(response.body)
-        if self.whole and not (isinstance(raw, dict) and raw.get("all") is True):
-            raise ValueError("all: expected the whole list")  # changes to a list that is not ours
-        news = self.directory.read(raw)
-        self.whole = False
+        if self.needs_full_list and not (isinstance(raw, dict) and raw.get("all") is True):
+            # Changes do not apply without the list that they belong to.
+            raise ValueError("all: expected the whole list")
+        update = self.directory.read(raw)
+        self.needs_full_list = False
         COUNTS["discovery.answered"] += 1
-        if news.news == i.News.CHANGES and not news.servers:
-            return None  # the time of the watch was over
-        return news
+        if update.news == interface.News.CHANGES and not update.servers:
+            return None  # the watch timed out without changes
+        return update
 
     @inlineCallbacks
-    def _ask(self):  # type: ignore[no-untyped-def]
+    def _request_list(self):  # type: ignore[no-untyped-def]
         if self.stream is None or not self.stream.connected or not self.stream.machine.reusable:
-            self.stream = yield dial(self.reactor, self.address, partial(AgentStream, self.buffers), DIAL_S)
-        target, wait_s = b"/registry/instances", WHOLE_S
-        if not self.whole:
-            target += b"?after=%d&wait_ms=%d" % (self.directory.rev, WAIT_MS)
-            wait_s = WAIT_MS / 1000 + SPARE_S
+            self.stream = yield dial(self.reactor, self.address, partial(AgentStream, self.buffers), CONNECT_TIMEOUT_S)
+        target, timeout_s = b"/registry/instances", FULL_LIST_TIMEOUT_S
+        if not self.needs_full_list:
+            target += b"?after=%d&wait_ms=%d" % (self.directory.rev, WATCH_TIMEOUT_MS)
+            timeout_s = WATCH_TIMEOUT_MS / 1000 + WATCH_ANSWER_MARGIN_S
         call = self.stream.call(target, self.host_line)
-        call.addTimeout(wait_s, self.reactor)
+        call.addTimeout(timeout_s, self.reactor)
         response = yield call
         return response
 
-    def drop(self) -> None:
+    def disconnect(self) -> None:
+        """Close the connection, if there is one."""
         if self.stream is not None and self.stream.connected:
             self.stream.transport.abortConnection()
         self.stream = None
 
     def stop(self) -> None:
-        """Nothing is reported or asked from here on, whatever is under way: a dial, a watch or a pause."""
+        """Stop watching: cancels a connect, a call or a pause, and reports nothing more."""
         self.running = False
-        self.drop()
+        self.disconnect()
         self._loop.cancel()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -46,7 +46,7 @@
     for number in range(size):
         pause = pauses or backoff(i.Start(seed=number, ingresses=size, list_on_request=True))
         watcher = Watcher(clock, ("10.0.0.1", 1), BufferPool(), Directory([], []), lambda news: None, pause)
-        watcher._ask = discovery.ask
+        watcher._request_list = discovery.ask
         watcher.start()
 
 
@@ -79,7 +79,7 @@
     discovery = Discovery(clock, 0.01)
     pauses = Backoff(1, 40)
     watcher = Watcher(clock, ("10.0.0.1", 1), BufferPool(), Directory([], []), lambda news: None, pauses)
-    watcher._ask = discovery.ask
+    watcher._request_list = discovery.ask
     watcher.start()
     while discovery.calls < failures or any(timeout.active() for _, timeout in discovery.queue):
         clock.advance(0.01)
