--- a/mapleline/cores/worker.py
+++ b/mapleline/cores/worker.py
@@ -108,7 +108,7 @@
         self._is_full = False
         self._has_stopped = False
 
-    def _watcher(self, address: Address, whole: bool = False) -> Watcher:
+    def _new_watcher(self, address: Address, needs_full_list: bool = False) -> Watcher:
         return NullWatcher()  # type: ignore[return-value]  # Ingress names the class; it uses just these members
 
     def report_ready(self) -> None:
--- a/mapleline/ingress.py
+++ b/mapleline/ingress.py
@@ -1,4 +1,4 @@
-"""The real ingress: joins the parts and runs until it is told to go."""
+"""The ingress: connects its components and runs until it is shut down."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from .net.management import RESERVED_DESCRIPTORS as MANAGEMENT_DESCRIPTORS
 from .net.management import ManagementListener
 from .net.upstream import UpstreamPool
-from .policy import interface as i
+from .policy import interface
 from .policy.brain import Brain
 from .settings import platform as configuration
 from .settings.platform import ACCEPT_FD, Address, Config, ConfigError
@@ -35,60 +35,90 @@
     from .net.fleet_member import FleetMember
     from .settings.own import Own
 
-SHUTDOWN_DELAY_S = 0.75  # after SIGTERM clients still come for a while, and what comes is served
-HALF_IN_S = 2.0  # after that, for requests that have begun to come in
-LEFT_S = 0.05  # between two looks at whether everything is answered
+SHUTDOWN_DELAY_S = 0.75  # after SIGTERM, clients still connect and are served
+PARTIAL_REQUEST_TIMEOUT_S = 2.0  # after that delay, for requests partly received
+SHUTDOWN_POLL_S = 0.05  # between checks whether everything is answered
 BACKLOG = 512
-SPARE_DESCRIPTORS = 40  # standard streams, epoll, the listener, discovery, those on their way out
-CLIENTS_SHARE = 0.55  # of the descriptors: clients keep more than they use, attempts need one each
-FIRST_TURN_S = 0.02  # long enough to be a wait on a slow core too: see `Ingress.run`
-LISTED_S = 1.5  # a process that takes over waits this long for discovery's own list
-GIVEN_UP_S = 0.25  # after SIGTERM, where another process takes what is new, idle connections may stay
-CLAIM_S = 0.1  # between two looks at what other processes of this ingress claim
-#: What a reload leaves as it is, by key of the file.
-KEPT = {
+SPARE_DESCRIPTORS = 40  # standard streams, epoll, the listener, discovery, connections that are closing
+CLIENT_DESCRIPTOR_SHARE = 0.55  # clients keep idle connections, attempts need one connection each
+LISTEN_DELAY_S = 0.02  # long enough to be a real wait on a slow core too; see `Ingress.run`
+TAKEOVER_LIST_TIMEOUT_S = 1.5  # a process that takes over waits this long for the list from discovery
+SHARED_SHUTDOWN_DELAY_S = 0.25  # if another process accepts new connections; idle ones may stay open
+CLAIM_INTERVAL_S = 0.1  # between checks of the descriptors that other processes of this ingress claim
+#: The settings that a reload does not change: key in the file and field of `Config`.
+KEYS_FIXED_UNTIL_RESTART = {
     "name": "name",
     "listen": "listen",
     "management": "management",
     "limits.sockets": "sockets",
     "settings": "start",
 }
-OWN_MEMORY = 28e6  # bytes: what the program needs without any body, and a little (24 MB measured)
-BODIES_SHARE = 1 / 6  # of the rest: all that waits to be whole or is held; a third and more is copies of it
-BODIES_LEAST = 1e6  # bytes
-BODY_SHARE = 1 / 8  # of that: one request's body, before it goes on as it comes
-GC_THRESHOLD = 20_000  # objects; a request leaves no cycles, so a pause seldom finds anything
+BASE_MEMORY_BYTES = 28e6  # the program's own without any body: 24 MB, and a reserve
+BODY_MEMORY_SHARE = 1 / 6  # of the rest, for bodies that are buffered; copies of them take a third and more
+MIN_BODY_MEMORY_BYTES = 1e6
+SINGLE_BODY_SHARE = 1 / 8  # of the memory for bodies; a larger request body is streamed
+GC_THRESHOLD_OBJECTS = 20_000  # a request leaves no cycles, so collections seldom find anything
 
 
 class Ingress:
-    """The parts of one ingress."""
+    """One ingress process: its components, start, reload and shutdown.
+
+    Attributes:
+        reactor: the event loop.
+        config: the platform's configuration.
+        own_settings: the program's own settings (HCL), if there are any.
+        settings_file: the path of the own settings, for a reload.
+        fleet_member: this ingress's part in the fleet's budgets; None if they are off.
+        lifecycle: whether it is ready, draining or shutting down.
+        buffers: the pool of read buffers, with the memory limit of bodies.
+        engine: decides on requests.
+        own_descriptors: the descriptors that are not for clients or servers.
+        upstreams: the connections to agenda servers.
+        counter: the client of the quota counter.
+        client_listener: the connections of clients.
+        start_error: why the start failed, if it did.
+        management: the listener for operators.
+        directory: the server list.
+        watcher: the watch of discovery.
+    """
 
     def __init__(
         self,
         reactor: Any,
         config: Config,
         brain: Brain | None = None,
-        clock_start: int | None = None,
-        lanes: int = CONNECTIONS,
+        clock_start_ns: int | None = None,
+        counter_connections: int = CONNECTIONS,
         own: Own | None = None,
         settings_file: str | None = None,
     ) -> None:
+        """Build the components.
+
+        Args:
+            reactor: the event loop.
+            config: the platform's configuration.
+            brain: the decision module; None for the usual one.
+            clock_start_ns: see `unix_clock`.
+            counter_connections: to the quota counter.
+            own: the program's own settings.
+            settings_file: the path of the own settings.
+        """
         self.reactor, self.config = reactor, config
         self.own_settings = own
         self.settings_file = settings_file
         self.fleet_member: FleetMember | None = None
         start = config.start
-        clock = unix_clock(clock_start)
+        clock = unix_clock(clock_start_ns)
         self.lifecycle = Lifecycle(is_socket_shared=config.accept_fd is not None)
         if self.lifecycle.is_socket_shared:
-            lanes //= 2  # the other process has as many
+            counter_connections //= 2  # the other process uses as many
         memory = config.memory // (2 if self.lifecycle.is_socket_shared else 1)  # the other process needs as much
-        for_bodies = int(max(BODIES_LEAST, (memory - OWN_MEMORY) * BODIES_SHARE))
-        buffers = self.buffers = BufferPool(limit_bytes=for_bodies)
+        body_memory_bytes = int(max(MIN_BODY_MEMORY_BYTES, (memory - BASE_MEMORY_BYTES) * BODY_MEMORY_SHARE))
+        buffers = self.buffers = BufferPool(limit_bytes=body_memory_bytes)
         self.engine = Engine(brain or Brain(start), clock)
-        for_management = MANAGEMENT_DESCRIPTORS if config.management else 0
-        self.own = SPARE_DESCRIPTORS + for_management + 2 * lanes  #: descriptors that serve nobody
-        for_clients, for_servers = self._divided(config.sockets)
+        management_descriptors = MANAGEMENT_DESCRIPTORS if config.management else 0
+        self.own_descriptors = SPARE_DESCRIPTORS + management_descriptors + 2 * counter_connections
+        client_descriptors, server_descriptors = self._divide_descriptors(config.sockets)
         self.upstreams = UpstreamPool(
             reactor,
             self.engine,
@@ -96,9 +126,11 @@
             buffers,
             config.dial_timeout_s,
             config.conn_idle_s,
-            for_servers,
+            server_descriptors,
+        )
+        self.counter = CounterDriver(
+            reactor, self.engine, clock, buffers, config.counter, config.dial_timeout_s, counter_connections
         )
-        self.counter = CounterDriver(reactor, self.engine, clock, buffers, config.counter, config.dial_timeout_s, lanes)
         alarm = ReactorAlarm(reactor, clock, self.engine.handle_alarm)
         self.engine.connect(self.upstreams, self.counter, alarm)
         translator = Translator(start, config.class_names, config.plan_names)
@@ -107,71 +139,83 @@
             self.engine,
             translator,
             buffers,
-            for_clients,
+            client_descriptors,
             config.open_cap,
             start.max_retry_after_ns,
             self.lifecycle,
-            max(MAX_BUFFERED_BODY_BYTES, int(for_bodies * BODY_SHARE)),
+            max(MAX_BUFFERED_BODY_BYTES, int(body_memory_bytes * SINGLE_BODY_SHARE)),
         )
-        self.fault: ConfigError | None = None  #: why it could not start
-        self.management = ManagementListener(reactor, self.lifecycle, buffers, self._held)
+        self.start_error: ConfigError | None = None
+        self.management = ManagementListener(reactor, self.lifecycle, buffers, self._remaining_counts)
         self.directory = Directory(config.zone_names, config.kind_names)
-        self.watcher = self._watcher(config.discovery, whole=self.lifecycle.is_socket_shared)
+        self.watcher = self._new_watcher(config.discovery, needs_full_list=self.lifecycle.is_socket_shared)
 
-    def _watcher(self, address: Address, whole: bool = False) -> Watcher:
+    def _new_watcher(self, address: Address, needs_full_list: bool = False) -> Watcher:
         pauses = backoff(self.config.start)
-        return Watcher(self.reactor, address, self.buffers, self.directory, self.apply_server_list, pauses, whole)
+        return Watcher(
+            self.reactor, address, self.buffers, self.directory, self.apply_server_list, pauses, needs_full_list
+        )
 
-    def _divided(self, sockets: int) -> tuple[int, int]:
-        """Of so many descriptors, those for clients and those for agenda servers."""
-        room = max(0, sockets - self.own)
-        for_clients = int(room * CLIENTS_SHARE)
-        return for_clients, room - for_clients
+    def _divide_descriptors(self, descriptors: int) -> tuple[int, int]:
+        """Divide a number of descriptors; returns those for clients and those for agenda servers."""
+        available = max(0, descriptors - self.own_descriptors)
+        client_descriptors = int(available * CLIENT_DESCRIPTOR_SHARE)
+        return client_descriptors, available - client_descriptors
 
-    def apply_server_list(self, news: i.ServerNews) -> None:
-        """Addresses first: the module may send as soon as it knows."""
-        COUNTS["discovery.lines"] += len(news.servers)
+    def apply_server_list(self, update: interface.ServerNews) -> None:
+        """Apply a list of servers or changes to it.
+
+        The addresses go first, because the decision module may send as soon as it has the update.
+        """
+        COUNTS["discovery.lines"] += len(update.servers)
         self.upstreams.update(self.directory.places)
-        for line in news.servers:
-            if line.state == i.ServerState.DRAINING:  # nothing new will go there
-                self.upstreams.close_idle(line.server)
-        self.engine.handle_server_update(news)
-        # An empty list from before the start is no reason to send clients here.
-        if news.news != i.News.CACHED:
-            self._listed()
-        elif news.servers:
-            # Who takes over from a process that serves has time to hear what is true now.
-            self.reactor.callLater(LISTED_S, self._listed) if self.lifecycle.is_socket_shared else self._listed()
-
-    def _listed(self) -> None:
+        for server in update.servers:
+            if server.state == interface.ServerState.DRAINING:  # it gets no new requests
+                self.upstreams.close_idle(server.server)
+        self.engine.handle_server_update(update)
+        # An empty list from before the start does not make the process ready.
+        if update.news != interface.News.CACHED:
+            self._mark_servers_known()
+        elif update.servers:
+            # A process that takes over from another first waits for the current list.
+            self.reactor.callLater(
+                TAKEOVER_LIST_TIMEOUT_S, self._mark_servers_known
+            ) if self.lifecycle.is_socket_shared else self._mark_servers_known()
+
+    def _mark_servers_known(self) -> None:
         self.lifecycle.mark_servers_known()
         self.client_listener.update_accepting()
 
     def run(self) -> None:
-        self.apply_server_list(self._read_known(self.directory, self.config))
+        """Serve until the process is shut down.
+
+        Raises:
+            ConfigError: if an address cannot be used.
+        """
+        self.apply_server_list(self._read_known_servers(self.directory, self.config))
         self.watcher.start()
         own = self.own_settings
-        if own is not None and (own.budgets.enabled or own.handoff.enabled):  # off on the platform
+        if own is not None and (own.budgets.enabled or own.handoff.enabled):  # both are off on the platform
             from .net.fleet import join_fleet
 
             self.fleet_member = join_fleet(self, own)
-        self.reactor.callWhenRunning(self._heed_signals)
+        self.reactor.callWhenRunning(self._install_signal_handlers)
         freeze_gc()
-        # Whoever connects is kept waiting by all that a start has still to do, and its request's time has
-        # begun.  So nothing listens before the reactor has come round once.
-        self.reactor.callWhenRunning(lambda: self.reactor.callLater(FIRST_TURN_S, self._open))
+        # A client that connects during the start would wait for the rest of it while its deadline runs.  So the process
+        # listens only after the reactor's first turn.
+        self.reactor.callWhenRunning(lambda: self.reactor.callLater(LISTEN_DELAY_S, self._start_listening))
         self.reactor.run()
-        if self.fault is not None:
-            raise self.fault
+        if self.start_error is not None:
+            raise self.start_error
         log_counters("exit")
 
-    def _open(self) -> None:
-        """Listen, and say so."""
+    def _start_listening(self) -> None:
+        """Listen on all addresses, and log them."""
         if self.lifecycle.phase is Phase.SHUTTING_DOWN:
             return
         try:
             if self.lifecycle.is_socket_shared:
-                self._inherit()
+                self._inherit_socket()
             else:
                 self.client_listener.port = self._listen(
                     "listen", self.config.listen, self.client_listener, ClientListenerPort
@@ -179,24 +223,24 @@
             if self.config.management:
                 self.management.port = self._listen("management", self.config.management, self.management)
         except ConfigError as fault:
-            self.fault = fault
+            self.start_error = fault
             return self.reactor.stop()
         ports = {"listen": self.client_listener.port, "management": self.management.port}
         bound = {key: port.getHost() for key, port in ports.items() if port is not None}
         addresses = {key: f"{at.host}:{at.port}" for key, at in bound.items()}
         log("serving", name=self.config.name, servers=len(self.directory.places), **addresses)
 
-    def _listen(self, key: str, address: Address, factory: Any, kind: type[Port] = Port) -> Port:
+    def _listen(self, key: str, address: Address, factory: Any, port_class: type[Port] = Port) -> Port:
         host, number = address
-        port = kind(number, factory, BACKLOG, host, self.reactor)
+        port = port_class(number, factory, BACKLOG, host, self.reactor)
         try:
             port.startListening()
         except Exception as err:
             raise ConfigError(f"{key}: {err}") from None
         return port
 
-    def _inherit(self) -> None:
-        """Listen on the socket that the platform holds, and find the other process, if there is one."""
+    def _inherit_socket(self) -> None:
+        """Listen on the inherited socket, and share the descriptors with other processes that do."""
         fd = self.config.accept_fd
         try:
             with socket.socket(fileno=os.dup(fd)) as listener:
@@ -204,13 +248,13 @@
                     raise OSError("expected a stream socket over IPv4")
                 if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
                     raise OSError("expected a listening socket")
-            if self.config.sockets // 2 <= self.own:
-                raise ConfigError(f"limits.sockets: expected more than {2 * self.own} for two processes")
-            os.set_blocking(fd, False)  # the other process may take what woke us: accept must not wait
+            if self.config.sockets // 2 <= self.own_descriptors:
+                raise ConfigError(f"limits.sockets: expected more than {2 * self.own_descriptors} for two processes")
+            os.set_blocking(fd, False)  # the other process may accept the connection first: accept must not block
             self.client_listener.port = inherited_port(self.reactor, fd, self.client_listener)
         except OSError as err:
             raise ConfigError(f"{ACCEPT_FD}: {err.strerror or err}") from None
-        os.close(fd)  # the reactor has a copy, and this one would outlive it
+        os.close(fd)  # the port has a duplicate; this descriptor would keep the socket open after it closes
         self.client_listener.update_accepting()
         host, port = self.client_listener.port.getHost().host, self.client_listener.port.getHost().port
         self.slots: Slots | None = None
@@ -219,42 +263,45 @@
         except OSError as err:
             COUNTS["takeover.no_slot"] += 1
             log("no slot", why=str(err))
-        self._claim()
+        self._claim_descriptors()
 
-    def _claim(self) -> None:
-        """What the other process does not use is ours; looked at again and again."""
-        self.reactor.callLater(CLAIM_S, self._claim)
-        total, start = self.config.sockets, self.own
-        claimed = total // 2  # whatever the others do
+    def _claim_descriptors(self) -> None:
+        """Claim the descriptors that other processes of this ingress do not use; repeated at intervals."""
+        self.reactor.callLater(CLAIM_INTERVAL_S, self._claim_descriptors)
+        total, reserve = self.config.sockets, self.own_descriptors
+        claimed = total // 2  # without knowledge of the other processes
         if self.slots is not None:
-            held = self.own + len(self.client_listener.streams) + self.upstreams.connection_count
-            others = [total - start if one is None else one for one in self.slots.others()]
-            leaving = self.lifecycle.phase is Phase.SHUTTING_DOWN
-            use = DescriptorUse(total, start, held, self.slots.is_elder, leaving)
+            in_use = self.own_descriptors + len(self.client_listener.streams) + self.upstreams.connection_count
+            others = [total - reserve if claim is None else claim for claim in self.slots.others()]
+            is_leaving = self.lifecycle.phase is Phase.SHUTTING_DOWN
+            use = DescriptorUse(total, reserve, in_use, self.slots.is_elder, is_leaving)
             claimed = descriptor_claim(use, others)
             try:
                 self.slots.publish(claimed)
             except OSError:
                 COUNTS["takeover.not_published"] += 1
             COUNTS["takeover.beside"] += bool(others)
-        for_clients, for_servers = self._divided(claimed)
-        if (for_clients, for_servers) != (self.client_listener.max_connections, self.upstreams.max_connections):
-            self.client_listener.resize(for_clients)
-            self.upstreams.resize(for_servers)
-
-    def _held(self) -> dict[str, int]:
-        """What an operator watches during a drain: it falls to nothing."""
+        client_descriptors, server_descriptors = self._divide_descriptors(claimed)
+        if (client_descriptors, server_descriptors) != (
+            self.client_listener.max_connections,
+            self.upstreams.max_connections,
+        ):
+            self.client_listener.resize(client_descriptors)
+            self.upstreams.resize(server_descriptors)
+
+    def _remaining_counts(self) -> dict[str, int]:
+        """Return the counts that an operator watches during a drain; they fall to 0."""
         return {"connections": len(self.client_listener.streams), "open_requests": len(self.engine.requests)}
 
     @staticmethod
-    def _read_known(directory: Directory, config: Config) -> i.ServerNews:
+    def _read_known_servers(directory: Directory, config: Config) -> interface.ServerNews:
         try:
             return directory.read(config.known, cached=True)
         except ValueError as err:
             raise ConfigError(f"known: {err}") from None
 
-    def _heed_signals(self) -> None:
-        """Before anything says that we serve: SIGUSR1 ends a process that does not handle it."""
+    def _install_signal_handlers(self) -> None:
+        """Install the handlers; before the log says that we serve, because an unhandled SIGUSR1 ends the process."""
         handlers = {
             signal.SIGHUP: self.reload,
             signal.SIGTERM: self.shut_down,
@@ -263,19 +310,19 @@
         }
         for number, handler in handlers.items():
             signal.signal(number, lambda *_, handler=handler: self.reactor.callFromThread(handler))
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # one since the start counts now
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # a signal received since the start is handled now
 
     def reload(self) -> None:
-        """Read the configuration anew: the counter and discovery move, all else stays until the next start.
+        """Read the configuration again: the addresses of counter and discovery change, the rest needs a restart.
 
-        A file that the program would not start with changes nothing.  With budgets on, our own HCL is read
-        again for the clock's offset.
+        A file with which the program would not start changes nothing.  With budgets on, the own settings are read
+        again as well, for the clock's offset.
         """
         if self.fleet_member is not None and self.settings_file is not None:
             self.fleet_member.reload_settings(self.settings_file)
         try:
             new = configuration.load()
-            self._read_known(Directory(new.zone_names, new.kind_names), new)
+            self._read_known_servers(Directory(new.zone_names, new.kind_names), new)
         except ConfigError as err:
             COUNTS["reload.failed"] += 1
             return log("reload failed", fault=str(err))
@@ -288,34 +335,39 @@
                 self.fleet_member.counter.address = new.counter
         if new.discovery != old.discovery and self.watcher.running:
             self.watcher.stop()
-            self.watcher = self._watcher(new.discovery, whole=True)
+            self.watcher = self._new_watcher(new.discovery, needs_full_list=True)
             self.watcher.start()
-        new.start.seed = old.start.seed  # new in every file, and of use at a start only
-        kept = [key for key, field in KEPT.items() if getattr(new, field) != getattr(old, field)]
+        new.start.seed = old.start.seed  # it differs in every file, and is used at a start only
+        ignored_keys = [
+            key for key, field in KEYS_FIXED_UNTIL_RESTART.items() if getattr(new, field) != getattr(old, field)
+        ]
         log(
             "reloaded",
             counter=":".join(map(str, new.counter)),
             discovery=":".join(map(str, new.discovery)),
-            until_restart=kept,
+            until_restart=ignored_keys,
         )
 
-    def shut_down(self, stay_s: float = SHUTDOWN_DELAY_S) -> None:
-        """Go on serving for a while, then take nothing new, finish what is open, and stop."""
+    def shut_down(self, delay_s: float = SHUTDOWN_DELAY_S) -> None:
+        """Serve for `delay_s` more, then accept nothing new, finish the open requests and stop.
+
+        On a shared socket the process stops accepting now, and the delay is `SHARED_SHUTDOWN_DELAY_S`.
+        """
         if not self.lifecycle.begin_shutdown(self.reactor.seconds()):
             return
         log("told to leave", open=len(self.engine.requests))
         if self.lifecycle.is_socket_shared:
-            self.client_listener.stop_accepting()  # at once: the other process takes what waits
-            stay_s = GIVEN_UP_S
-        self.reactor.callLater(stay_s, self._finish)
+            self.client_listener.stop_accepting()  # now: the other process accepts the connections that wait
+            delay_s = SHARED_SHUTDOWN_DELAY_S
+        self.reactor.callLater(delay_s, self._finish)
 
     def _finish(self) -> None:
         self.client_listener.begin_shutdown()
-        self._stop_when_done(self.reactor.seconds() + HALF_IN_S)
+        self._stop_when_done(self.reactor.seconds() + PARTIAL_REQUEST_TIMEOUT_S)
 
-    def _stop_when_done(self, last: float) -> None:
-        if self.engine.requests or self.client_listener.has_unfinished(self.reactor.seconds() < last):
-            self.reactor.callLater(LEFT_S, self._stop_when_done, last)
+    def _stop_when_done(self, partial_until_s: float) -> None:
+        if self.engine.requests or self.client_listener.has_unfinished(self.reactor.seconds() < partial_until_s):
+            self.reactor.callLater(SHUTDOWN_POLL_S, self._stop_when_done, partial_until_s)
         else:
             self.watcher.stop()
             self._stop()
@@ -325,14 +377,14 @@
 
 
 def freeze_gc() -> None:
-    """What there is after the start stays, and is looked at no more."""
+    """Exclude the objects that exist after the start from garbage collection, and collect less often."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_THRESHOLD, 20, 20)
+    gc.set_threshold(GC_THRESHOLD_OBJECTS, 20, 20)
 
 
 def observe_twisted_failures() -> None:
-    """What Twisted catches for us is a fault of ours: counted, and logged a few times."""
+    """Count the exceptions that Twisted catches, which are bugs of this program, and log the first 20."""
 
     def observe(event: dict[str, Any]) -> None:
         failure = event.get("log_failure")
@@ -345,12 +397,20 @@
 
 
 def block_reload_signal() -> None:
-    """A reload asked for before there is anything to reload waits for it, and must not end the process."""
+    """Block SIGHUP until its handler is installed: until then it would end the process."""
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
 
 
 def main(own: Own | None = None, settings_file: str | None = None) -> int:
-    """One process that reads `EDGE_CONFIG` and serves; returns the exit code.  `own`: our own HCL."""
+    """Read `EDGE_CONFIG` and serve in one process.
+
+    Args:
+        own: the program's own settings (HCL).
+        settings_file: their path.
+
+    Returns:
+        The exit code: 2 if the configuration is wrong.
+    """
     block_reload_signal()
     try:
         config = configuration.load()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -45,15 +45,24 @@
     environment = {"EDGE_ACCEPT_FD": "9"} if shared else {}
     config = read_config(config_for(Counter(), Discovery(), [], management="127.0.0.1:0"), environment)
     started = ingress.Ingress(Reactor(seen), config)
-    for name in ("_listen", "_inherit", "_heed_signals", "apply_server_list"):
+    for name in ("_listen", "_inherit_socket", "_install_signal_handlers", "apply_server_list"):
         monkeypatch.setattr(started, name, lambda *_, name=name: seen.append(name))
     monkeypatch.setattr(ingress, "freeze_gc", lambda: seen.append("gc"))
     monkeypatch.setattr(ingress, "log_counters", lambda reason: None)
     monkeypatch.setattr(ingress, "log", lambda event, **_: seen.append(event))
     started.watcher.start = lambda: seen.append("watch")
     started.run()
-    listening = ["_inherit", "_listen"] if shared else ["_listen", "_listen"]
-    assert seen == ["apply_server_list", "watch", "gc", "runs", "_heed_signals", "waits", *listening, "serving"]
+    listening = ["_inherit_socket", "_listen"] if shared else ["_listen", "_listen"]
+    assert seen == [
+        "apply_server_list",
+        "watch",
+        "gc",
+        "runs",
+        "_install_signal_handlers",
+        "waits",
+        *listening,
+        "serving",
+    ]
 
 
 def test_a_start_imports_no_unused_modules(tmp_path):
