--- a/mapleline/cores/__init__.py
+++ b/mapleline/cores/__init__.py
@@ -1,1 +1,1 @@
-"""One ingress as several processes behind one address: a supervisor and its workers."""
+"""One ingress that runs as several processes behind one address: a supervisor and its workers."""
--- a/mapleline/cores/channel.py
+++ b/mapleline/cores/channel.py
@@ -1,4 +1,7 @@
-"""The channel between the supervisor and a worker: JSON in frames over a socket pair, with sockets passed beside it."""
+"""The channel between the supervisor and a worker: JSON messages in frames over a UNIX socket pair.
+
+A message can carry a socket, which is passed as a file descriptor.
+"""
 
 from __future__ import annotations
 
@@ -19,26 +22,27 @@
     from .messages import JsonObject, Message
     from .reactor import ChannelTransport
 
-CHANNEL_FD = 3  # of a worker process, as the supervisor starts it
-MAX_FRAME_BYTES = 64 * 1024 * 1024  # a complete list of some 100,000 servers
-SOCKET_KEY = "fd"  # in a message with a socket: the socket's number on this channel
-SOCKET_RECEIVED_KEY = "got"  # a message of its own: the socket of this number has arrived
+CHANNEL_FD = 3  # descriptor of the channel in a worker process, set by the supervisor when it starts the worker
+MAX_FRAME_BYTES = 64 * 1024 * 1024  # enough for a complete list of about 100,000 servers
+SOCKET_KEY = "fd"  # key that is added to a message with a socket: the socket's number on this channel
+SOCKET_RECEIVED_KEY = "got"  # only key of the message that confirms receipt of the socket with this number
 
 Received = TypeVar("Received")
 
 
 @implementer(IFileDescriptorReceiver)
 class Channel(Int32StringReceiver, Generic[Received]):
-    """One end of the channel, which receives messages of one direction.
+    """One end of the channel.  It sends any message and receives the messages of one direction.
 
-    A socket may wait long behind a full buffer while its sender closes its own copy, and the descriptor's number is
-    given to another file.  So each is sent as a duplicate that is closed only when the other side has received it.
+    A socket can be queued behind a full send buffer for a long time.  Meanwhile the sender may close its own copy, and
+    the descriptor's number may be reused for another file.  Each socket is therefore sent as a duplicate, which is
+    closed only when the other end has confirmed that it received the socket.
 
     Attributes:
         is_connected: Whether messages can be sent.
     """
 
-    transport: ChannelTransport  # type: ignore[assignment]  # of a UNIX socket; Twisted names the general one
+    transport: ChannelTransport  # type: ignore[assignment]  # a UNIX socket's transport; Twisted declares the general interface
     MAX_LENGTH = MAX_FRAME_BYTES
 
     def __init__(
@@ -47,27 +51,27 @@
         on_message: Callable[[Received, socket.socket | None], None],
         on_disconnect: Callable[[], None],
     ) -> None:
-        """Wait for the connection.
+        """Create one end, which is not connected yet.
 
         Args:
-            decode: Reads a message from its JSON form; a message that it returns None for is ignored.
-            on_message: Called with each message, and the socket that came with it, if one did, which the callee owns.
-            on_disconnect: Called when the channel has ended.
+            decode: Parses a message from its JSON form.  If it returns None, the message is ignored.
+            on_message: Called with each message and the socket that came with it, or None.  The callee owns the socket.
+            on_disconnect: Called when the channel is closed.
         """
         self._decode = decode
         self._on_message = on_message
         self._on_disconnect = on_disconnect
         self._received_descriptors: deque[int] = deque()
         self._sockets_sent = 0
-        self._unconfirmed_duplicates: dict[int, int] = {}  # descriptor by the socket's number on this channel
+        self._unconfirmed_duplicates: dict[int, int] = {}  # descriptors by the socket's number on this channel
         self.is_connected = False
 
     def connectionMade(self) -> None:
-        """Called by Twisted when the channel can be used."""
+        """Called by Twisted when the channel is connected."""
         self.is_connected = True
 
     def send(self, message: Message, handle: socket.socket | None = None) -> None:
-        """Send a message, with a duplicate of `handle` if one is given; nothing happens once the channel ended."""
+        """Send a message, with a duplicate of `handle` if one is given.  Does nothing once the channel is closed."""
         if self.is_connected:
             self._send_json(message.encode(), handle)
 
@@ -81,7 +85,7 @@
         self.sendString(orjson.dumps(message))  # type: ignore[no-untyped-call]  # Twisted's is untyped
 
     def fileDescriptorReceived(self, descriptor: int) -> None:  # noqa: N802  # called by Twisted
-        """Called by Twisted with descriptors in their order, each before the bytes that it was sent with."""
+        """Called by Twisted with the descriptors in the order sent, each before the bytes that it was sent with."""
         self._received_descriptors.append(descriptor)
 
     def stringReceived(self, string: bytes) -> None:
@@ -102,7 +106,7 @@
             handle.close()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Called by Twisted when the channel has ended: closes the descriptors that nobody will ask for."""
+        """Called by Twisted when the channel is closed: closes unclaimed descriptors and unconfirmed duplicates."""
         self.is_connected = False
         while self._received_descriptors:
             os.close(self._received_descriptors.popleft())
@@ -111,5 +115,5 @@
         self._on_disconnect()
 
     def close(self) -> None:
-        """Close the channel once what was sent is written."""
+        """Close the channel once all sent messages are written."""
         self.transport.loseConnection()
--- a/mapleline/cores/connection_acceptor.py
+++ b/mapleline/cores/connection_acceptor.py
@@ -1,4 +1,4 @@
-"""The supervisor's listener: accepts connections and carries out what the dispatcher decides about them."""
+"""The supervisor's listener: accepts connections and carries out the decisions of the dispatcher."""
 
 from __future__ import annotations
 
@@ -18,8 +18,10 @@
     from .reactor import Reactor
     from .worker_process import WorkerProcess
 
-MAX_ACCEPTS_PER_TURN = 64  # of the reactor
-MAX_PENDING = 12  # accepted and not yet claimed: more are left to the kernel, or descriptors run out
+MAX_ACCEPTS_PER_TURN = 64  # per iteration of the reactor
+# Connections accepted and not yet claimed.  The others stay in the kernel's queue, because each pending one uses a
+# descriptor of the supervisor.
+MAX_PENDING = 12
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,7 +33,10 @@
 
 
 class ConnectionAcceptor:
-    """Accepts connections, offers them to the workers and moves some between them; a reader of the reactor."""
+    """Accepts connections, offers them to the workers and moves some between them.
+
+    The reactor reads the listener through this object: it implements Twisted's `IReadDescriptor`.
+    """
 
     def __init__(
         self,
@@ -42,16 +47,16 @@
         """Prepare to listen.
 
         Args:
-            reactor: Watches the listener.
+            reactor: Reactor that watches the listener.
             dispatcher: Decides which worker is offered which connection.
-            workers: The workers by number, kept up to date by the caller.
+            workers: Workers by number; the caller keeps the mapping up to date.
         """
         self._reactor = reactor
         self._dispatcher = dispatcher
         self._workers = workers
         self._listener: socket.socket | None = None
         self._pending: dict[int, PendingConnection] = {}
-        self._last_connection = 0  # numbers of connections
+        self._last_connection = 0  # number of the connection registered last
         self._is_reading = False
         self._is_started = False
         self._is_closed = False
@@ -59,17 +64,17 @@
     # --- the listener
 
     def listen(self, host: str, port: int, backlog: int) -> None:
-        """Open the listener; nothing is accepted before `start`.
+        """Open the listener; no connection is accepted before `start`.
 
         Raises:
-            OSError: The address cannot be used.
+            OSError: The listener cannot be bound to the address.
         """
         self._listener = socket.create_server((host, port), backlog=backlog)
         self._listener.setblocking(False)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port that the listener is bound to."""
+        """Host and port to which the listener is bound."""
         host, port = self._open_listener().getsockname()[:2]
         return host, port
 
@@ -79,17 +84,17 @@
         return self._listener
 
     def start(self) -> None:
-        """Accept from now on."""
+        """Start to accept connections."""
         self._is_started = True
         self._set_reading(True)
 
     def resume_if_possible(self) -> None:
-        """Go on accepting after a pause, if there is room."""
+        """Resume accepting after a pause, if fewer than `MAX_PENDING` connections are pending."""
         if self._is_started and not self._is_closed and len(self._pending) < MAX_PENDING:
             self._set_reading(True)
 
     def close(self) -> None:
-        """Accept what the kernel has queued, and close the listener."""
+        """Accept the connections in the kernel's queue and close the listener."""
         self.doRead()
         self._is_closed = True
         self._set_reading(False)
@@ -110,18 +115,18 @@
             self._reactor.removeReader(self)
 
     def fileno(self) -> int:
-        """Called by the reactor: the listener's descriptor."""
+        """Called by the reactor: returns the listener's descriptor."""
         return self._open_listener().fileno()
 
     def logPrefix(self) -> str:  # noqa: N802  # called by Twisted
-        """Called by the reactor: the name in its log lines."""
+        """Called by the reactor: returns the name of this reader in log lines."""
         return "listener"
 
     def connectionLost(self, reason: Failure) -> None:
         """Called by the reactor when it stops."""
 
     def doRead(self) -> None:  # noqa: N802  # called by Twisted
-        """Called by the reactor when connections wait: accepts as many as there is room for."""
+        """Called by the reactor when connections are queued: accepts them until `MAX_PENDING` are pending."""
         listener = self._open_listener()
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
@@ -130,7 +135,7 @@
                 return
             except OSError:
                 COUNTS["cores.accept_failed"] += 1
-                self._set_reading(False)  # no descriptor is left: the next tick tries again
+                self._set_reading(False)  # no descriptor is free; the supervisor's next tick resumes
                 return
             COUNTS["cores.accepted"] += 1
             handle.setblocking(False)
@@ -143,7 +148,7 @@
     # --- offers
 
     def _add_pending(self, handle: socket.socket, has_had_request: bool) -> int:
-        """Register a connection; returns its number."""
+        """Register a connection and return its number."""
         self._last_connection += 1
         self._pending[self._last_connection] = PendingConnection(handle, has_had_request)
         return self._last_connection
@@ -159,15 +164,15 @@
         self._send_offers(self._dispatcher.add_worker(worker.number, _now_ns()))
 
     def remove_worker(self, worker: WorkerProcess) -> None:
-        """Offer what a worker that has exited had not claimed to others."""
+        """Offer the unclaimed connections of a worker that has exited to other workers."""
         self._send_offers(self._dispatcher.remove_worker(worker.number, _now_ns()))
 
     def forget_worker(self, worker: WorkerProcess) -> None:
-        """Note that a worker has shut down, as it was asked to, without further offers."""
+        """Remove a worker that has shut down as requested, without offering its connections to others."""
         self._dispatcher.remove_worker(worker.number, _now_ns())
 
     def handle_report(self, worker: WorkerProcess, report: LoadReport) -> None:
-        """Take in a worker's load."""
+        """Process the periodic report of a worker."""
         offers = self._dispatcher.record_report(worker.number, report.released, report.load, report.is_full, _now_ns())
         self._send_offers(offers)
 
@@ -182,12 +187,12 @@
             COUNTS["cores.claimed_late"] += 1
 
     def handle_refusal(self, worker: WorkerProcess, connection: int) -> None:
-        """Offer a connection that a worker has no room for to others."""
+        """Offer a connection that a worker refused to other workers."""
         COUNTS["cores.refused"] += 1
         self._send_offers(self._dispatcher.refuse(worker.number, connection, _now_ns()))
 
     def handle_handover(self, worker: WorkerProcess, handle: socket.socket, load: float) -> None:
-        """Offer a connection that a worker handed over to another."""
+        """Offer a connection that a worker handed over to another worker."""
         COUNTS["cores.moved"] += 1
         connection = self._add_pending(handle, has_had_request=True)
         self._send_offers(self._dispatcher.add_handed_over(worker.number, connection, load, _now_ns()))
@@ -195,16 +200,16 @@
     # --- periodic work
 
     def revoke_expired_offers(self) -> None:
-        """Offer what a stalled worker left unclaimed to others."""
+        """Offer the connections that a stalled worker left unclaimed to other workers."""
         revoked_before = self._dispatcher.revoked
         self._send_offers(self._dispatcher.revoke_expired_offers(_now_ns()))
         COUNTS["cores.offers_revoked"] += self._dispatcher.revoked - revoked_before
 
     def rebalance(self) -> None:
-        """Ask a worker for a connection if the load is uneven."""
+        """Ask the worker with the most load to hand over a connection, if the load is uneven."""
         handover = self._dispatcher.plan_handover()
         if handover is not None:
-            self._workers[handover.worker].send(RequestHandover(handover.wanted_load))
+            self._workers[handover.worker].send(RequestHandover(handover.target_load))
 
 
 def _now_ns() -> int:
--- a/mapleline/cores/connection_dispatcher.py
+++ b/mapleline/cores/connection_dispatcher.py
@@ -1,17 +1,17 @@
-"""Which worker gets which connection.
+"""Assignment of connections to workers.
 
-The supervisor accepts, and offers each connection to the worker with the fewest.  A worker claims what it is offered
-before it reads a byte of it.  An offer that is not claimed in time is revoked, and a claim that comes after that is
-denied.  So a connection belongs to the supervisor until a running worker has claimed it.
+The supervisor accepts connections and offers each to the worker with the fewest connections.  A worker claims an
+offered connection before it reads a byte from it.  An offer that is not claimed in time is revoked, and a later claim
+is denied.  A connection therefore belongs to the supervisor until a running worker has claimed it.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-MAX_OFFERS_PER_WORKER = 64  # unclaimed at a time
-MAX_WORKERS = 64  # modulus of the round robin among equals: more than there may be workers
-MIN_LOAD_GAP = 2  # requests (weighted): a smaller gap is not worth a handover
+MAX_OFFERS_PER_WORKER = 64  # unclaimed offers at a time
+MAX_WORKERS = 64  # modulus of the round robin; larger than any permitted number of workers
+MIN_LOAD_GAP = 2  # requests (decayed count); a smaller difference does not justify a handover
 
 
 @dataclass(slots=True)
@@ -19,13 +19,14 @@
     """One worker as the dispatcher knows it.
 
     Attributes:
-        worker: Its number.
-        granted: Connections granted to it in all.
-        open_connections: Those of them that it has not closed or handed over, as last reported.
-        load: Requests received, the older ones weighing less.
-        is_full: It has no descriptor left for another connection.
-        is_stalled: An offer to it was revoked and it has not been heard from since.
-        offered_at_ns: Its unclaimed offers: connection to the time of the offer.
+        worker: Number of the worker.
+        granted: Total number of connections granted to the worker.
+        open_connections: Granted connections that the worker has not closed or handed over: as last reported, plus
+            those granted since.
+        load: Decaying count of received requests, as last reported.
+        is_full: Whether the worker cannot take another connection, because of its connection limit.
+        is_stalled: Whether an offer to the worker was revoked and no message has come from it since.
+        offered_at_ns: Time of each unclaimed offer, by connection.
     """
 
     worker: int
@@ -38,18 +39,18 @@
 
     @property
     def connection_count(self) -> int:
-        """Connections that it has or is offered."""
+        """Number of connections that the worker has or is offered."""
         return self.open_connections + len(self.offered_at_ns)
 
     @property
     def is_available(self) -> bool:
-        """Whether it may be given another connection."""
+        """Whether the worker can be offered another connection."""
         return not self.is_stalled and not self.is_full
 
 
 @dataclass(slots=True, frozen=True)
 class Offer:
-    """Offer this connection to this worker."""
+    """Instruction to offer a connection to a worker."""
 
     worker: int
     connection: int
@@ -57,19 +58,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Handover:
-    """Ask a worker to hand over one connection whose load is about `wanted_load`."""
+    """Instruction to ask a worker to hand over one connection whose load is about `target_load`."""
 
     worker: int
-    wanted_load: float
+    target_load: float
 
 
 class ConnectionDispatcher:
-    """Assigns connections, which are numbers here; the caller keeps the sockets.  All times in nanoseconds.
+    """Assigns connections to workers.
+
+    Connections are identified by numbers; the caller keeps the sockets.  All times are in nanoseconds of one monotonic
+    clock.  Methods that return a list of `Offer` return the offers that the caller has to send now.
 
     Attributes:
-        slots: The workers that are ready, by number.
-        waiting: Connections that no worker can take now, oldest first.
-        revoked: Offers revoked in all.
+        slots: Workers that are ready, by number.
+        waiting: Connections that no worker can take at present, oldest first.
+        revoked: Total number of revoked offers.
     """
 
     def __init__(self, offer_timeout_ns: int, imbalance_ratio: float) -> None:
@@ -89,27 +93,27 @@
     # --- workers
 
     def add_worker(self, worker: int, now_ns: int) -> list[Offer]:
-        """Note that a worker is ready.  Returns the offers to make now, as all methods that do."""
+        """Add a worker that is ready."""
         self.slots[worker] = WorkerSlot(worker)
         return self._offer_waiting(now_ns)
 
     def remove_worker(self, worker: int, now_ns: int) -> list[Offer]:
-        """Note that a worker is gone: what it had not claimed is offered to others."""
+        """Remove a worker that has exited, and offer its unclaimed connections to others."""
         slot = self.slots.pop(worker, None)
         if slot is not None:
             self.waiting = [*slot.offered_at_ns, *self.waiting]
         return self._offer_waiting(now_ns)
 
     def record_report(self, worker: int, released: int, load: float, is_full: bool, now_ns: int) -> list[Offer]:
-        """Take in a worker's periodic report.
+        """Process the periodic report of a worker.
 
         Args:
-            worker: Its number.
-            released: Connections granted to it that it no longer has, in all.  Not those it has: a grant may be on
-                its way to it while it reports.
-            load: Requests received, the older ones weighing less.
-            is_full: Whether it has no descriptor left.
-            now_ns: The time.
+            worker: Number of the worker.
+            released: Total number of granted connections that the worker has closed or handed over.  The number of its
+                open connections would be ambiguous, because a grant may be in transit when the worker reports.
+            load: Decaying count of received requests.
+            is_full: Whether the worker is at its connection limit.
+            now_ns: Current time.
         """
         slot = self.slots.get(worker)
         if slot is None:
@@ -123,12 +127,12 @@
     # --- connections
 
     def add_connection(self, connection: int, now_ns: int) -> list[Offer]:
-        """Take in a connection that was accepted."""
+        """Add an accepted connection."""
         self.waiting.append(connection)
         return self._offer_waiting(now_ns)
 
     def claim(self, worker: int, connection: int) -> bool:
-        """Return whether the claim is granted; the caller then closes its own copy of the socket."""
+        """Return whether a claim is granted.  If so, the caller closes its own copy of the socket."""
         slot = self.slots.get(worker)
         if slot is None:
             return False
@@ -140,7 +144,7 @@
         return True
 
     def refuse(self, worker: int, connection: int, now_ns: int) -> list[Offer]:
-        """Note that a worker has no room for a connection: it is the next to be offered to others."""
+        """Record that a worker refused a connection, which is then the first to be offered to others."""
         slot = self.slots.get(worker)
         if slot is not None:
             slot.is_full = True
@@ -150,7 +154,7 @@
         return self._offer_waiting(now_ns)
 
     def revoke_expired_offers(self, now_ns: int) -> list[Offer]:
-        """Revoke all offers of each worker that has left one unclaimed for too long."""
+        """Revoke all offers to each worker that has left one unclaimed for the offer timeout."""
         for slot in self.slots.values():
             if any(now_ns - at_ns >= self._offer_timeout_ns for at_ns in slot.offered_at_ns.values()):
                 slot.is_stalled = True
@@ -160,7 +164,7 @@
         return self._offer_waiting(now_ns)
 
     def _offer_waiting(self, now_ns: int) -> list[Offer]:
-        """Offer the waiting connections, each to the worker with the fewest, as long as one can take them."""
+        """Offer waiting connections, each to the worker with the fewest, while a worker is available."""
         offers = []
         while self.waiting:
             slot = self._next_slot()
@@ -173,9 +177,9 @@
         return offers
 
     def _next_slot(self) -> WorkerSlot | None:
-        """The available worker with the fewest connections, then the least load, then the next in turn.
+        """Return the available worker with the fewest connections, then the least load, then the next in turn.
 
-        Without the turn the first worker would get every odd connection.
+        Without the round robin among equal workers, the first one would get every odd connection.
         """
         available = [
             slot
@@ -191,30 +195,30 @@
     # --- rebalancing
 
     def plan_handover(self) -> Handover | None:
-        """Return one connection to move where the load is uneven and a move can even it out.
+        """Return the handover that reduces an uneven load, or None if there is none.
 
-        What moves is at most half of the gap between the two: the receiver never ends up with more than the giver
-        had, so that no connection goes back and forth.
+        The target load is half of the difference between the workers with the most and the least load.  The receiver
+        then does not end up with more load than the sender had, so that no connection is moved back and forth.
         """
         slots = [slot for slot in self.slots.values() if not slot.is_stalled]
         if len(slots) < 2:
             return None
-        most = max(slots, key=lambda slot: slot.load)
-        least = min(slots, key=lambda slot: slot.load)
+        most_loaded = max(slots, key=lambda slot: slot.load)
+        least_loaded = min(slots, key=lambda slot: slot.load)
         mean = sum(slot.load for slot in slots) / len(slots)
-        gap = most.load - least.load
-        if most.open_connections < 2 or least.is_full or gap < MIN_LOAD_GAP:
+        gap = most_loaded.load - least_loaded.load
+        if most_loaded.open_connections < 2 or least_loaded.is_full or gap < MIN_LOAD_GAP:
             return None
-        if most.load <= self._imbalance_ratio * mean:
+        if most_loaded.load <= self._imbalance_ratio * mean:
             return None
-        return Handover(most.worker, gap / 2)
+        return Handover(most_loaded.worker, gap / 2)
 
     def add_handed_over(self, worker: int, connection: int, load: float, now_ns: int) -> list[Offer]:
-        """Take in a connection that a worker handed over; the worker with the least load is offered it."""
-        giver = self.slots.get(worker)
-        if giver is not None:
-            giver.load = max(0.0, giver.load - load)
-        available = [slot for slot in self.slots.values() if slot.is_available and slot is not giver]
+        """Add a connection that a worker handed over, and offer it to the worker with the least load."""
+        sender = self.slots.get(worker)
+        if sender is not None:
+            sender.load = max(0.0, sender.load - load)
+        available = [slot for slot in self.slots.values() if slot.is_available and slot is not sender]
         if not available:
             return self.add_connection(connection, now_ns)
         receiver = min(available, key=lambda slot: slot.load)
--- a/mapleline/cores/counter_collector.py
+++ b/mapleline/cores/counter_collector.py
@@ -1,4 +1,4 @@
-"""The telemetry counters of all processes of one ingress, collected by the supervisor and logged as one set."""
+"""Collection of the telemetry counters of all processes of one ingress, which the supervisor logs as one set."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 Counters = dict[str, int]
 
-QUERY_TIMEOUT_S = 0.5  # for the workers' replies; a worker that is stalled is named
+QUERY_TIMEOUT_S = 0.5  # wait for the workers' replies; the log line lists workers that did not reply
 
 
 class CounterCollector:
-    """Queries the workers for their counters, and keeps those of processes that have exited."""
+    """Queries the workers for their counters and keeps the counters of processes that have exited."""
 
     def __init__(self, reactor: Reactor, workers: Mapping[int, WorkerProcess]) -> None:
-        """Collect from these workers, by number, which the caller keeps up to date."""
+        """Collect from `workers`, a mapping by number that the caller keeps up to date."""
         self._reactor = reactor
         self._workers = workers
         self._exited: Counter[str] = Counter()
@@ -35,7 +35,7 @@
         worker.counters = {}
 
     def query(self) -> None:
-        """Query all workers; the counters are logged when all have replied, or after a time-out."""
+        """Query all workers; the counters are logged when all have replied, or after `QUERY_TIMEOUT_S`."""
         self._query += 1
         self._replies = {}
         for worker in self._workers.values():
@@ -43,7 +43,7 @@
         self._reactor.callLater(QUERY_TIMEOUT_S, self._finish_query, self._query)
 
     def handle_snapshot(self, worker: WorkerProcess, snapshot: CounterSnapshot) -> None:
-        """Take in a worker's counters."""
+        """Store a worker's counters, and finish the query if all ready workers have replied."""
         worker.counters = snapshot.counters
         if snapshot.query != self._query:
             return
@@ -55,7 +55,7 @@
         return {number for number, worker in self._workers.items() if worker.is_ready}
 
     def _finish_query(self, query: int) -> None:
-        """Log what has come, unless this query has been logged already."""
+        """Log the replies and, for the other workers, the last known counters, unless this query was logged already."""
         if query != self._query:
             return
         self._query += 1
@@ -64,19 +64,19 @@
         self._log("asked", {**last_known, **self._replies}, sorted(missing))
 
     def log_exit(self) -> None:
-        """Log the last counters of all."""
+        """Log the last counters of all processes."""
         self._log("exit", {number: worker.counters for number, worker in self._workers.items()}, [])
 
-    def _log(self, why: str, by_worker: Mapping[int, Counters], silent: list[int]) -> None:
-        """Log the sum over all processes, exited ones included, and each worker's own.
+    def _log(self, reason: str, by_worker: Mapping[int, Counters], unresponsive: list[int]) -> None:
+        """Log the sum over all processes, including exited ones, and the counters of each worker.
 
         Args:
-            why: What the counters are logged for.
-            by_worker: Each worker's counters.
-            silent: Workers that did not reply: their counters are the last reported.
+            reason: Why the counters are logged.
+            by_worker: Counters of each worker, by number.
+            unresponsive: Numbers of workers that did not reply; their counters are those last reported.
         """
         total = Counter(COUNTS) + self._exited
         for counters in by_worker.values():
             total.update(counters)
         workers = {str(number): dict(sorted(counters.items())) for number, counters in sorted(by_worker.items())}
-        log("counters", why=why, counts=dict(sorted(total.items())), workers=workers, silent=silent)
+        log("counters", why=reason, counts=dict(sorted(total.items())), workers=workers, silent=unresponsive)
--- a/mapleline/cores/customer_table.py
+++ b/mapleline/cores/customer_table.py
@@ -1,7 +1,7 @@
-"""Each worker's counts of its customers, in shared memory: one set-associative table per worker.
+"""Each worker's counts of its customers in shared memory: one set-associative table per worker.
 
-A row carries a checksum.  A reader skips a row that is half written, because its writer is just writing it or has
-exited while writing it, and decides by its own counts.
+Each row has a checksum.  A row is half written while its writer writes it, or if the writer exited during the write.
+A reader skips such a row and decides by its own counts.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 SET_BYTES = ROWS_PER_SET * ROW_BYTES
 CHECKSUM = struct.Struct("=I4x")  # CRC-32 (never 0) and padding, at the end of a row
 CHECKED_BYTES = ROW_BYTES - CHECKSUM.size
-KEY_BYTES = 8  # the row's first field, little endian
-MAX_READ_ATTEMPTS = 3  # of a row that changes during the read
+KEY_BYTES = 8  # size of a row's first field, which is little-endian
+MAX_READ_ATTEMPTS = 3  # reads of one row while its checksum does not match, because it is being written
 GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio: Fibonacci hashing (Knuth, TAOCP 3, 6.4)
 MASK_64 = 0xFFFFFFFFFFFFFFFF
 
 
 @dataclass(slots=True)
 class CustomerRow:
-    """One customer's use as one worker knows it, in the order of the row's fields.
+    """One worker's counts of one customer, in the order of the row's fields.
 
     Attributes:
-        key: The customer's number.
-        window: The number of the counting window of these counts.
-        total_at_ns: When the counter gave `total`; 0 if it gave none in this window.
-        previous_total: Last total of the previous window, units.
-        total: Last total of this window, units.
-        unconfirmed: Units admitted since that total, without an answer of the counter.
+        key: Number of the customer.
+        window: Number of the quota window of these counts.
+        total_at_ns: Time at which the counter returned `total`; 0 if it returned none in this window.
+        previous_total: Last total of the previous window that the counter returned, in units.
+        total: Last total of this window that the counter returned, in units.
+        unconfirmed: Units admitted since that total that no answer of the counter confirms yet.
         admitted: Units that the worker admitted in this window.
-        owed: Units that the next call to the counter adds.
-        in_flight: Attempts in flight.
-        burst: Units that the quota's bucket holds.
-        burst_at_ns: When `burst` was updated.
-        ceiling: Units that the bucket of the hard ceiling holds.
-        ceiling_at_ns: When `ceiling` was updated.
+        pending: Units that the next call to the counter adds.
+        in_flight: Number of attempts in flight.
+        burst: Level of the quota's token bucket, in units.
+        burst_at_ns: Time at which `burst` was updated.
+        ceiling: Level of the hard ceiling's token bucket, in units.
+        ceiling_at_ns: Time at which `ceiling` was updated.
     """
 
     key: int
@@ -50,7 +50,7 @@
     total: float
     unconfirmed: float
     admitted: float
-    owed: float
+    pending: float
     in_flight: int
     burst: float
     burst_at_ns: int
@@ -67,7 +67,7 @@
             self.total,
             self.unconfirmed,
             self.admitted,
-            self.owed,
+            self.pending,
             self.in_flight,
             self.burst,
             self.burst_at_ns,
@@ -79,32 +79,32 @@
 
 
 class CustomerTable:
-    """One worker's view: its own table, which it writes, and the others', which it reads.
+    """One worker's access to the tables: it writes its own and reads those of the other workers.
 
-    A new customer in a full set evicts one of its rows, in turn.
+    A new customer in a full set evicts one of the set's rows, which is chosen round robin.
 
     Attributes:
-        torn_reads: Rows that could not be read completely.
-        evictions: Own rows overwritten by another customer's.
+        torn_reads: Number of reads that failed because the row was half written.
+        evictions: Number of rows in the own table that were overwritten by another customer's.
     """
 
     def __init__(self, memory: memoryview, workers: int, worker: int, customer_rows: int) -> None:
-        """Use the tables in this shared memory, and take over the rows of an earlier process of this worker.
+        """Attach to the tables and take over the rows of an earlier process of this worker.
 
         Args:
             memory: The shared memory.
             workers: Number of workers.
-            worker: The number of this worker.
-            customer_rows: The approximate number of rows of each table.
+            worker: Number of this worker.
+            customer_rows: Approximate number of rows in each table.
         """
         self._sets = customer_sets(customer_rows)
         self._own = customer_region(memory, workers, worker, customer_rows)
         self._others = [
             customer_region(memory, workers, other, customer_rows) for other in range(workers) if other != worker
         ]
-        self._offset_by_key: dict[int, int] = {}  # in the own table, bytes
+        self._offset_by_key: dict[int, int] = {}  # byte offsets in the own table
         self._key_by_offset: dict[int, int] = {}
-        self._next_eviction = 0  # row of a full set
+        self._next_eviction = 0  # index of the last evicted row in its set
         self.torn_reads = 0
         self.evictions = 0
         self._take_over_rows()
@@ -117,9 +117,9 @@
                 self._key_by_offset[offset] = row.key
 
     def _set_offsets(self, key: int) -> range:
-        """Return the offsets, in bytes, of the rows that may hold a customer."""
-        spread = (key * GOLDEN_RATIO_64 & MASK_64) >> 32
-        start = spread % self._sets * SET_BYTES
+        """Return the byte offsets of the rows that may hold this customer."""
+        hashed_key = (key * GOLDEN_RATIO_64 & MASK_64) >> 32
+        start = hashed_key % self._sets * SET_BYTES
         return range(start, start + SET_BYTES, ROW_BYTES)
 
     def _read(self, table: memoryview, offset: int) -> CustomerRow | None:
@@ -134,7 +134,7 @@
         return None
 
     def own_row(self, key: int) -> CustomerRow | None:
-        """Return this worker's row of a customer."""
+        """Return this worker's row of a customer, or None if there is none."""
         offset = self._offset_by_key.get(key)
         return None if offset is None else self._read(self._own, offset)
 
@@ -146,7 +146,7 @@
         self._own[offset : offset + ROW_BYTES] = row.pack()
 
     def _allocate(self, key: int) -> int:
-        """Assign a row of its set to a customer, by eviction if the set is full, and return the row's offset."""
+        """Assign a row to a customer, evicting another customer if the set is full, and return the row's offset."""
         offsets = self._set_offsets(key)
         offset = next((free for free in offsets if free not in self._key_by_offset), None)
         if offset is None:
@@ -172,12 +172,12 @@
                     break
 
     def clear_in_flight(self) -> int:
-        """Note that the worker of this table has exited and has no attempts in flight.
+        """Set the attempts in flight of all customers to 0, after the worker of this table has exited.
 
-        Its other counts stay, because those units are admitted.
+        The other counts stay, because their units have been admitted.
 
         Returns:
-            The attempts that it had in flight.
+            The number of attempts that the worker had in flight.
         """
         cleared = 0
         for key, offset in list(self._offset_by_key.items()):
--- a/mapleline/cores/drain_flags.py
+++ b/mapleline/cores/drain_flags.py
@@ -1,4 +1,4 @@
-"""Which servers no new request may go to, in shared memory: written by the supervisor, read by the workers."""
+"""Flags in shared memory for servers that must not get new requests: written by the supervisor, read by workers."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class DrainFlags:
-    """A flag a server, by number modulo `DRAIN_FLAGS`.
+    """One flag per server, at the server's number modulo `DRAIN_FLAGS`.
 
-    The supervisor sets a flag before it sends the update of the server list, and a worker reads it right before it
-    writes a request.  So a worker heeds it however late it receives the update.
+    The supervisor sets a flag before it sends the update of the server list.  A worker reads the flag right before it
+    writes a request, so the flag takes effect even if the worker receives the update late.
     """
 
     def __init__(self, memory: memoryview) -> None:
-        """Use the flags in this shared memory."""
+        """Attach to the flags in the shared memory."""
         self._flags = drain_flag_region(memory)
 
     def set(self, server: int, is_draining: bool) -> None:
-        """Set whether new requests may no longer go to a server.  For the supervisor only."""
+        """Set whether a server must not get new requests.  Only the supervisor may call this."""
         self._flags[server % DRAIN_FLAGS] = is_draining
 
     def is_draining(self, server: int) -> bool:
-        """Return whether new requests may no longer go to a server."""
+        """Return whether a server must not get new requests."""
         return self._flags[server % DRAIN_FLAGS] != 0
--- a/mapleline/cores/messages.py
+++ b/mapleline/cores/messages.py
@@ -1,7 +1,8 @@
 """The messages between the supervisor and a worker, and their JSON forms.
 
-A message is a JSON object that is recognised by one key, its tag: `encode()` writes it, `decode_command` (supervisor to
-worker) and `decode_report` (worker to supervisor) read it.  Some messages travel with a socket (`channel.py`).
+A message is a JSON object that is identified by one of its keys, the tag.  `encode()` builds the object;
+`decode_command` (supervisor to worker) and `decode_report` (worker to supervisor) parse it.  Some messages are sent
+together with a socket (`channel.py`).
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class Message(Protocol):
-    """Anything that the channel sends."""
+    """A message that can be sent over the channel."""
 
     def encode(self) -> JsonObject:
         """Return the JSON form."""
@@ -26,22 +27,22 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
-    """One server of the list; an array of its fields in JSON.
+    """One server of the server list.  Its JSON form is an array of the fields in this order.
 
     Attributes:
-        number: The supervisor's number of the server.
-        life: Its state; GONE removes it.
-        started_ns: When it started, by its own account.
-        weight: Its capacity beside others'.
-        kind: Index of its kind.
-        zone: Index of its zone.
-        cell: Its group.
-        host: Address; empty for a server that is GONE.
+        number: The supervisor's number for the server.
+        state: State of the server; GONE removes it from the list.
+        started_ns: Start time that the server itself reports.
+        weight: Capacity relative to other servers.
+        kind: Index of the server's kind.
+        zone: Index of the server's zone.
+        cell: The server's group.
+        host: Host address; empty for a server that is GONE.
         port: Port; 0 for a server that is GONE.
     """
 
     number: int
-    life: ServerState
+    state: ServerState
     started_ns: int
     weight: float
     kind: int
@@ -54,7 +55,7 @@
         """Return the JSON form."""
         return [
             self.number,
-            int(self.life),
+            int(self.state),
             self.started_ns,
             self.weight,
             self.kind,
@@ -67,8 +68,8 @@
     @classmethod
     def decode(cls, fields: list[Any]) -> ServerEntry:
         """Read the JSON form."""
-        number, life, *rest = fields
-        return cls(number, ServerState(life), *rest)
+        number, state, *rest = fields
+        return cls(number, ServerState(state), *rest)
 
 
 # --- supervisor to worker
@@ -76,15 +77,16 @@
 
 @dataclass(slots=True, frozen=True)
 class StartWorker:
-    """The first message to a worker: all that it needs to start.
+    """The first message to a worker, with everything that it needs to start.
 
     Attributes:
-        config: The platform's configuration, as read from its file.
-        number: The worker's number.
+        config: The platform's configuration as read from its file, not yet validated.
+        number: Number of the worker.
         workers: Number of workers.
-        customer_rows: Rows of each worker's customer table.
-        log_form: Form of the log's lines.
-        clock_start_ns: The supervisor's clock start, so that all count windows alike.
+        customer_rows: Approximate number of rows in each worker's customer table.
+        log_form: Format of the log lines.
+        clock_start_ns: Clock start of the supervisor.  All workers use it, so that their quota windows have the same
+            numbers.
     """
 
     config: object
@@ -120,11 +122,11 @@
 
 @dataclass(slots=True, frozen=True)
 class OfferConnection:
-    """A connection that the worker may claim; its socket travels along.
+    """Offers a connection, which the worker may claim.  The socket is sent with the message.
 
     Attributes:
-        connection: Its number.
-        has_had_request: Whether a request has come on it, so that it may be idle.
+        connection: Number of the connection.
+        has_had_request: Whether a request has been received on the connection, which means that it may be idle.
     """
 
     connection: int
@@ -142,7 +144,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClaimReply:
-    """Whether the worker's claim to a connection is granted."""
+    """Tells the worker whether its claim to a connection is granted."""
 
     connection: int
     is_granted: bool
@@ -159,13 +161,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerListUpdate:
-    """Changes of the server list.
+    """Changes to the server list.
 
     Attributes:
-        revision: The revision to acknowledge.
-        is_complete: Whether servers that are not named are removed.
-        is_cached: Whether the list is only the one known before the start.
-        servers: The servers that are new or changed.
+        revision: The revision that the worker acknowledges.
+        is_complete: Whether servers that are missing from `servers` are removed.
+        is_cached: Whether this is the list from the configuration, used until discovery has sent one.
+        servers: New and changed servers.
     """
 
     revision: int
@@ -191,13 +193,13 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestHandover:
-    """Hand over one connection whose load is about `wanted_load` (requests, the older ones weighing less)."""
+    """Asks the worker to hand over one connection with about this load (see `LoadReport.load`)."""
 
-    wanted_load: float
+    target_load: float
 
     def encode(self) -> JsonObject:
         """Return the JSON form."""
-        return {"hand": self.wanted_load}
+        return {"hand": self.target_load}
 
     @classmethod
     def decode(cls, message: JsonObject) -> RequestHandover:
@@ -207,7 +209,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetCounterAddress:
-    """Use the quota counter at this address."""
+    """Tells the worker the address of the quota counter."""
 
     address: Address
 
@@ -224,7 +226,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QueryCounters:
-    """Report the telemetry counters; the reply bears this query's number."""
+    """Asks for the telemetry counters; the reply repeats the number of the query."""
 
     query: int
 
@@ -240,7 +242,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ShutDown:
-    """Shut down gracefully."""
+    """Asks the worker to shut down gracefully."""
 
     def encode(self) -> JsonObject:
         """Return the JSON form."""
@@ -268,7 +270,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkerReady:
-    """The worker serves."""
+    """Reports that the worker is ready to serve."""
 
     pid: int
 
@@ -284,7 +286,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClaimConnection:
-    """The worker takes an offered connection, if the offer still stands."""
+    """Claims an offered connection; the claim is granted unless the offer was revoked."""
 
     connection: int
 
@@ -300,7 +302,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RefuseConnection:
-    """The worker has no room for an offered connection."""
+    """Refuses an offered connection because the worker is at its connection limit."""
 
     connection: int
 
@@ -316,7 +318,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HandOverConnection:
-    """A connection that the worker gives back, of this load; its socket travels along."""
+    """Returns a connection with this load to the supervisor.  The socket is sent with the message."""
 
     load: float
 
@@ -332,7 +334,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AcknowledgeServerList:
-    """The worker has applied this revision of the server list."""
+    """Acknowledges that the worker has applied this revision of the server list."""
 
     revision: int
 
@@ -351,11 +353,11 @@
     """The worker's periodic report.
 
     Attributes:
-        released: Connections granted to it that it no longer has, in all.
-        load: Requests received, the older ones weighing less.
-        is_full: Whether it has no descriptor left.
-        open_requests: Requests in flight.
-        counters: Its telemetry counters; only in some of the reports.
+        released: Total number of granted connections that the worker has closed or handed over.
+        load: Decaying count of received requests; halved with each report.
+        is_full: Whether the worker is at its connection limit and has no idle connection to close.
+        open_requests: Number of requests in flight.
+        counters: Telemetry counters of the worker; None in most reports.
     """
 
     released: int
@@ -387,8 +389,8 @@
     """The worker's telemetry counters.
 
     Attributes:
-        counters: By name.
-        query: The query that it answers; `NO_QUERY` for the last one before the worker stops.
+        counters: Values by counter name.
+        query: Number of the query that this answers; `NO_QUERY` for the last snapshot before the worker stops.
     """
 
     counters: dict[str, int]
@@ -416,7 +418,7 @@
     | CounterSnapshot
 )
 
-# --- decoding: the first tag that a message bears says what it is
+# --- decoding: the first tag of the table that is a key of the message determines its type
 
 _COMMANDS: dict[str, Callable[[JsonObject], Command]] = {
     "config": StartWorker.decode,
@@ -440,7 +442,7 @@
 
 
 def decode_command(message: JsonObject) -> Command | None:
-    """Read a message to a worker; None if this version knows none of its keys as a tag."""
+    """Parse a message to a worker; returns None if none of its keys is a tag that this version knows."""
     for tag, decode in _COMMANDS.items():
         if tag in message:
             return decode(message)
@@ -448,7 +450,7 @@
 
 
 def decode_report(message: JsonObject) -> Report | None:
-    """Read a message to the supervisor; None if this version knows none of its keys as a tag."""
+    """Parse a message to the supervisor; returns None if none of its keys is a tag that this version knows."""
     for tag, decode in _REPORTS.items():
         if tag in message:
             return decode(message)
--- a/mapleline/cores/peer_usage.py
+++ b/mapleline/cores/peer_usage.py
@@ -57,7 +57,7 @@
         usage.total = row.total
         usage.unconfirmed = row.unconfirmed
         usage.admitted = row.admitted
-        usage.pending = row.owed
+        usage.pending = row.pending
         _merge_buckets(usage, row)
 
     def publish(self) -> None:
@@ -109,7 +109,7 @@
         total=usage.total,
         unconfirmed=usage.unconfirmed,
         admitted=usage.admitted,
-        owed=usage.pending,
+        pending=usage.pending,
         in_flight=usage.in_flight,
         burst=usage.burst,
         burst_at_ns=usage.burst_at,
--- a/mapleline/cores/reactor.py
+++ b/mapleline/cores/reactor.py
@@ -1,4 +1,4 @@
-"""What the supervisor and the workers use of Twisted's reactor and transports, for type checking."""
+"""Protocol classes for the parts of Twisted's reactor and transports that this package uses, for type checking."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         """Call back once the reactor runs."""
 
     def callFromThread(self, callback: Callable[..., object]) -> None:  # noqa: N802  # Twisted's own name
-        """Call back in the reactor's thread: what signal handlers use."""
+        """Call back in the reactor's thread; signal handlers use this."""
 
     def addReader(self, reader: object) -> None:  # noqa: N802  # Twisted's own name
         """Watch a descriptor for reading."""
@@ -47,17 +47,17 @@
         """Stop running."""
 
     def seconds(self) -> float:
-        """Return the time of a clock that never goes back."""
+        """Return the time of a monotonic clock in seconds."""
 
 
 class ChannelTransport(Protocol):
     """The part of the transport of a UNIX socket that the channel uses."""
 
     def sendFileDescriptor(self, descriptor: int) -> None:  # noqa: N802  # Twisted's own name
-        """Send a descriptor with the next bytes."""
+        """Send a descriptor together with the next bytes."""
 
     def loseConnection(self) -> None:
-        """Close the connection once what was sent is written."""
+        """Close the connection once all sent bytes are written."""
 
 
 class ProcessTransport(Protocol):
--- a/mapleline/cores/restart_policy.py
+++ b/mapleline/cores/restart_policy.py
@@ -1,26 +1,26 @@
-"""When a worker that exited is restarted, and when the supervisor gives up: exponential backoff a slot."""
+"""Restarts of workers: exponential backoff per worker slot, and the limit at which the supervisor gives up."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-MAX_DOUBLINGS = 40  # keeps the shifted backoff a small integer however long the run of crashes
+MAX_DOUBLINGS = 40  # bounds the size of the shifted integer, however many crashes follow each other
 
 
 @dataclass(slots=True)
 class RestartPolicy:
-    """Decides on restarts from the exits of one ingress's workers.  All times in nanoseconds.
+    """Decides from the exits of one ingress's workers when to restart them.  All times are in nanoseconds.
 
-    Each slot's backoff doubles with each early exit in a row and starts anew after a worker that was stable.  The
-    early exits that end the program are counted over all slots: what kills each new worker, a broken installation
-    say, kills them wherever they start.
+    The backoff of a slot doubles with each consecutive early exit and is reset by a stable worker.  The early exits
+    after which the supervisor gives up are counted over all slots, because a fault such as a broken installation ends
+    every new worker, in whichever slot it starts.
 
     Attributes:
-        initial_backoff_ns: Wait before the first restart of a slot.
-        max_backoff_ns: Upper bound of that wait.
-        stable_after_ns: A worker that has been ready for this long is stable.
-        max_early_exits: Early exits in a row, over all slots, at which the supervisor gives up.
-        early_exits: Early exits in a row, over all slots, since a worker was last stable.
+        initial_backoff_ns: Backoff before the first restart of a slot.
+        max_backoff_ns: Upper bound of the backoff.
+        stable_after_ns: Time for which a worker must have been ready to count as stable.
+        max_early_exits: Number of consecutive early exits, over all slots, at which the supervisor gives up.
+        early_exits: Number of early exits, over all slots, since a worker was last stable.
     """
 
     initial_backoff_ns: int
@@ -32,20 +32,20 @@
     _ready_at_ns: dict[int, int] = field(default_factory=dict)
 
     def record_ready(self, slot: int, now_ns: int) -> None:
-        """Note that the worker in this slot serves from now on."""
+        """Record that the worker in this slot is ready."""
         self._ready_at_ns[slot] = now_ns
 
-    def forgive_stable_workers(self, now_ns: int) -> None:
-        """Reset the counts of the slots whose worker has become stable.  To be called periodically."""
+    def reset_stable_workers(self, now_ns: int) -> None:
+        """Reset the early-exit counts of slots whose worker has become stable.  Has to be called periodically."""
         for slot, ready_at_ns in self._ready_at_ns.items():
             if now_ns - ready_at_ns >= self.stable_after_ns and self._early_exits_by_slot.pop(slot, 0):
                 self.early_exits = 0
 
     def record_exit(self, slot: int, now_ns: int) -> int | None:
-        """Note that the worker in this slot exited.
+        """Record that the worker in this slot exited.
 
         Returns:
-            The wait before its restart in nanoseconds, or None when the supervisor is to give up.
+            The backoff before the restart in nanoseconds, or None if the supervisor should give up.
         """
         ready_at_ns = self._ready_at_ns.pop(slot, None)
         if ready_at_ns is not None and now_ns - ready_at_ns >= self.stable_after_ns:
--- a/mapleline/cores/server_list_feed.py
+++ b/mapleline/cores/server_list_feed.py
@@ -1,7 +1,8 @@
-"""The server list as the supervisor feeds it to its workers: each gets the changes it lacks, the newest only.
+"""The supervisor's server list and the updates of it for each worker.
 
-A worker has one update in flight at a time.  What changes meanwhile is merged, so that a stalled worker costs no
-memory and gets everything in one update when it resumes.  Removals are kept until every worker has acknowledged them.
+An update has the newest state of each server that changed since the worker's last acknowledgement.  A worker has one
+update in flight at a time.  Changes during that time are merged, so that a stalled worker uses no memory and gets all
+of them in one update when it resumes.  Removals are kept until every worker has acknowledged them.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainChange:
-    """Whether new requests may go to a server: the flag that the supervisor publishes before the update."""
+    """The new drain flag of a server, which the supervisor sets before it sends the update."""
 
     server: int
     is_draining: bool
@@ -23,80 +24,80 @@
 
 @dataclass(slots=True, frozen=True)
 class _VersionedEntry:
-    """A server's newest entry and the revision that it came with."""
+    """The newest entry of a server and the revision in which it changed."""
 
     revision: int
     entry: ServerEntry
 
     @property
     def is_removed(self) -> bool:
-        return self.entry.life == ServerState.GONE
+        return self.entry.state == ServerState.GONE
 
 
 @dataclass(slots=True)
 class _Subscriber:
-    """What one worker has been sent."""
+    """The updates sent to one worker and acknowledged by it."""
 
     acknowledged_revision: int = 0
-    in_flight_revision: int = 0  #: 0: no update is in flight
-    has_complete_list: bool = False  #: it has been sent the complete list once
+    in_flight_revision: int = 0  #: 0 if no update is in flight
+    has_complete_list: bool = False  #: whether it has been sent the complete list
 
 
 class ServerListFeed:
-    """Merges updates of the server list for each worker.
+    """Keeps the server list and merges its updates for each worker.
 
-    Revisions are this feed's own: those of the discovery service may start anew.
+    The feed numbers revisions itself, because the revisions of the discovery service may be reset.
 
     Attributes:
-        revision: Number of updates taken in.
-        is_cached: Whether the list is only the one known before the start.
+        revision: Number of applied updates.
+        is_cached: Whether the list is still the one from the configuration.
     """
 
     def __init__(self) -> None:
-        """Start with an empty list and without workers."""
+        """Create the feed with an empty list and without workers."""
         self.revision = 0
         self.is_cached = True
         self._entries: dict[int, _VersionedEntry] = {}
         self._subscribers: dict[int, _Subscriber] = {}
 
     def apply(self, entries: Sequence[ServerEntry], is_complete: bool, is_cached: bool = False) -> list[DrainChange]:
-        """Take in an update.
+        """Apply an update to the list.
 
         Args:
-            entries: The servers that are new or changed.
-            is_complete: Whether servers that `entries` does not name are removed.
-            is_cached: Whether the update is the list known before the start.
+            entries: New and changed servers.
+            is_complete: Whether servers that are missing from `entries` are removed.
+            is_cached: Whether the update is the list from the configuration.
 
         Returns:
-            For each server that is named or missing, whether new requests may no longer go to it.
+            The drain flag of each server in `entries` and of each removed server.
         """
         self.revision += 1
         self.is_cached = is_cached
         changed = [*entries, *(self._removals(entries) if is_complete else ())]
         for entry in changed:
             self._entries[entry.number] = _VersionedEntry(self.revision, entry)
-        return [DrainChange(entry.number, entry.life != ServerState.READY) for entry in changed]
+        return [DrainChange(entry.number, entry.state != ServerState.READY) for entry in changed]
 
     def _removals(self, entries: Sequence[ServerEntry]) -> list[ServerEntry]:
-        """A removal for each server that a complete list no longer names."""
-        named = {entry.number for entry in entries}
+        """Return a removal for each known server that is missing from a complete list."""
+        listed = {entry.number for entry in entries}
         return [
-            replace(known.entry, life=ServerState.GONE)
+            replace(known.entry, state=ServerState.GONE)
             for number, known in self._entries.items()
-            if number not in named and not known.is_removed
+            if number not in listed and not known.is_removed
         ]
 
     def add_worker(self, worker: int) -> None:
-        """Start feeding a new process in this slot, which has no list yet."""
+        """Add a worker process, new in this slot, which has no list yet."""
         self._subscribers[worker] = _Subscriber()
 
     def remove_worker(self, worker: int) -> None:
-        """Stop feeding a worker."""
+        """Remove a worker that has exited."""
         self._subscribers.pop(worker, None)
         self._drop_acknowledged_removals()
 
     def next_update(self, worker: int) -> ServerListUpdate | None:
-        """Return the update to send to this worker now, which is then in flight; None if there is none."""
+        """Return the update to send to this worker now, which is then in flight, or None if there is none."""
         subscriber = self._subscribers.get(worker)
         if subscriber is None or subscriber.in_flight_revision:
             return None
@@ -104,16 +105,16 @@
         if not is_complete and subscriber.acknowledged_revision >= self.revision:
             return None
         if is_complete:
-            due = [known.entry for known in self._entries.values() if not known.is_removed]
+            servers = [known.entry for known in self._entries.values() if not known.is_removed]
         else:
             since = subscriber.acknowledged_revision
-            due = [known.entry for known in self._entries.values() if known.revision > since]
+            servers = [known.entry for known in self._entries.values() if known.revision > since]
         subscriber.has_complete_list = True
         subscriber.in_flight_revision = self.revision
-        return ServerListUpdate(self.revision, is_complete, self.is_cached, due)
+        return ServerListUpdate(self.revision, is_complete, self.is_cached, servers)
 
     def acknowledge(self, worker: int, revision: int) -> None:
-        """Note that a worker has applied the update in flight; other revisions are ignored."""
+        """Record that a worker has applied the update in flight; other revisions are ignored."""
         subscriber = self._subscribers.get(worker)
         if subscriber is not None and revision == subscriber.in_flight_revision:
             subscriber.acknowledged_revision = revision
@@ -121,7 +122,7 @@
             self._drop_acknowledged_removals()
 
     def _drop_acknowledged_removals(self) -> None:
-        """Drop the removals that every worker has; a worker added later gets the complete list without them."""
+        """Drop removals that every worker has applied; a worker added later gets the complete list without them."""
         acknowledged = min(
             (
                 subscriber.acknowledged_revision
--- a/mapleline/cores/server_list_publisher.py
+++ b/mapleline/cores/server_list_publisher.py
@@ -1,4 +1,4 @@
-"""The supervisor's watch of discovery, and the way of the server list to the workers."""
+"""The supervisor's watch of discovery, and the distribution of the server list to the workers."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class ServerListPublisher:
-    """Watches discovery, sets the drain flags and sends each worker the updates that it lacks."""
+    """Watches discovery, sets the drain flags and sends each worker the updates that it has not been sent."""
 
     def __init__(
         self, reactor: Reactor, config: Config, drain_flags: DrainFlags, workers: Mapping[int, WorkerProcess]
     ) -> None:
-        """Prepare the watch; `workers`, by number, are kept up to date by the caller."""
+        """Prepare the watch; `workers` is a mapping by number that the caller keeps up to date."""
         self._reactor = reactor
         self._config = config
         self._drain_flags = drain_flags
@@ -34,21 +34,23 @@
         self._directory = Directory(config.zone_names, config.kind_names)
         self._watcher = self._new_watcher(config.discovery)
 
-    def _new_watcher(self, address: Address, is_list_due: bool = False) -> Watcher:
-        """A watch of the agent at this address, which begins with the complete list if `is_list_due`."""
-        pauses = backoff(self._config.start)
-        return Watcher(self._reactor, address, BufferPool(), self._directory, self._publish, pauses, is_list_due)
+    def _new_watcher(self, address: Address, needs_complete_list: bool = False) -> Watcher:
+        """Return a watcher of the agent at this address, which starts with the complete list if that is needed."""
+        retry_delays = backoff(self._config.start)
+        return Watcher(
+            self._reactor, address, BufferPool(), self._directory, self._publish, retry_delays, needs_complete_list
+        )
 
     @property
     def server_count(self) -> int:
         """Number of servers on the list."""
         return self._feed.server_count
 
-    def publish_known(self) -> None:
-        """Publish the list known before the start, from the configuration.
+    def publish_initial_list(self) -> None:
+        """Publish the server list from the configuration, before discovery is watched.
 
         Raises:
-            ValueError: It is not a list in discovery's form.
+            ValueError: The list does not have the format of the discovery service.
         """
         self._publish(self._directory.read(self._config.known, cached=True))
 
@@ -61,33 +63,37 @@
         self._watcher.stop()
 
     def move(self, address: Address) -> None:
-        """Watch discovery at another address, if it is being watched."""
+        """Watch discovery at another address, if it is being watched at present."""
         if self._watcher.running:
             self._watcher.stop()
-            self._watcher = self._new_watcher(address, is_list_due=True)
+            self._watcher = self._new_watcher(address, needs_complete_list=True)
             self._watcher.start()
 
     def add_worker(self, worker: WorkerProcess) -> None:
-        """Start to send updates to a new process, once it is sent its first."""
+        """Register a new process; its first update is sent by `send_update`."""
         self._feed.add_worker(worker.number)
 
     def remove_worker(self, worker: WorkerProcess) -> None:
-        """Note that a worker has exited."""
+        """Stop sending updates to a worker that has exited."""
         self._feed.remove_worker(worker.number)
 
     def handle_acknowledgement(self, worker: WorkerProcess, revision: int) -> None:
-        """Note that a worker has applied an update; it is sent the next if there is one."""
+        """Record that a worker has applied an update, and send it the next one if there is one."""
         self._feed.acknowledge(worker.number, revision)
         self.send_update(worker)
 
     def send_update(self, worker: WorkerProcess) -> None:
-        """Send a worker what it lacks, if no update to it is in flight."""
+        """Send a worker the changes that it has not been sent, if no update to it is in flight."""
         update = self._feed.next_update(worker.number)
         if update is not None:
             worker.send(update)
 
     def _publish(self, news: ServerNews) -> None:
-        """Set the drain flags first: from here on no new request goes to a server that drains or is gone."""
+        """Set the drain flags, then send the updates.
+
+        From the moment the flags are set, no worker sends a new request to a server that is draining or removed, even
+        if it has not applied the update yet.
+        """
         COUNTS["discovery.lines"] += len(news.servers)
         entries = [self._entry(server) for server in news.servers]
         is_cached = news.news == News.CACHED
@@ -103,7 +109,7 @@
             host, port = self._directory.places[server.server].address
         return ServerEntry(
             number=server.server,
-            life=server.state,
+            state=server.state,
             started_ns=server.started_ns,
             weight=server.weight,
             kind=server.kind,
--- a/mapleline/cores/supervisor.py
+++ b/mapleline/cores/supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor of several workers: listens, watches discovery, restarts workers, and serves no request itself."""
+"""The supervisor of several workers: listens, watches discovery and restarts workers, but serves no request itself."""
 
 from __future__ import annotations
 
@@ -52,25 +52,25 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1e9
 MS_PER_S = 1e3
-TICK_S = 0.02  # between two looks at expired offers
-KILL_AFTER_S = 60.0  # after the listener is closed, for a worker to finish what is open
+TICK_S = 0.02  # interval of the checks for expired offers, stable workers and a paused listener
+KILL_AFTER_S = 60.0  # time after the listener is closed in which workers finish their open requests
 EXIT_CONFIGURATION = 2  # exit code: the configuration cannot be used
-EXIT_GAVE_UP = 3  # exit code: workers exited early again and again
+EXIT_GAVE_UP = 3  # exit code: too many consecutive early exits of workers
 
 
 def check_config(config: Config, workers: int) -> None:
-    """Check that the platform's configuration can be used with so many workers.
+    """Check that the platform's configuration can be used with this number of workers.
 
     Raises:
-        ConfigError: It cannot; the text begins with the faulty key.
+        ConfigError: It cannot; the message begins with the faulty key.
     """
     if config.management:
-        raise ConfigError("management: not with several workers, whose supervisor has no such door")
+        raise ConfigError("management: not with several workers, because their supervisor has no management listener")
     if config.accept_fd is not None:
         raise ConfigError(f"{platform.ACCEPT_FD}: not with several workers")
     if worker_sockets(config.sockets, workers) < MIN_WORKER_SOCKETS:
-        least = min_sockets(workers)
-        raise ConfigError(f"limits.sockets: expected at least {least} for {workers} workers")
+        required_sockets = min_sockets(workers)
+        raise ConfigError(f"limits.sockets: expected at least {required_sockets} for {workers} workers")
 
 
 def _restart_policy(settings: Cores) -> RestartPolicy:
@@ -83,20 +83,23 @@
 
 
 class Supervisor:
-    """Owns the listener, the watch of discovery, the shared memory and the worker processes."""
+    """Owns the listener, the watch of discovery, the shared memory and the worker processes.
+
+    A worker that exits is restarted with an exponential backoff; see `RestartPolicy`.
+    """
 
     def __init__(self, reactor: Reactor, config: Config, raw_config: object, own: Own, workers: int) -> None:
-        """Set up the shared memory and the parts.
+        """Create the shared memory and the components.
 
         Args:
-            reactor: Runs the supervisor.
+            reactor: Reactor that runs the supervisor.
             config: The platform's configuration.
-            raw_config: The same as read from its file, for the workers.
+            raw_config: The same configuration as read from its file, which is sent to the workers.
             own: The program's own settings.
             workers: Number of workers.
 
         Raises:
-            ConfigError: The configuration cannot be used with so many workers.
+            ConfigError: The configuration cannot be used with this number of workers.
         """
         check_config(config, workers)
         self._reactor = reactor
@@ -105,7 +108,7 @@
         self._log_form = own.log.form
         self._settings = own.cores
         self._worker_count = workers
-        self._memory_fd = os.memfd_create("mapleline", os.MFD_CLOEXEC)  # goes with its last process
+        self._memory_fd = os.memfd_create("mapleline", os.MFD_CLOEXEC)  # freed when the last process that has it exits
         os.ftruncate(self._memory_fd, total_bytes(workers, own.cores.accounts))
         self._memory = memoryview(mmap.mmap(self._memory_fd, 0))
         self._clock_start_ns = clock_start_ns()
@@ -126,7 +129,7 @@
         """Serve until shut down; returns the exit code.
 
         Raises:
-            ConfigError: The address to listen on, or the known server list, cannot be used.
+            ConfigError: The address to listen on or the configured server list cannot be used.
         """
         host, port = self._config.listen
         try:
@@ -134,7 +137,7 @@
         except OSError as err:
             raise ConfigError(f"listen: {err.strerror or err}") from None
         try:
-            self._server_list.publish_known()
+            self._server_list.publish_initial_list()
         except ValueError as err:
             raise ConfigError(f"known: {err}") from None
         self._server_list.start()
@@ -146,17 +149,17 @@
         return self._exit_code
 
     def _start_serving(self) -> None:
-        self._handle_signal(signal.SIGHUP, self.reload)
-        self._handle_signal(signal.SIGTERM, self.shut_down)
-        self._handle_signal(signal.SIGINT, self.shut_down)
-        self._handle_signal(signal.SIGUSR1, self._counters.query)
+        self._install_signal_handler(signal.SIGHUP, self.reload)
+        self._install_signal_handler(signal.SIGTERM, self.shut_down)
+        self._install_signal_handler(signal.SIGINT, self.shut_down)
+        self._install_signal_handler(signal.SIGUSR1, self._counters.query)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
         self._tick()
         if self._settings.balance_ms:
             self._rebalance()
 
-    def _handle_signal(self, number: signal.Signals, handler: Callable[[], None]) -> None:
-        signal.signal(number, lambda *_: self._reactor.callFromThread(handler))
+    def _install_signal_handler(self, signal_number: signal.Signals, handler: Callable[[], None]) -> None:
+        signal.signal(signal_number, lambda *_: self._reactor.callFromThread(handler))
 
     def _start_worker(self, number: int) -> None:
         worker = WorkerProcess(number, self._handle_report, self._handle_exit)
@@ -180,7 +183,7 @@
     # --- reports of the workers
 
     def _handle_report(self, worker: WorkerProcess, report: Report, handle: socket.socket | None) -> None:
-        if self._workers.get(worker.number) is not worker:  # it has been replaced
+        if self._workers.get(worker.number) is not worker:  # a replacement has been started
             if handle is not None:
                 handle.close()
             return
@@ -234,7 +237,7 @@
     def _tick(self) -> None:
         self._reactor.callLater(TICK_S, self._tick)
         self._acceptor.revoke_expired_offers()
-        self._restarts.forgive_stable_workers(time.monotonic_ns())
+        self._restarts.reset_stable_workers(time.monotonic_ns())
         self._acceptor.resume_if_possible()
 
     def _rebalance(self) -> None:
@@ -245,11 +248,14 @@
     # --- exits of workers
 
     def _handle_exit(self, worker: WorkerProcess, reason: Failure) -> None:
-        """Take back what a worker that has exited held, and restart it unless this is the shutdown."""
+        """Release what a worker held that has exited, and restart it unless the ingress is shutting down.
+
+        Released are its open request ids, its attempts in flight and the connections that it had not claimed.
+        """
         worker.is_ready = False
         self._server_list.remove_worker(worker)
-        requests_lost = clear_open_request_ids(self._memory, worker.number)
-        attempts_out = self._clear_attempts_in_flight(worker)
+        lost_requests = clear_open_request_ids(self._memory, worker.number)
+        attempts_in_flight = self._clear_attempts_in_flight(worker)
         is_clean = isinstance(reason.value, error.ProcessDone)
         if is_clean and self._is_shutting_down:
             self._acceptor.forget_worker(worker)
@@ -257,13 +263,13 @@
             return
         self._counters.add_exited(worker)
         COUNTS["cores.died"] += 1
-        COUNTS["cores.requests_lost"] += requests_lost
+        COUNTS["cores.requests_lost"] += lost_requests
         log(
             "worker died",
             worker=worker.number,
             why=str(reason.value),
-            requests_lost=requests_lost,
-            attempts_out=attempts_out,
+            requests_lost=lost_requests,
+            attempts_out=attempts_in_flight,
         )
         self._acceptor.remove_worker(worker)
         if self._is_shutting_down:
@@ -272,7 +278,7 @@
             self._restart_or_give_up(worker.number)
 
     def _clear_attempts_in_flight(self, worker: WorkerProcess) -> int:
-        """A worker that has exited has no attempts in flight; returns how many it had."""
+        """Clear the attempts in flight of a worker that has exited; returns the number that it had."""
         table = CustomerTable(self._memory, self._worker_count, worker.number, self._settings.accounts)
         return table.clear_in_flight()
 
@@ -293,26 +299,34 @@
     # --- signals
 
     def reload(self) -> None:
-        """Read the configuration anew.  It is checked here, once, so that all workers take it or none."""
+        """Reload the configuration.  Only the supervisor checks it, so that either all workers apply it or none."""
         try:
-            new = platform.read_config(platform.read_file(os.environ["EDGE_CONFIG"]), os.environ)
-            Directory(new.zone_names, new.kind_names).read(new.known, cached=True)
+            new_config = platform.read_config(platform.read_file(os.environ["EDGE_CONFIG"]), os.environ)
+            Directory(new_config.zone_names, new_config.kind_names).read(new_config.known, cached=True)
         except (ConfigError, ValueError) as err:
             COUNTS["reload.failed"] += 1
             log("reload failed", fault=str(err))
             return
         COUNTS["reload.done"] += 1
-        has_discovery_moved = new.discovery != self._config.discovery
-        self._config.counter = new.counter
-        self._config.discovery = new.discovery
+        has_discovery_moved = new_config.discovery != self._config.discovery
+        self._config.counter = new_config.counter
+        self._config.discovery = new_config.discovery
         for worker in self._workers.values():
-            worker.send(SetCounterAddress(new.counter))
+            worker.send(SetCounterAddress(new_config.counter))
         if has_discovery_moved:
-            self._server_list.move(new.discovery)
-        log("reloaded", counter=":".join(map(str, new.counter)), discovery=":".join(map(str, new.discovery)))
+            self._server_list.move(new_config.discovery)
+        log(
+            "reloaded",
+            counter=":".join(map(str, new_config.counter)),
+            discovery=":".join(map(str, new_config.discovery)),
+        )
 
     def shut_down(self) -> None:
-        """Go on serving for a while, then close the listener; the workers finish what is open."""
+        """Shut down gracefully.
+
+        The listener stays open for a short delay, because clients still connect during that time.  It is then closed,
+        and the workers finish their open requests.
+        """
         if self._is_shutting_down:
             return
         self._is_shutting_down = True
@@ -322,7 +336,8 @@
         self._reactor.callLater(STAY_S, self._close_listener)
 
     def _close_listener(self) -> None:
-        self._acceptor.close()  # what the kernel accepted is still served: workers stay a little longer
+        # This accepts the connections in the kernel's queue.  They are still served: workers stay a little longer.
+        self._acceptor.close()
         self._is_listener_closed = True
         self._server_list.stop()
         self._stop_if_done()
--- a/mapleline/cores/worker.py
+++ b/mapleline/cores/worker.py
@@ -1,6 +1,7 @@
-"""One worker: an ingress whose connections, server list and commands come from its supervisor.
+"""One worker: an ingress that gets its connections, server list and commands from its supervisor.
 
-Started by the supervisor with the channel and the shared memory on fixed descriptors; of no use otherwise.
+The supervisor starts this module with the channel and the shared memory on fixed descriptors.  It cannot be run
+otherwise.
 """
 
 from __future__ import annotations
@@ -59,13 +60,15 @@
     from ..settings.platform import Address
     from .reactor import Reactor
 
-REPORT_INTERVAL_S = 0.1
-REPORTS_PER_COUNTERS = 10  # every so many reports have the counters, so that an exit loses little of them
-EXTRA_STAY_S = 0.15  # beyond the listener's: what it accepted last is offered, claimed and granted by then
+REPORT_INTERVAL_S = 0.1  # interval of the load reports to the supervisor
+REPORTS_PER_COUNTERS = 10  # one report in this many has the counters, so that a crash loses about 1 s of counts
+# Workers serve this much longer than the listener is open: the connections that it accepted last are offered, claimed
+# and granted by then.
+EXTRA_SHUTDOWN_DELAY_S = 0.15
 
 
 class NullWatcher:
-    """In place of an ingress's watch of discovery: here the supervisor has it."""
+    """Replaces an ingress's watcher of discovery, because the supervisor watches discovery for its workers."""
 
     running = False
 
@@ -78,14 +81,14 @@
 
 @dataclass(slots=True, frozen=True)
 class OfferedConnection:
-    """A connection that the worker has claimed, until the supervisor replies."""
+    """A connection that the worker has claimed and for which it waits for the supervisor's reply."""
 
     handle: socket.socket
     has_had_request: bool
 
 
 class Worker(Ingress):
-    """An ingress without a listener and without a watch of discovery."""
+    """An ingress without its own listener and watch of discovery; the supervisor provides both."""
 
     def __init__(self, reactor: Reactor, start: StartWorker, memory: memoryview, channel: Channel[Command]) -> None:
         """Build the ingress from the first message of the supervisor."""
@@ -94,7 +97,7 @@
         brain = Brain(divided.start)
         table = CustomerTable(memory, start.workers, start.number, start.customer_rows)
         brain.peers = PeerUsage(table)  # type: ignore[assignment]  # the decision module names no type for it
-        # The translator checks what clients say against the settings as they are.
+        # Only these two limits are divided in `config`: the translator checks requests against the undivided settings.
         config.sockets = divided.sockets
         config.open_cap = divided.open_cap
         connections = worker_counter_connections(start.workers)
@@ -104,22 +107,22 @@
         self.upstreams.vetoed = DrainFlags(memory).is_draining
         self._channel = channel
         self._offered: dict[int, OfferedConnection] = {}
-        self._reports = 0  # since the last one with the counters
+        self._reports_since_counters = 0  # reports since the last one with the counters
         self._is_full = False
         self._has_stopped = False
 
     def _watcher(self, address: Address, whole: bool = False) -> Watcher:
-        return NullWatcher()  # type: ignore[return-value]  # Ingress names the class; it uses just these members
+        return NullWatcher()  # type: ignore[return-value]  # Ingress declares `Watcher`, but uses only these members
 
     def report_ready(self) -> None:
-        """Tell the supervisor that this worker serves, and start the periodic reports."""
+        """Report to the supervisor that this worker is ready, and start the periodic reports."""
         self._channel.send(WorkerReady(os.getpid()))
         self._send_report()
 
     # --- commands of the supervisor
 
     def handle_command(self, command: Command, handle: socket.socket | None) -> None:
-        """Carry out a command; `handle` is the socket that came with it."""
+        """Carry out a command; `handle` is the socket that came with it, or None."""
         match command:
             case OfferConnection():
                 assert handle is not None
@@ -135,15 +138,15 @@
             case QueryCounters():
                 self._channel.send(CounterSnapshot(dict(COUNTS), command.query))
             case ShutDown():
-                self.leave(STAY_S + EXTRA_STAY_S)
+                self.leave(STAY_S + EXTRA_SHUTDOWN_DELAY_S)
 
-    def _has_room(self) -> bool:
-        """Whether it can take a connection: under the limit, or by closing one that is idle."""
+    def _has_capacity(self) -> bool:
+        """Return whether it can take a connection: it is below its limit, or it can close an idle connection."""
         streams = self.front.streams
         return len(streams) < self.front.most or any(stream.idle for stream in streams)
 
     def _handle_offer(self, offer: OfferConnection, handle: socket.socket) -> None:
-        if not self._has_room():
+        if not self._has_capacity():
             handle.close()
             self._is_full = True
             self._channel.send(RefuseConnection(offer.connection))
@@ -155,7 +158,7 @@
         offered = self._offered.pop(reply.connection)
         if reply.is_granted:
             self.front.adopt(offered.handle, offered.has_had_request)
-        offered.handle.close()  # the front has its own copy, or another worker has the connection
+        offered.handle.close()  # the front has duplicated it, or the claim was denied
 
     def _handle_server_list(self, update: ServerListUpdate) -> None:
         if update.is_complete:
@@ -165,18 +168,18 @@
         self._channel.send(AcknowledgeServerList(update.revision))
 
     def _apply_server(self, entry: ServerEntry) -> interface.Server:
-        """Update the server's address; returns the entry as the decision module has it."""
-        if entry.life == interface.ServerState.GONE:
+        """Update the server's address; returns the entry in the form of the decision module."""
+        if entry.state == interface.ServerState.GONE:
             self.directory.places.pop(entry.number, None)
         else:
             self.directory.places[entry.number] = Place((entry.host, entry.port), entry.started_ns)
         return interface.Server(
-            entry.number, entry.life, entry.started_ns, entry.weight, entry.kind, entry.zone, entry.cell
+            entry.number, entry.state, entry.started_ns, entry.weight, entry.kind, entry.zone, entry.cell
         )
 
     def _handle_handover_request(self, request: RequestHandover) -> None:
         if self.life.phase is not Phase.SHUTTING_DOWN:
-            self.front.hand_over(request.wanted_load, self._hand_over)
+            self.front.hand_over(request.target_load, self._hand_over)
 
     def _hand_over(self, handle: socket.socket, load: float) -> None:
         self._channel.send(HandOverConnection(load), handle)
@@ -189,15 +192,15 @@
         streams = self.front.streams
         load = sum(stream.recent for stream in streams)
         self.front.fade()
-        if self._is_full and self._has_room():
+        if self._is_full and self._has_capacity():
             self._is_full = False
-        self._reports = (self._reports + 1) % REPORTS_PER_COUNTERS
+        self._reports_since_counters = (self._reports_since_counters + 1) % REPORTS_PER_COUNTERS
         report = LoadReport(
             released=COUNTS["client.connected"] - len(streams),
             load=load,
             is_full=self._is_full,
             open_requests=len(self.engine.requests),
-            counters=None if self._reports else dict(COUNTS),
+            counters=None if self._reports_since_counters else dict(COUNTS),
         )
         self._channel.send(report)
 
@@ -219,7 +222,7 @@
         self._channel.close()
 
     def handle_supervisor_exit(self) -> None:
-        """Finish what is open and stop: the supervisor is gone, and nothing new will come."""
+        """Finish the open requests and stop, because the supervisor has exited and sends no new connections."""
         if self._has_stopped:
             self.reactor.stop()
         elif self.life.begin_shutdown(self.reactor.seconds()):
@@ -234,10 +237,10 @@
 
 
 class WorkerProgram:
-    """The process of a worker: the channel, and the worker once the supervisor's first message has come."""
+    """The process of a worker: the channel, and the worker once the supervisor's first message has arrived."""
 
     def __init__(self, reactor: Reactor, memory: memoryview) -> None:
-        """Prepare the channel."""
+        """Create the channel, which `run` connects."""
         self._reactor = reactor
         self._memory = memory
         self._worker: Worker | None = None
@@ -245,13 +248,13 @@
 
     def run(self) -> None:
         """Run until the worker has shut down."""
-        end = socket.socket(fileno=CHANNEL_FD)
-        end.setblocking(False)
+        channel_socket = socket.socket(fileno=CHANNEL_FD)
+        channel_socket.setblocking(False)
         factory = Factory.forProtocol(lambda: self._channel)
         factory.noisy = False
         self._reactor.callWhenRunning(lambda: signal.signal(signal.SIGTERM, self._handle_sigterm))
-        self._reactor.adoptStreamConnection(end.fileno(), socket.AF_UNIX, factory)
-        end.close()
+        self._reactor.adoptStreamConnection(channel_socket.fileno(), socket.AF_UNIX, factory)
+        channel_socket.close()
         self._reactor.run()
 
     def _handle_command(self, command: Command, handle: socket.socket | None) -> None:
@@ -281,7 +284,8 @@
 
 def main() -> int:
     """Run one worker; returns the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a terminal's goes to the whole group
+    # A terminal sends these signals to the whole process group; only the supervisor handles them.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
     watch_twisted()
--- a/mapleline/cores/worker_process.py
+++ b/mapleline/cores/worker_process.py
@@ -1,4 +1,4 @@
-"""One worker as the supervisor sees it: the process, its channel and what it last reported."""
+"""The supervisor's view of one worker: the process, its channel and the values that it last reported."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
     """A worker's process and its channel.
 
     Attributes:
-        number: Of the worker; a replacement has the same.
-        is_ready: Whether it serves.
-        open_requests: Requests in flight, as last reported.
+        number: Number of the worker; a replacement process keeps it.
+        is_ready: Whether the worker is ready to serve.
+        open_requests: Number of requests in flight, as last reported.
         counters: Telemetry counters of this process, as last reported.
     """
 
@@ -43,9 +43,9 @@
         """Prepare the channel.
 
         Args:
-            number: Of the worker.
-            on_report: Called with each message of the worker, and the socket that came with it.
-            on_exit: Called with the reason once both the process and the channel have ended.
+            number: Number of the worker.
+            on_report: Called with each message of the worker and the socket that came with it, or None.
+            on_exit: Called with the reason once the process has exited and the channel is closed.
         """
         self.number = number
         self.is_ready = False
@@ -59,13 +59,13 @@
         )
 
     def start(self, reactor: Reactor, memory_fd: int) -> None:
-        """Start the process, with the shared memory of this descriptor."""
-        own_end, worker_end = socket.socketpair()
-        own_end.setblocking(False)
+        """Start the process; `memory_fd` is the descriptor of the shared memory that it inherits."""
+        supervisor_end, worker_end = socket.socketpair()
+        supervisor_end.setblocking(False)
         factory = Factory.forProtocol(lambda: self._channel)
         factory.noisy = False
-        reactor.adoptStreamConnection(own_end.fileno(), socket.AF_UNIX, factory)
-        own_end.close()
+        reactor.adoptStreamConnection(supervisor_end.fileno(), socket.AF_UNIX, factory)
+        supervisor_end.close()
         flags = ["-O"] if sys.flags.optimize else []
         reactor.spawnProcess(
             self,
@@ -86,7 +86,7 @@
         self._channel.send(message, handle)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process with SIGKILL."""
         if self.transport is not None:
             self.transport.signalProcess("KILL")
 
@@ -100,6 +100,6 @@
         self._notify_if_ended()
 
     def _notify_if_ended(self) -> None:
-        """Notify once both have ended: what the process sent last may be read after its exit is known."""
+        """Report the exit once the channel is closed as well: the last messages may be read after the exit is known."""
         if self._is_channel_closed and self._exit_reason is not None:
             self._on_exit(self, self._exit_reason)
--- a/tests/cores/shared_memory_builders.py
+++ b/tests/cores/shared_memory_builders.py
@@ -1,4 +1,4 @@
-"""Shared memory in this process, and a row for it."""
+"""Builders of shared memory that is private to the test process, and of customer rows."""
 
 from mapleline.cores.customer_table import CustomerRow
 from mapleline.cores.shared_memory import total_bytes
--- a/tests/cores/test_connection_dispatcher.py
+++ b/tests/cores/test_connection_dispatcher.py
@@ -1,4 +1,4 @@
-"""Which worker is offered which connection: replayed from events, without processes."""
+"""Assignment of connections to workers, tested by events without worker processes."""
 
 import pytest
 from helpers import MS
@@ -32,13 +32,14 @@
         if offer.worker != stalled:
             assert dispatcher.claim(offer.worker, connection)
     assert dispatcher.revoke_expired_offers(99 * MS) == []
-    again = dispatcher.revoke_expired_offers(100 * MS)
-    assert {offer.worker for offer in again} == {1 - stalled}
-    assert len(again) == 2
+    reoffers = dispatcher.revoke_expired_offers(100 * MS)
+    assert {offer.worker for offer in reoffers} == {1 - stalled}
+    assert len(reoffers) == 2
     assert dispatcher.add_connection(9, 101 * MS)[0].worker == 1 - stalled
-    assert not dispatcher.claim(stalled, again[0].connection)
-    assert dispatcher.claim(1 - stalled, again[0].connection)
-    assert stalled in {dispatcher.add_connection(n, 102 * MS)[0].worker for n in range(10, 20)}  # heard from again
+    assert not dispatcher.claim(stalled, reoffers[0].connection)
+    assert dispatcher.claim(1 - stalled, reoffers[0].connection)
+    # The late claim shows that the worker runs again.
+    assert stalled in {dispatcher.add_connection(n, 102 * MS)[0].worker for n in range(10, 20)}
 
 
 EVENTS = st.lists(
@@ -53,36 +54,36 @@
 
 @given(EVENTS)
 def test_each_connection_is_waiting_offered_to_one_or_granted_once(events):
-    """Whatever workers do, none is lost and none is given away twice."""
+    """No order of claims, refusals, exits and reports loses a connection or grants one twice."""
     dispatcher = ConnectionDispatcher(100 * MS, 1.25)
-    now = 0
+    now_ns = 0
     accepted = 0
     granted = set()
     for kind, worker, number in events:
-        now += 30 * MS
+        now_ns += 30 * MS
         if kind == "accept":
-            dispatcher.add_connection(accepted, now)
+            dispatcher.add_connection(accepted, now_ns)
             accepted += 1
         elif kind == "claim":
             if dispatcher.claim(worker, number):
                 assert number not in granted
                 granted.add(number)
         elif kind == "refuse":
-            dispatcher.refuse(worker, number, now)
+            dispatcher.refuse(worker, number, now_ns)
         elif kind == "exit":
-            dispatcher.remove_worker(worker, now)
+            dispatcher.remove_worker(worker, now_ns)
         elif kind == "join" and worker not in dispatcher.slots:
-            dispatcher.add_worker(worker, now)
+            dispatcher.add_worker(worker, now_ns)
         elif kind == "tick":
-            dispatcher.revoke_expired_offers(now)
+            dispatcher.revoke_expired_offers(now_ns)
         elif kind == "report":
-            dispatcher.record_report(worker, 0, float(number), number % 5 == 0, now)
+            dispatcher.record_report(worker, 0, float(number), number % 5 == 0, now_ns)
         offered = [c for slot in dispatcher.slots.values() for c in slot.offered_at_ns]
         assert sorted([*offered, *dispatcher.waiting, *granted]) == list(range(accepted))
 
 
 def test_a_busy_connection_stays_and_light_ones_are_moved_away_from_it():
-    """One front sends ten times what the others do: its worker keeps it and gives the others away."""
+    """One connection has ten times the load of the others: its worker keeps it and hands over the others."""
     dispatcher = dispatcher_of(2)
     loads = {0: [10.0, 1.0, 1.0, 1.0], 1: [1.0, 1.0, 1.0, 1.0]}
     for connection in range(8):
@@ -98,8 +99,8 @@
             break
         assert isinstance(handover, Handover)
         assert handover.worker == 0
-        fitting = [load for load in loads[0] if load <= 2 * handover.wanted_load]
-        load = min(fitting, key=lambda load: abs(load - handover.wanted_load))
+        candidates = [load for load in loads[0] if load <= 2 * handover.target_load]
+        load = min(candidates, key=lambda load: abs(load - handover.target_load))
         loads[0].remove(load)
         (offer,) = dispatcher.add_handed_over(0, 100 + moves, load, 0)
         assert offer.worker == 1
--- a/tests/cores/test_customer_table.py
+++ b/tests/cores/test_customer_table.py
@@ -19,8 +19,8 @@
 
 
 @given(st.integers(1, ROW_BYTES - 1), st.integers(0, 2**33))
-def test_a_half_written_row_is_not_read(cut, key):
-    """Its writer may be stopped or killed between any two bytes."""
+def test_a_half_written_row_is_not_read(written_bytes, key):
+    """The writer may be stopped or killed between any two bytes of a row."""
     memory = new_memory(2)
     writer, reader = CustomerTable(memory, 2, 0, CUSTOMER_ROWS), CustomerTable(memory, 2, 1, CUSTOMER_ROWS)
     writer.write(customer_row(key, admitted=1.0))
@@ -28,10 +28,10 @@
     old = bytes(writer._own[offset : offset + ROW_BYTES])
     writer.write(customer_row(key, admitted=2.0, in_flight=9))
     new = bytes(writer._own[offset : offset + ROW_BYTES])
-    writer._own[offset : offset + ROW_BYTES] = new[:cut] + old[cut:]
-    for found in reader.other_rows(key):
-        assert found in (customer_row(key, admitted=1.0), customer_row(key, admitted=2.0, in_flight=9))
-    CustomerTable(memory, 2, 0, CUSTOMER_ROWS)  # a replacement still starts
+    writer._own[offset : offset + ROW_BYTES] = new[:written_bytes] + old[written_bytes:]
+    for row in reader.other_rows(key):
+        assert row in (customer_row(key, admitted=1.0), customer_row(key, admitted=2.0, in_flight=9))
+    CustomerTable(memory, 2, 0, CUSTOMER_ROWS)  # a replacement can still attach to the table
 
 
 def test_a_new_customer_in_a_full_set_evicts_its_oldest_row_only():
@@ -39,7 +39,7 @@
     writer, reader = CustomerTable(memory, 2, 0, CUSTOMER_ROWS), CustomerTable(memory, 2, 1, CUSTOMER_ROWS)
     for key in range(5 * CUSTOMER_ROWS):
         writer.write(customer_row(key))
-    shown = [key for key in range(5 * CUSTOMER_ROWS) if list(reader.other_rows(key))]
-    assert len(shown) == CUSTOMER_ROWS == 5 * CUSTOMER_ROWS - writer.evictions
+    visible_keys = [key for key in range(5 * CUSTOMER_ROWS) if list(reader.other_rows(key))]
+    assert len(visible_keys) == CUSTOMER_ROWS == 5 * CUSTOMER_ROWS - writer.evictions
     assert reader.torn_reads == 0
-    assert shown[-1] == 5 * CUSTOMER_ROWS - 1
+    assert visible_keys[-1] == 5 * CUSTOMER_ROWS - 1
--- a/tests/cores/test_drain_flags.py
+++ b/tests/cores/test_drain_flags.py
@@ -6,7 +6,7 @@
 from mapleline.cores.shared_memory import DRAIN_FLAGS
 
 
-def test_a_flag_is_of_one_server_and_numbers_may_come_round():
+def test_flags_are_separate_and_are_reused_by_numbers_above_their_count():
     flags = DrainFlags(new_memory(1))
     flags.set(DRAIN_FLAGS + 3, True)
     assert flags.is_draining(DRAIN_FLAGS + 3)
--- a/tests/cores/test_open_request_ids.py
+++ b/tests/cores/test_open_request_ids.py
@@ -1,4 +1,4 @@
-"""Ids of open requests in shared memory: open in one worker at a time."""
+"""Ids of open requests in shared memory: each is open in at most one worker at a time."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,7 +11,7 @@
 def test_an_id_is_open_in_one_worker_at_a_time(steps):
     memory = new_memory(3)
     workers = [OpenRequestIds(memory, 3, n) for n in range(3)]
-    open_ids = {}  # the worker of each
+    open_ids = {}  # the worker in which each id is open
     for worker, request, is_claim in steps:
         request_id = b"id%d" % request
         if is_claim:
@@ -27,7 +27,7 @@
 
 def test_ids_beyond_the_words_of_a_set_are_still_open_in_their_worker():
     ids = OpenRequestIds(new_memory(2), 2, 0)
-    request_ids = [b"%d" % n for n in range(40_000)]  # more than the region has
+    request_ids = [b"%d" % n for n in range(40_000)]  # more than the region has words
     assert all(ids.claim(request_id) for request_id in request_ids)
     assert ids.unpublished > 0
     assert not any(ids.claim(request_id) for request_id in request_ids)
--- a/tests/cores/test_shared_memory.py
+++ b/tests/cores/test_shared_memory.py
@@ -11,7 +11,7 @@
 CUSTOMER_ROWS = 1024
 
 
-def test_what_the_processes_write_keeps_its_layout():
+def test_regions_written_by_the_processes_keep_their_layout():
     memory = memoryview(bytearray(total_bytes(WORKERS, CUSTOMER_ROWS)))
     flags = DrainFlags(memory)
     flags.set(65_536 + 3, True)
@@ -32,7 +32,7 @@
                 total=2.0,
                 unconfirmed=1.0,
                 admitted=number / 4,
-                owed=0.25,
+                pending=0.25,
                 in_flight=number % 3,
                 burst=4.0,
                 burst_at_ns=5,
