--- a/mapleline/balancer/control/replica_monitor.py
+++ b/mapleline/balancer/control/replica_monitor.py
@@ -177,7 +177,7 @@
             return 0.0
         return now - max(self._started_at, member.last_heartbeat if member is not None else 0.0)
 
-    def is_released(self) -> bool:
+    def may_exit(self) -> bool:
         """Return whether this node may exit.
 
         It may exit if it has no vote any more; or, if it keeps its vote because the other voters could not tolerate a
--- a/mapleline/balancer/graceful_shutdown.py
+++ b/mapleline/balancer/graceful_shutdown.py
@@ -72,5 +72,5 @@
         elapsed_s = self._context.now() - self._began_at
         if elapsed_s > self._grace_period_s - END_MARGIN_S:
             return True
-        is_drained = not self._proxy.requests_in_flight and self._control_plane.monitor.is_released()
+        is_drained = not self._proxy.requests_in_flight and self._control_plane.monitor.may_exit()
         return is_drained and elapsed_s > EARLIEST_END_SHARE * self._grace_period_s
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -98,7 +98,7 @@
         self.proxy.slow_start.leases = self.slow_start_leases
         self.front_listener = Listener(reactor, body_pool, self.proxy.handle_request, STREAM_THRESHOLD_BYTES)
         self.listeners = [self.front_listener]
-        self.control = ControlApi(self.control_plane, self.status)
+        self.control_api = ControlApi(self.control_plane, self.status)
         self.directory = Directory(reactor, settings, self.membership, self.context.rng, self.has_read_lease)
         self.configuration_applier = ConfigurationApplier(
             self.control_plane,
@@ -215,7 +215,7 @@
         pool = BufferPool(max_free=CONTROL_BUFFERS_KEPT)  # no limit: these requests are small and never streamed
         for address, handler in (
             (addresses.ready_addr, self.handle_readiness),
-            (addresses.control_addr, self.control.handle_request),
+            (addresses.control_addr, self.control_api.handle_request),
             (addresses.directory_addr, self.directory.handle_request),
         ):
             if address is not None:
--- a/mapleline/balancer/proxy/admission.py
+++ b/mapleline/balancer/proxy/admission.py
@@ -29,7 +29,7 @@
 
 def authorized_tenant(table: RoutingTable, request: Request) -> str | None:
     """Return the tenant that the request's key belongs to; None if the key is missing or unknown."""
-    return table.owner(request.headers.get(b"authorization", b"").decode("latin-1"))
+    return table.tenant_for_authorization(request.headers.get(b"authorization", b"").decode("latin-1"))
 
 
 def _find_route(table: RoutingTable, request: Request) -> Route | None:
--- a/mapleline/balancer/proxy/dependencies.py
+++ b/mapleline/balancer/proxy/dependencies.py
@@ -9,7 +9,7 @@
     import random
     from collections.abc import Callable
 
-    from ...policy.window import Ask
+    from ...policy.window import QuotaConsultation
     from ..clock import Clock
     from ..discovery.endpoints import EndpointList
     from ..membership.table import MembershipTable
@@ -27,5 +27,5 @@
     endpoints: EndpointList
     upstream_pool: UpstreamPool
     can_serve: Callable[[], bool]  #: a configuration is in force, and the read lease holds
-    consult_quota: Callable[[Ask], None]  #: counts a unit and reports the tenant's usage
+    consult_quota: Callable[[QuotaConsultation], None]  #: counts a unit and reports the tenant's usage
     rng: random.Random
--- a/mapleline/balancer/proxy/endpoint_selection.py
+++ b/mapleline/balancer/proxy/endpoint_selection.py
@@ -73,7 +73,7 @@
         targets = self._eligible_targets(table, admitted.service, regions, now) if has_time else []
         transfer_bytes = context.body_bytes + self._statistics.response_bytes(admitted.statistics_key)
         # the last slots of these regions are left to requests that may not leave them
-        reserved_regions = table.homes.get(admitted.service, ()) if regions is None else ()
+        reserved_regions = table.home_regions_by_service.get(admitted.service, ()) if regions is None else ()
         return choose(
             now,
             targets,
--- a/mapleline/balancer/proxy/load_reports.py
+++ b/mapleline/balancer/proxy/load_reports.py
@@ -46,7 +46,7 @@
         local = [
             (server_checksum(target.id), target) for target in self._targets.values() if target.region == self._region
         ]
-        in_flight = {checksum: target.out for checksum, target in local if target.out}
+        in_flight = {checksum: target.in_flight for checksum, target in local if target.in_flight}
         failure_tenths = (
             (checksum, int(TENTHS_PER_UNIT * target.observed_failure_share(now)))
             for checksum, target in local
--- a/mapleline/balancer/proxy/quota_admission.py
+++ b/mapleline/balancer/proxy/quota_admission.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ...policy.window import Ask, Tenancy, WindowUsage
+from ...policy.window import QuotaConsultation, TenantLimit, WindowUsage
 from . import counters
 from .admission import RETRY_AFTER_S
 from .request_context import QuotaUse, Rejection
@@ -37,7 +37,7 @@
         self._consult_quota = dependencies.consult_quota
         self._counters = counters
         self._dispatch = dispatch
-        self._tenancies: dict[str, Tenancy] = {}
+        self._tenant_limits: dict[str, TenantLimit] = {}
 
     def admit(self, context: RequestContext, table: RoutingTable) -> None:
         """Dispatch or reject the request: at once if its tenant has no quota, else when the counters have answered."""
@@ -46,19 +46,21 @@
         if tenant_id is None or tenant is None or tenant.rate_per_s <= 0:
             self._dispatch(context)
             return
-        tenancy = self._tenancy(tenant_id, tenant)
-        on_answer = partial(self._on_quota_answer, context, QuotaUse(tenancy, tenant.home_regions))
-        self._consult_quota(Ask(tenancy, tenant.home_regions, on_answer))
+        tenant_limit = self._tenant_limit(tenant_id, tenant)
+        on_answer = partial(self._on_quota_answer, context, QuotaUse(tenant_limit, tenant.home_regions))
+        self._consult_quota(QuotaConsultation(tenant_limit, tenant.home_regions, on_answer))
 
-    def _tenancy(self, tenant_id: str, tenant: Tenant) -> Tenancy:
+    def _tenant_limit(self, tenant_id: str, tenant: Tenant) -> TenantLimit:
         """Return the tenant's limit; it is created anew when the configured rate or burst has changed."""
-        limits = (tenant.rate_per_s, tenant.burst_size)
-        tenancy = self._tenancies.get(tenant_id)
-        if tenancy is None or tenancy.limits != limits:
+        rate_and_burst = (tenant.rate_per_s, tenant.burst_size)
+        tenant_limit = self._tenant_limits.get(tenant_id)
+        if tenant_limit is None or tenant_limit.rate_and_burst != rate_and_burst:
             bounds = self._bounds
-            tenancy = Tenancy(tenant_id, *limits, bounds.quota_window, bounds.quota_overshoot, bounds.quota_slack)
-            self._tenancies[tenant_id] = tenancy
-        return tenancy
+            tenant_limit = TenantLimit(
+                tenant_id, *rate_and_burst, bounds.quota_window, bounds.quota_overshoot, bounds.quota_slack
+            )
+            self._tenant_limits[tenant_id] = tenant_limit
+        return tenant_limit
 
     def _on_quota_answer(self, context: RequestContext, quota: QuotaUse, usage: WindowUsage | None) -> bool:
         """Dispatch or reject the request.
@@ -77,7 +79,7 @@
             self._counters.increment(counters.QUOTA_UNKNOWN)
             context.reject(QUOTA_UNKNOWN)
             return False
-        retry_after_s = quota.tenancy.judge(usage, self._clock.seconds())
+        retry_after_s = quota.tenant_limit.decide(usage, self._clock.seconds())
         if retry_after_s is not None:
             self._counters.increment(counters.OVER_QUOTA)
             context.reject(Rejection(429, b"over quota", retry_after_s))
--- a/mapleline/balancer/proxy/quota_attempts.py
+++ b/mapleline/balancer/proxy/quota_attempts.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from ...policy.window import Ask
+from ...policy.window import QuotaConsultation
 from .outcome import Outcome
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 class QuotaAttemptCounter:
     """Keeps at least as many units counted for a request as attempts of it may have been executed."""
 
-    def __init__(self, consult_quota: Callable[[Ask], None]) -> None:
+    def __init__(self, consult_quota: Callable[[QuotaConsultation], None]) -> None:
         """`consult_quota` adds a unit at the tenant's counters."""
         self._consult_quota = consult_quota
 
@@ -33,7 +33,7 @@
         quota.attempts += 1
         if quota.attempts > quota.units:
             quota.units += 1
-            self._consult_quota(Ask(quota.tenancy, quota.home_regions, _keep_unit))
+            self._consult_quota(QuotaConsultation(quota.tenant_limit, quota.home_regions, _keep_unit))
 
     def on_ended(self, context: RequestContext, outcome: Outcome) -> None:
         """Free the unit of an attempt that was not executed, for the next attempt."""
--- a/mapleline/balancer/proxy/request_context.py
+++ b/mapleline/balancer/proxy/request_context.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable
 
     from ...http1 import Request, Upload
-    from ...policy.window import Tenancy
+    from ...policy.window import TenantLimit
     from ..clock import DelayedCall
     from ..configuration import Route
     from .client_connection import ClientConnection
@@ -64,7 +64,7 @@
 class QuotaUse:
     """The share of its tenant's quota that a request has used so far."""
 
-    tenancy: Tenancy
+    tenant_limit: TenantLimit
     home_regions: list[str]
     units: int = 1  #: units counted for the request
     attempts: int = 0  #: attempts sent, without those known not to have been executed
--- a/mapleline/balancer/proxy/upstream_attempt.py
+++ b/mapleline/balancer/proxy/upstream_attempt.py
@@ -57,7 +57,7 @@
             self.outcome = classify_response(response)
         else:
             self.outcome = classify_loss(self.is_written)
-        self.target.out -= 1
+        self.target.in_flight -= 1
         if self.upload is not None and self.connection is not None:
             self.upload.detach(self.connection)
         self.on_end(self)
--- a/mapleline/balancer/proxy/upstream_pool.py
+++ b/mapleline/balancer/proxy/upstream_pool.py
@@ -37,7 +37,7 @@
 
     def send(self, attempt: Attempt, address: tuple[str, int]) -> None:
         """Send an attempt over an idle connection to its target, or over a new one to `address`."""
-        attempt.target.out += 1
+        attempt.target.in_flight += 1
         connection = self._take_idle_connection(attempt)
         if connection is not None:
             connection.start(attempt)
--- a/mapleline/balancer/quota/client.py
+++ b/mapleline/balancer/quota/client.py
@@ -19,7 +19,7 @@
 from .slots import KEPT_SLOTS, SlotClock
 
 if TYPE_CHECKING:
-    from ...policy.window import Ask, Tenancy
+    from ...policy.window import QuotaConsultation, TenantLimit
     from ..clock import Clock, DelayedCall
     from ..environment import Environment
     from ..membership.table import MembershipTable
@@ -54,7 +54,7 @@
         timers: The timers of the hedge and of the timeout.
     """
 
-    ask: Ask
+    ask: QuotaConsultation
     increment: CounterIncrement
     replicas: list[int]
     asked: set[int] = field(default_factory=set)
@@ -111,16 +111,16 @@
         self.log = ConsultationLog()
         self.replica.start()
 
-    def consult(self, ask: Ask) -> None:
+    def consult(self, ask: QuotaConsultation) -> None:
         """Begin a consultation for one request.
 
-        `ask.done` is called exactly once, possibly before this method returns; it is called with None on failure.
+        `ask.on_answer` is called exactly once, possibly before this method returns; it is called with None on failure.
         """
-        home_regions = tuple(sorted(ask.homes))
-        replicas = self.placement.replicas_of(ask.tenancy.name, home_regions)
+        home_regions = tuple(sorted(ask.home_regions))
+        replicas = self.placement.replicas_of(ask.tenant_limit.name, home_regions)
         replicas.sort(key=self.placement.distance)
         if not replicas:
-            ask.done(None)
+            ask.on_answer(None)
             return
         consultation = self._new_consultation(ask, home_regions, replicas)
         nonce = consultation.increment.nonce
@@ -150,17 +150,19 @@
         else:
             self._send_datagram(ip, message)
 
-    def _new_consultation(self, ask: Ask, home_regions: tuple[str, ...], replicas: list[int]) -> PendingConsultation:
-        tenancy = ask.tenancy
+    def _new_consultation(
+        self, ask: QuotaConsultation, home_regions: tuple[str, ...], replicas: list[int]
+    ) -> PendingConsultation:
+        tenant_limit = ask.tenant_limit
         self.nonce = (self.nonce + 1) & NONCE_MASK
         increment = CounterIncrement(
             nonce=self.nonce,
-            tenant=tenancy.name,
+            tenant=tenant_limit.name,
             sender_slot=self.slots.current(),
             units=UNITS_PER_REQUEST,
             home_regions=list(home_regions),
-            window_limit=tenancy.limit,
-            window_slots=tenancy.window_slots,
+            window_limit=tenant_limit.limit,
+            window_slots=tenant_limit.window_slots,
         )
         return PendingConsultation(ask, increment, replicas)
 
@@ -194,9 +196,9 @@
         self.placement.suspects.record_answer(ip)
         consultation = self.pending.get(value.nonce)
         if consultation is not None and ip in consultation.asked:
-            self._complete(consultation, self._usage(consultation.ask.tenancy, value), ip)
+            self._complete(consultation, self._usage(consultation.ask.tenant_limit, value), ip)
 
-    def _usage(self, tenancy: Tenancy, value: CounterValue) -> WindowUsage:
+    def _usage(self, tenant_limit: TenantLimit, value: CounterValue) -> WindowUsage:
         """Return a tenant's usage according to a replica's answer."""
         if value.remaining_permille >= 0:
             remaining_share = value.remaining_permille / PERMILLE
@@ -205,7 +207,7 @@
             )
         # A replica of an earlier version answers with the counts of single slots.  They are scaled so that comparing
         # them with the limit of the window is the same as comparing them with the limit of one slot.
-        scale = tenancy.limit / tenancy.limit_for_window(1)
+        scale = tenant_limit.limit / tenant_limit.limit_for_window(1)
         remaining_share = self.slots.remaining_share(1)
         return WindowUsage(value.units_before * scale, value.previous_window_units * scale, remaining_share)
 
@@ -218,7 +220,7 @@
         for timer in consultation.timers:
             if timer.active():
                 timer.cancel()
-        is_admitted = consultation.ask.done(usage)
+        is_admitted = consultation.ask.on_answer(usage)
         self._log_outcome(consultation, usage, is_admitted)
         counting_replicas = {answered_by} if is_admitted else set()
         if consultation.asked <= counting_replicas:
@@ -234,4 +236,4 @@
         outcome = ConsultationOutcome.ADMITTED if is_admitted else ConsultationOutcome.REJECTED
         if usage is None:
             outcome = ConsultationOutcome.UNANSWERED
-        self.log.record(consultation.ask.tenancy, consultation.increment.sender_slot, consultation.asked, outcome)
+        self.log.record(consultation.ask.tenant_limit, consultation.increment.sender_slot, consultation.asked, outcome)
--- a/mapleline/balancer/quota/consultation_log.py
+++ b/mapleline/balancer/quota/consultation_log.py
@@ -13,7 +13,7 @@
 from ..transport.addresses import ip_from_int
 
 if TYPE_CHECKING:
-    from ...policy.window import Tenancy
+    from ...policy.window import TenantLimit
 
 logger = logging.getLogger(__name__)
 
@@ -62,20 +62,20 @@
         self._tenants: dict[str, TenantConsultations] = {}
         self._last_logged_at = 0.0
 
-    def record(self, tenancy: Tenancy, slot: int, replicas: set[int], outcome: ConsultationOutcome) -> None:
+    def record(self, tenant_limit: TenantLimit, slot: int, replicas: set[int], outcome: ConsultationOutcome) -> None:
         """Record one consultation that has ended.
 
         Args:
-            tenancy: The tenant's limit.
+            tenant_limit: The tenant's limit.
             slot: The slot in which the consultation was sent.
             replicas: The addresses of the replicas that were asked.
             outcome: How it ended.
         """
-        consultations = self._tenants.get(tenancy.name)
+        consultations = self._tenants.get(tenant_limit.name)
         if consultations is None:
-            consultations = self._tenants[tenancy.name] = TenantConsultations()
+            consultations = self._tenants[tenant_limit.name] = TenantConsultations()
         consultations.counts[outcome] += 1
-        consultations.limits.add(tenancy.limits)
+        consultations.limits.add(tenant_limit.rate_and_burst)
         first, last = consultations.slots or (slot, slot)
         consultations.slots = min(first, slot), max(last, slot)
         consultations.replicas |= replicas
--- a/mapleline/balancer/quota/replica.py
+++ b/mapleline/balancer/quota/replica.py
@@ -6,7 +6,7 @@
 from math import ceil
 from typing import TYPE_CHECKING, NamedTuple
 
-from ...policy.window import SLOTS
+from ...policy.window import SLOTS_PER_QUOTA_WINDOW
 from ..transport.messages import CounterIncrement, CounterRows, CounterSync, CounterValue
 from .clock_offsets import ClockOffsets
 from .counters import CounterReading, CounterTable, Operation
@@ -26,7 +26,7 @@
 PARTITION_AFTER_S = 0.6
 
 #: Length of the window whose units an ingress of an earlier version gets: no window of its estimates is longer.
-LONGEST_WINDOW_SLOTS = SLOTS // 2
+LONGEST_WINDOW_SLOTS = SLOTS_PER_QUOTA_WINDOW // 2
 
 PERMILLE = 1000
 
--- a/mapleline/balancer/quota/slots.py
+++ b/mapleline/balancer/quota/slots.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from ...policy.window import SLOTS
+from ...policy.window import SLOTS_PER_QUOTA_WINDOW
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -16,7 +16,7 @@
     from ..clock import Clock
 
 #: Slots that counts are kept for: a period as long as a quota's own window, wherever it begins, lies within so many.
-KEPT_SLOTS = SLOTS + 1
+KEPT_SLOTS = SLOTS_PER_QUOTA_WINDOW + 1
 
 
 class SlotClock:
@@ -32,11 +32,11 @@
         Args:
             clock: The steady clock.
             unix_time: Returns the time of day, in seconds since 1970.
-            quota_window_s: Length of the window that quotas are defined for; it has `SLOTS` slots.
+            quota_window_s: Length of the window that quotas are defined for; it has `SLOTS_PER_QUOTA_WINDOW` slots.
         """
         self._clock = clock
         self._unix_offset_s = unix_time() - clock.seconds()
-        self.slot_s = quota_window_s / SLOTS
+        self.slot_s = quota_window_s / SLOTS_PER_QUOTA_WINDOW
 
     def unix_time(self) -> float:
         """Return the time of day, in seconds since 1970."""
--- a/mapleline/balancer/routing_table.py
+++ b/mapleline/balancer/routing_table.py
@@ -24,7 +24,7 @@
         limits: Its limits for clients.
         services: Its services by name.
         tenants: Its tenants by name.
-        homes: Service -> home regions of its routes, which their requests may not leave (rule HOME).
+        home_regions_by_service: Service -> home regions of its routes, which their requests may not leave (rule HOME).
     """
 
     def __init__(self, config: Configuration) -> None:
@@ -34,7 +34,7 @@
         self.limits = config.limits
         self.services = config.service_table
         self.tenants = config.tenant_table
-        self.homes = _home_regions_by_service(config)
+        self.home_regions_by_service = _home_regions_by_service(config)
         self._matches_by_host = _matches_by_host(config)
         self._tenant_by_key = {key: name for name, tenant in self.tenants.items() for key in tenant.api_keys}
 
@@ -44,18 +44,18 @@
         matches = self._matches_by_host.get(host) or self._matches_by_host.get(host_without_port) or []
         return next((match.route for match in matches if path.startswith(match.path_prefix)), None)
 
-    def owner(self, authorization: str) -> str | None:
+    def tenant_for_authorization(self, authorization: str) -> str | None:
         """Return the tenant whose API key is the bearer token (RFC 6750) of an `Authorization` header."""
         scheme, _, key = authorization.partition(" ")
         return self._tenant_by_key.get(key.strip()) if scheme.lower() == "bearer" else None
 
 
 def _home_regions_by_service(config: Configuration) -> dict[str, set[str]]:
-    homes: dict[str, set[str]] = {}
+    home_regions_by_service: dict[str, set[str]] = {}
     for route in config.route_table.values():
         for service, _ in route.shares:
-            homes.setdefault(service, set()).update(route.home_regions)
-    return homes
+            home_regions_by_service.setdefault(service, set()).update(route.home_regions)
+    return home_regions_by_service
 
 
 def _matches_by_host(config: Configuration) -> dict[str, list[RouteMatch]]:
--- a/mapleline/policy/placing.py
+++ b/mapleline/policy/placing.py
@@ -41,7 +41,7 @@
     zone: str
     region: str
     slots: int  #: requests that it executes concurrently
-    out: int = 0  #: requests in flight from this ingress
+    in_flight: int = 0  #: requests in flight from this ingress
     peer_in_flight: int = 0  #: requests in flight from the region's other ingresses, by their last load reports
     reported_load: float = 0.0  #: requests running and queued, by the server's last response
     load_reported_at: float = -1e9
@@ -61,7 +61,7 @@
 
         The server's own report counts less with its age, and not at all after 10 s.
         """
-        total_in_flight = self.out + self.peer_in_flight
+        total_in_flight = self.in_flight + self.peer_in_flight
         weight = (
             0.33 ** ((now - self.load_reported_at) / REPORTED_LOAD_DECAY_S) if now - self.load_reported_at < 10 else 0.0
         )
--- a/mapleline/policy/window.py
+++ b/mapleline/policy/window.py
@@ -26,7 +26,7 @@
 MIN_RATE_FACTOR = 1.05
 
 #: Slots in a quota's own window; the longest window of an estimate is half of it.
-SLOTS = 10
+SLOTS_PER_QUOTA_WINDOW = 10
 
 
 class WindowUsage(NamedTuple):
@@ -60,12 +60,12 @@
     return min(usage.remaining_share, max(0.0, (usage.estimate - limit) / usage.previous))
 
 
-class Tenancy:
+class TenantLimit:
     """One tenant's limit, expressed in windows.
 
     Attributes:
         name: The tenant's name.
-        limits: Its rate in requests per second, and its burst in requests.
+        rate_and_burst: Its rate in requests per second, and its burst in requests.
         quota_limit: Units permitted in any period as long as the quota's own window.
         window_slots: Length of the estimate's window, in slots.
         window_s: The same length in seconds.
@@ -88,13 +88,13 @@
             slack: Requests by which the rule lets the quota be exceeded in addition.
         """
         self.name = name
-        self.limits = (rate, burst)
+        self.rate_and_burst = (rate, burst)
         used_overshoot = 1 + USED_MARGIN_SHARE * overshoot
         self.quota_limit = (rate * quota_window_s + burst) * used_overshoot + USED_MARGIN_SHARE * slack
         # A longer window tolerates more random variation of arrivals, but its limit admits less of the rate.
         max_window_s = self.quota_limit / (MIN_RATE_FACTOR * rate) - quota_window_s
-        slot_s = quota_window_s / SLOTS
-        self.window_slots = min(max(int(max_window_s / slot_s), 1), SLOTS // 2)
+        slot_s = quota_window_s / SLOTS_PER_QUOTA_WINDOW
+        self.window_slots = min(max(int(max_window_s / slot_s), 1), SLOTS_PER_QUOTA_WINDOW // 2)
         self.window_s = self.window_slots * slot_s
         self.limit = self.limit_for_window(self.window_slots)
         self.admitted = 0.0
@@ -103,9 +103,9 @@
 
     def limit_for_window(self, window_slots: int) -> float:
         """Return the units permitted in one window of this length."""
-        return self.quota_limit / (SLOTS / window_slots + 1)
+        return self.quota_limit / (SLOTS_PER_QUOTA_WINDOW / window_slots + 1)
 
-    def judge(self, usage: WindowUsage, now: float) -> float | None:
+    def decide(self, usage: WindowUsage, now: float) -> float | None:
         """Decide on a request, and record the decision.
 
         The wait takes requests that were rejected before into account, because they are retried as well: each window
@@ -142,16 +142,16 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class QuotaConsultation:
     """A request for a tenant's usage, made at the counter replicas.
 
     Attributes:
-        tenancy: The tenant's limit.
-        homes: The tenant's home regions; empty for everywhere.
-        done: Called with the usage, or with None if no replica answered in time; returns whether the request's units
-            stay counted.
+        tenant_limit: The tenant's limit.
+        home_regions: The tenant's home regions; empty for everywhere.
+        on_answer: Called with the usage, or with None if no replica answered in time; returns whether the request's
+            units stay counted.
     """
 
-    tenancy: Tenancy
-    homes: list[str]
-    done: Callable[[WindowUsage | None], bool]
+    tenant_limit: TenantLimit
+    home_regions: list[str]
+    on_answer: Callable[[WindowUsage | None], bool]
--- a/mapleline/simulation/servers.py
+++ b/mapleline/simulation/servers.py
@@ -166,7 +166,7 @@
 
     def send(self, attempt: Attempt, address: tuple[str, int]) -> None:
         """Send a request to the server at that address."""
-        attempt.target.out += 1
+        attempt.target.in_flight += 1
         world, reactor = self._machine.world, self._process_reactor
         server = world.servers.get(address)
         if server is None:
--- a/mapleline/simulation/world.py
+++ b/mapleline/simulation/world.py
@@ -273,7 +273,7 @@
         self._observe_request(machine, request)
         handlers = {
             IngressListener.PROXY: machine.node.proxy.handle_request,
-            IngressListener.CONTROL: machine.node.control.handle_request,
+            IngressListener.CONTROL: machine.node.control_api.handle_request,
             IngressListener.DIRECTORY: machine.node.directory.handle_request,
         }
         machine.reactor.run(handlers[listener], connection, _parsed(request))
--- a/tests/balancer/control/consensus_model/mutants.py
+++ b/tests/balancer/control/consensus_model/mutants.py
@@ -312,7 +312,7 @@
     ],
     "a disk is known by the number it accepted": [Patch(Acceptor, "on_record_saved", _version_by_number)],
     "the highest number it ever accepted": [Patch(Acceptor, "on_record_saved", _accepted_number_climbs)],
-    "an empty disk founds again": [Patch(Node, "may_found", _always_founds)],
+    "an empty disk founds again": [Patch(Node, "may_bootstrap", _always_founds)],
     "who knows a core founds another": [Patch(Acceptor, "prepare", _prepare_of_any_founding)],
 }
 
--- a/tests/balancer/control/consensus_model/node.py
+++ b/tests/balancer/control/consensus_model/node.py
@@ -308,7 +308,7 @@
             return False
         return self.disk is not None or self.state is None or any(voter.ip == self.ip for voter in self.state.former)
 
-    def may_found(self):
+    def may_bootstrap(self):
         """Return whether it may take part in a bootstrap.
 
         With a disk that was empty at a later start it may not, since the replica on the earlier disk may have voted.
@@ -317,7 +317,7 @@
 
     def on_prepare(self, call, send_reply):
         acceptor = self.acceptor
-        if not self.may_vote() or not self.may_found():
+        if not self.may_vote() or not self.may_bootstrap():
             send_reply(Promised(False, 0))
             return
         is_granted = acceptor.prepare(call.ballot, call.known_number)
@@ -335,7 +335,7 @@
 
     def on_accept(self, call, send_reply):
         acceptor = self.acceptor
-        if not self.may_vote() or not self.may_found() and not call.state.is_voter(self.ip, acceptor.disk_id):
+        if not self.may_vote() or not self.may_bootstrap() and not call.state.is_voter(self.ip, acceptor.disk_id):
             send_reply(Accepted(False, 0))
             return
         self.add_body(call.state, call.configuration_body)
--- a/tests/balancer/control/consensus_model/quorums.py
+++ b/tests/balancer/control/consensus_model/quorums.py
@@ -66,4 +66,4 @@
 
 def _takes_part_in_bootstrap(world, record):
     node = world.machines[record.ip].node
-    return node is not None and node.acceptor is not None and node.may_vote() and node.may_found()
+    return node is not None and node.acceptor is not None and node.may_vote() and node.may_bootstrap()
--- a/tests/balancer/proxy/proxy_harness.py
+++ b/tests/balancer/proxy/proxy_harness.py
@@ -68,7 +68,7 @@
 
     def send(self, attempt, address):
         target = attempt.target
-        target.out += 1
+        target.in_flight += 1
         attempt.is_written = True
         attempt.sent_at = self.harness.clock.seconds()
         self.in_flight[target.id] = [*self.in_flight.pop(target.id, []), attempt]
@@ -153,12 +153,12 @@
 
     def answer_quota(self, current=0.0, previous=0.0, share_left=0.5):
         """Answer the oldest quota request."""
-        is_counted = self.quota_requests.pop(0).done(WindowUsage(current, previous, share_left))
+        is_counted = self.quota_requests.pop(0).on_answer(WindowUsage(current, previous, share_left))
         self._record_quota(current, is_counted)
 
     def time_out_quota(self):
         """End the oldest quota request without an answer."""
-        is_counted = self.quota_requests.pop(0).done(None)
+        is_counted = self.quota_requests.pop(0).on_answer(None)
         self._record_quota("silent", is_counted)
 
     def _record_quota(self, answer, is_counted):
--- a/tests/balancer/proxy/test_quota_attempts.py
+++ b/tests/balancer/proxy/test_quota_attempts.py
@@ -22,12 +22,13 @@
         for _ in range(3):
             self.counter.on_sent(self.context)
         self.assertEqual(
-            [(request.tenancy, request.homes) for request in self.quota_requests],
-            [(self.context.quota.tenancy, ["a"])] * 2,
+            [(request.tenant_limit, request.home_regions) for request in self.quota_requests],
+            [(self.context.quota.tenant_limit, ["a"])] * 2,
         )
         self.assertTrue(
             all(
-                request.done(answer) for request, answer in zip(self.quota_requests, (None, (99, 99, 0.5)), strict=True)
+                request.on_answer(answer)
+                for request, answer in zip(self.quota_requests, (None, (99, 99, 0.5)), strict=True)
             )
         )
 
--- a/tests/balancer/test_routing_table.py
+++ b/tests/balancer/test_routing_table.py
@@ -23,4 +23,4 @@
 
     def test_a_bearer_token_names_its_tenant(self):
         headers = ("Bearer k2", "bearer k1", "Bearer k3", "k1")
-        self.assertEqual([self.table.owner(header) for header in headers], ["t1", "t1", None, None])
+        self.assertEqual([self.table.tenant_for_authorization(header) for header in headers], ["t1", "t1", None, None])
--- a/tests/balancer/transport/test_counter_messages.py
+++ b/tests/balancer/transport/test_counter_messages.py
@@ -105,9 +105,9 @@
             make_fence(1, 10, {2: 20, 3: 30}).membership,
             lambda tenant: None,
         )
-        got, tenancy = [], mock.Mock(limit=5.0, window_slots=2)
-        tenancy.name = "t"
-        ask = mock.Mock(tenancy=tenancy, homes=[], done=lambda answer: got.append(answer) or True)
+        got, tenant_limit = [], mock.Mock(limit=5.0, window_slots=2)
+        tenant_limit.name = "t"
+        ask = mock.Mock(tenant_limit=tenant_limit, home_regions=[], on_answer=lambda answer: got.append(answer) or True)
         quota_client.placement.replicas_of = lambda *_: [2]
         quota_client.consult(ask)
         for ip, nonce in (
--- a/tests/balancer/transport/test_fencing_of_nodes.py
+++ b/tests/balancer/transport/test_fencing_of_nodes.py
@@ -108,15 +108,15 @@
             admitted = {}
 
             def complete(self, consultation, usage, answered_by=0):
-                done = consultation.ask.done
+                on_answer = consultation.ask.on_answer
 
                 def count_admitted(answer):
                     name = consultation.increment.tenant
-                    is_admitted = done(answer)
+                    is_admitted = on_answer(answer)
                     admitted[name] = admitted.get(name, 0) + bool(is_admitted)
                     return is_admitted
 
-                consultation.ask.done = count_admitted
+                consultation.ask.on_answer = count_admitted
                 return complete_consultation(self, consultation, usage, answered_by)
 
             complete_consultation = QuotaClient._complete
--- a/tests/simulation/test_scenario.py
+++ b/tests/simulation/test_scenario.py
@@ -10,7 +10,7 @@
 from mapleline.balancer.proxy import outcome
 from mapleline.balancer.proxy.endpoint_selection import EndpointSelection
 from mapleline.balancer.proxy.slow_start import SlowStart
-from mapleline.policy.window import Tenancy
+from mapleline.policy.window import TenantLimit
 from mapleline.simulation.final_fault import RESTART_S, FinalFault, check_read_back
 from mapleline.simulation.history import Acknowledged
 from mapleline.simulation.invariants import Rule
@@ -260,6 +260,6 @@
         )
 
     def test_quotas_and_requests_that_may_have_run(self):
-        self.breaks(Rule.QUOTA, overloading_tenant, mock.patch.object(Tenancy, "excess_wait_s", lambda *_: None))
+        self.breaks(Rule.QUOTA, overloading_tenant, mock.patch.object(TenantLimit, "excess_wait_s", lambda *_: None))
         self.breaks(Rule.TWICE, lost_server_responses, mock.patch.object(outcome, "may_retry", lambda *_: True), 10.0)
         self.breaks(Rule.REFUSED, lost_server_responses, mock.patch.object(outcome, "final_status", lambda *_: 503))
--- a/tests/soak/faulty_node.py
+++ b/tests/soak/faulty_node.py
@@ -3,13 +3,13 @@
 import sys
 
 from mapleline.balancer import process
-from mapleline.policy.window import Tenancy
+from mapleline.policy.window import TenantLimit
 
 
-def admit_everything(tenancy, usage):
+def admit_everything(tenant_limit, usage):
     """Return that there is room."""
 
 
 if __name__ == "__main__":
-    Tenancy.excess_wait_s = admit_everything
+    TenantLimit.excess_wait_s = admit_everything
     sys.exit(process.main())
