--- a/tests/balancer/control/consensus_model/directed_histories.py
+++ b/tests/balancer/control/consensus_model/directed_histories.py
@@ -138,11 +138,11 @@
 
 #: The histories, by the names of the mutants that they detect.
 DIRECTED_HISTORIES = {
-    "asks those it knows, not those that promises show": proposer_does_not_know_the_new_voters,
-    "the first accepted state, not the highest": older_acceptance_is_reported_first,
-    "chosen under another ballot": older_acceptance_is_reported_first,
-    "a disk is known by the number it accepted": lower_number_under_a_higher_ballot,
-    "the highest number it ever accepted": lower_number_under_a_higher_ballot,
-    "an empty disk founds again": empty_disk_receives_a_bootstrap_prepare,
-    "who knows a core founds another": informed_replica_receives_a_bootstrap_prepare,
+    "the proposer ignores other voters that promises report": proposer_does_not_know_the_new_voters,
+    "the first accepted state is adopted, not that of the highest ballot": older_acceptance_is_reported_first,
+    "the accepted state is marked as chosen under any ballot": older_acceptance_is_reported_first,
+    "the record version is the highest accepted number": lower_number_under_a_higher_ballot,
+    "the durable accepted number never decreases": lower_number_under_a_higher_ballot,
+    "a replica whose disk was emptied takes part in a bootstrap": empty_disk_receives_a_bootstrap_prepare,
+    "a replica with a chosen state takes part in another bootstrap": informed_replica_receives_a_bootstrap_prepare,
 }
--- a/tests/balancer/control/consensus_model/mutants.py
+++ b/tests/balancer/control/consensus_model/mutants.py
@@ -277,43 +277,63 @@
 
 
 MUTANTS = {
-    "a quorum less one": [Patch(state, "has_majority", _half_is_enough)],
-    "contact with one less": [Patch(ReadLease, "_majority_asked_at", _lease_of_one_less)],
-    "a promise that is not on the disk": [Patch(Node, "on_prepare", _promise_before_save)],
-    "an acceptance that is not on the disk": [Patch(Node, "on_accept", _accept_before_save)],
-    "an acceptance after a higher promise": [Patch(Acceptor, "accept", _accept_despite_promise)],
-    "the first accepted state, not the highest": [Patch(Proposal, "on_prepare_reply", _first_accepted)],
-    "its own change without what was accepted": [Patch(Proposal, "base", property(lambda self: self.known_state))],
-    "asks those it knows, not those that promises show": [Patch(Proposal, "on_prepare_reply", _ask_known_voters_alone)],
-    "the new voters are not asked to accept": [Patch(Proposal, "on_accept_reply", _old_voters_accept_alone)],
-    "voters change at once": [
+    "one voter less than a majority is a quorum": [Patch(state, "has_majority", _half_is_enough)],
+    "one voter less than a majority gives a read lease": [Patch(ReadLease, "_majority_asked_at", _lease_of_one_less)],
+    "a promise is sent before it is saved": [Patch(Node, "on_prepare", _promise_before_save)],
+    "an acceptance is sent before it is saved": [Patch(Node, "on_accept", _accept_before_save)],
+    "a state is accepted despite a promise to a higher ballot": [Patch(Acceptor, "accept", _accept_despite_promise)],
+    "the first accepted state is adopted, not that of the highest ballot": [
+        Patch(Proposal, "on_prepare_reply", _first_accepted)
+    ],
+    "the proposer ignores accepted states that promises report": [
+        Patch(Proposal, "base", property(lambda self: self.known_state))
+    ],
+    "the proposer ignores other voters that promises report": [
+        Patch(Proposal, "on_prepare_reply", _ask_known_voters_alone)
+    ],
+    "a state is chosen by the old voters without the new voters": [
+        Patch(Proposal, "on_accept_reply", _old_voters_accept_alone)
+    ],
+    "the voters are replaced without a joint quorum": [
         Patch(owner, "begin_reconfiguration", _reconfigure_at_once) for owner in (commands, state, proposer_module)
     ],
-    "settled before it is chosen": [Patch(ModelProposer, "next_state", _finish_any_reconfiguration)],
-    "the new set alone": [Patch(State, "has_quorum", _new_voters_alone)],
-    "a second change of members": [
+    "a reconfiguration is finished before it is chosen": [
+        Patch(ModelProposer, "next_state", _finish_any_reconfiguration)
+    ],
+    "the new voters alone are a quorum during a reconfiguration": [Patch(State, "has_quorum", _new_voters_alone)],
+    "a reconfiguration begins before the last one is finished": [
         Patch(commands, "begin_reconfiguration", _reconfigure_again),
         Patch(proposer_module, "begin_reconfiguration", _reconfigure_again),
         Patch(proposer_module, "next_voters", _next_voters_again),
     ],
-    "a wiped disk keeps its identity": [Patch(DiskFaults, "wipe", _wipe_keeps_identity)],
-    "another disk counts at once": [Patch(Replica, "matches", _matches_any_disk)],
-    "an older folder is believed": [Patch(Node, "on_query", _believe_older_folder)],
-    "the highest content wins": [Patch(commands, "replace_configuration", _highest_content_wins)],
-    "a ballot that others use": [Patch(ModelProposer, "begin", _ballot_of_anyone)],
-    "a ballot that an earlier life used": [Patch(ModelProposer, "begin", _ballot_of_earlier_process)],
-    "contact from when the answer came": [Patch(Node, "extend_lease", _lease_from_reply)],
-    "an age at second hand from the answer": [Patch(ReadLease, "on_relayed_lease", _relayed_lease_from_reply)],
-    "chosen under another ballot": [Patch(Acceptor, "mark_chosen", _mark_chosen_of_any_ballot)],
-    "what was accepted is told as chosen": [Patch(Node, "on_fetch", _send_accepted_as_chosen)],
-    "answered before it is chosen": [Patch(ModelProposer, "send_accept", _answer_before_chosen)],
-    "accepted without its body": [
+    "a wiped disk keeps its disk id": [Patch(DiskFaults, "wipe", _wipe_keeps_identity)],
+    "any disk at a voter's address has its vote": [Patch(Replica, "matches", _matches_any_disk)],
+    "a disk that was rolled back is not detected": [Patch(Node, "on_query", _believe_older_folder)],
+    "the highest digest of a version wins, not the first": [
+        Patch(commands, "replace_configuration", _highest_content_wins)
+    ],
+    "a ballot is not unique to its proposer": [Patch(ModelProposer, "begin", _ballot_of_anyone)],
+    "a ballot of an earlier process is used again": [Patch(ModelProposer, "begin", _ballot_of_earlier_process)],
+    "a read lease starts at the reply, not at the query": [Patch(Node, "extend_lease", _lease_from_reply)],
+    "a relayed read lease starts at the reply, not at the query": [
+        Patch(ReadLease, "on_relayed_lease", _relayed_lease_from_reply)
+    ],
+    "the accepted state is marked as chosen under any ballot": [
+        Patch(Acceptor, "mark_chosen", _mark_chosen_of_any_ballot)
+    ],
+    "an accepted state is sent as a chosen one": [Patch(Node, "on_fetch", _send_accepted_as_chosen)],
+    "a command is acknowledged before its state is chosen": [
+        Patch(ModelProposer, "send_accept", _answer_before_chosen)
+    ],
+    "a state is accepted without its configuration body": [
         Patch(owner, "has_contents", _any_contents) for owner in (node_module, proposer_module)
     ],
-    "a disk is known by the number it accepted": [Patch(Acceptor, "on_record_saved", _version_by_number)],
-    "the highest number it ever accepted": [Patch(Acceptor, "on_record_saved", _accepted_number_climbs)],
-    "an empty disk founds again": [Patch(Node, "may_bootstrap", _always_founds)],
-    "who knows a core founds another": [Patch(Acceptor, "prepare", _prepare_of_any_founding)],
+    "the record version is the highest accepted number": [Patch(Acceptor, "on_record_saved", _version_by_number)],
+    "the durable accepted number never decreases": [Patch(Acceptor, "on_record_saved", _accepted_number_climbs)],
+    "a replica whose disk was emptied takes part in a bootstrap": [Patch(Node, "may_bootstrap", _always_founds)],
+    "a replica with a chosen state takes part in another bootstrap": [
+        Patch(Acceptor, "prepare", _prepare_of_any_founding)
+    ],
 }
 
 
--- a/tests/balancer/control/test_consensus_model.py
+++ b/tests/balancer/control/test_consensus_model.py
@@ -37,7 +37,7 @@
 
     def test_hypothesis_finds_no_violation_and_detects_a_mutant(self):
         run_state_machine_as_test(HistoryMachine, settings=HYPOTHESIS_SETTINGS)
-        with mutant("a quorum less one"), self.assertRaises(AssertionError):
+        with mutant("one voter less than a majority is a quorum"), self.assertRaises(AssertionError):
             run_state_machine_as_test(HistoryMachine, settings=HYPOTHESIS_SETTINGS)
 
     def test_the_random_search_detects_each_mutant(self):
