--- a/mapleline/http1/__init__.py
+++ b/mapleline/http1/__init__.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 (RFC 9112) without sockets: readers and writers of messages, state machines of connections, buffers.
+"""HTTP/1.1 (RFC 9112) without sockets: message readers and writers, connection state machines and buffers.
 
-The names below are the package's public ones.  `translator` is apart, as only the ingress in service needs it.
+This module exports the package's public names, except those of `translator`, which only a real ingress needs.
 """
 
 from .buffers import BUFFER_SIZE, BufferPool, ByteQueue
--- a/mapleline/http1/bodies.py
+++ b/mapleline/http1/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that end after a number of bytes or with the connection, decoded as they arrive."""
+"""Decoders of bodies that end after a known number of bytes or at the end of the connection."""
 
 from __future__ import annotations
 
@@ -7,70 +7,70 @@
 
 
 class BufferedBody:
-    """What all bodies share: decoded bytes wait in pooled buffers until they are taken."""
+    """Base of all body decoders: keeps decoded bytes in pooled buffers until the caller takes them."""
 
     __slots__ = ("_queue", "_taken_bytes")
 
     def __init__(self, pool: BufferPool) -> None:
-        """Start without any byte."""
+        """Create a decoder without buffered bytes."""
         self._queue = ByteQueue(pool)
         self._taken_bytes = 0
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that wait here."""
+        """Number of bytes that are buffered and not yet taken."""
         return self._queue.size
 
     @property
     def received_bytes(self) -> int:
-        """Bytes of body so far, with those already taken."""
+        """Number of body bytes received so far, including those already taken."""
         return self._taken_bytes + self._queue.size
 
     def take(self) -> bytes:
-        """Return what waits; the buffers go back to the pool."""
+        """Return the buffered bytes and release their buffers to the pool."""
         self._taken_bytes += self._queue.size
         return self._queue.take()
 
 
 class ContentLengthBody(BufferedBody):
-    """The next `length` bytes (RFC 9112, section 6.2)."""
+    """Decodes a body of `length` bytes (RFC 9112, section 6.2)."""
 
     __slots__ = ("length",)
 
     def __init__(self, pool: BufferPool, length: int) -> None:
-        """Expect `length` bytes."""
+        """Create a decoder of the next `length` bytes."""
         super().__init__(pool)
         self.length = length
 
     @property
     def is_complete(self) -> bool:
-        """The last byte has arrived."""
+        """Whether the last byte has arrived."""
         return self.received_bytes >= self.length
 
     def feed(self, data: bytes) -> int:
-        """Take in what belongs to the body; return where that ends in `data`."""
+        """Buffer the part of `data` that belongs to the body; return the offset of its end in `data`."""
         end = min(len(data), self.length - self.received_bytes)
         self._queue.put(data[:end] if end < len(data) else data)
         return end
 
 
 class UntilCloseBody(BufferedBody):
-    """All that arrives before the connection ends (RFC 9112, section 6.3, rule 8)."""
+    """Decodes a body that ends with the connection (RFC 9112, section 6.3, rule 8)."""
 
     __slots__ = ("_max_bytes", "is_complete")
-    length = None  #: not known beforehand
+    length = None  #: not known in advance
 
     def __init__(self, pool: BufferPool, max_bytes: int) -> None:
-        """Allow `max_bytes` of body."""
+        """Create a decoder of at most `max_bytes` bytes."""
         super().__init__(pool)
         self._max_bytes = max_bytes
-        self.is_complete = False  #: set by whoever sees the end of the connection
+        self.is_complete = False  #: set by the caller when the connection ends
 
     def feed(self, data: bytes) -> int:
-        """Take in all of `data`.
+        """Buffer all of `data`; return its length.
 
         Raises:
-            RemoteProtocolError: 413, where that is more than the limit.
+            RemoteProtocolError: 413 if the body becomes larger than the limit.
         """
         if self.received_bytes + len(data) > self._max_bytes:
             raise RemoteProtocolError(413, "body too large")
--- a/mapleline/http1/buffers.py
+++ b/mapleline/http1/buffers.py
@@ -1,24 +1,24 @@
-"""Bytes that wait for the rest of their message, in pooled buffers of one size."""
+"""A pool of buffers of one size, and a queue that keeps the bytes of incomplete messages in them."""
 
 from __future__ import annotations
 
 BUFFER_SIZE = 16 * 1024  #: bytes
-MAX_FREE_BUFFERS = 64  #: kept for the next message: 1 MiB
-UNLIMITED_BYTES = 1 << 30  #: more than a process of ours has
+MAX_FREE_BUFFERS = 64  #: free buffers that a pool keeps for reuse: 1 MiB
+UNLIMITED_BYTES = 1 << 30  #: more than the memory of a process, so in effect no limit
 
 
 class BufferPool:
-    """Hands out buffers of `BUFFER_SIZE` bytes and takes them back.
+    """Pool of reusable buffers of `BUFFER_SIZE` bytes.
 
     Attributes:
-        limit_bytes: what should be in use at most.  No caller is refused a buffer; those who can wait ask
+        limit_bytes: soft limit of the bytes in use.  `acquire` never fails; callers that can wait check
             `is_short` first.
-        buffers_in_use: buffers handed out.
-        reserved_bytes: bytes elsewhere that count against the limit: bodies kept to be sent.
+        buffers_in_use: number of buffers that are acquired and not released.
+        reserved_bytes: bytes outside the pool that count against the limit: bodies kept to be sent.
     """
 
     def __init__(self, max_free: int = MAX_FREE_BUFFERS, limit_bytes: int = UNLIMITED_BYTES) -> None:
-        """Start without any buffer; at most `max_free` are kept once they come back."""
+        """Create an empty pool that keeps at most `max_free` released buffers."""
         self._free: list[bytearray] = []
         self._max_free = max_free
         self.limit_bytes = limit_bytes
@@ -27,34 +27,34 @@
 
     @property
     def is_short(self) -> bool:
-        """More is in use than should be: bodies are streamed, readers pause."""
+        """Whether `limit_bytes` is reached: bodies are then streamed, and readers pause."""
         return self.buffers_in_use * BUFFER_SIZE + self.reserved_bytes >= self.limit_bytes
 
     def acquire(self) -> bytearray:
-        """Hand out a buffer; its content is whatever was in it."""
+        """Return a buffer with arbitrary content."""
         self.buffers_in_use += 1
         return self._free.pop() if self._free else bytearray(BUFFER_SIZE)
 
     def release(self, buffer: bytearray) -> None:
-        """Take a buffer back."""
+        """Return a buffer to the pool."""
         self.buffers_in_use -= 1
         if len(self._free) < self._max_free:
             self._free.append(buffer)
 
 
 class ByteQueue:
-    """A queue of bytes in pooled buffers; while it is empty it has none."""
+    """A queue of bytes in pooled buffers; an empty queue holds no buffer."""
 
     __slots__ = ("_buffers", "_pool", "size")
 
     def __init__(self, pool: BufferPool) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self._pool = pool
         self._buffers: list[bytearray] = []
-        self.size = 0  #: bytes that wait
+        self.size = 0  #: number of bytes in the queue
 
     def put(self, data: bytes) -> None:
-        """Copy `data` to the end of the queue."""
+        """Append a copy of `data`."""
         view = memoryview(data)
         offset = 0
         while offset < len(view):
@@ -67,7 +67,7 @@
             offset += len(part)
 
     def take(self) -> bytes:
-        """Empty the queue and return what was in it; the buffers go back to the pool."""
+        """Return all bytes, empty the queue and release its buffers to the pool."""
         if not self._buffers:
             return b""
         content = b"".join(self._buffers[:-1])
--- a/mapleline/http1/chunked.py
+++ b/mapleline/http1/chunked.py
@@ -1,4 +1,4 @@
-"""The chunked transfer coding (RFC 9112, section 7.1), decoded as it arrives."""
+"""Incremental decoder of the chunked transfer coding (RFC 9112, section 7.1)."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from .errors import RemoteProtocolError
 from .headers import TOKEN
 
-MAX_SIZE_LINE_BYTES = 256  #: of a size line with its extensions, which are not read (RFC 9112, section 7.1.1)
-#: Bytes of size lines in a body, and for each byte of body as many again as stand below: chunks of one byte
-#: each are allowed, work without any body is not.
+MAX_SIZE_LINE_BYTES = 256  #: of a size line with its extensions, which are ignored (RFC 9112, section 7.1.1)
+#: The size lines of a body may have this many bytes, and FRAMING_BYTES_PER_BODY_BYTE more for each body byte.  This
+#: allows chunks of one byte and bounds the framing that a peer can send without any body.
 MAX_FRAMING_BYTES = 64 * 1024
 FRAMING_BYTES_PER_BODY_BYTE = 8
-MAX_TRAILER_BYTES = 8 * 1024  #: of the trailer section (RFC 9112, section 7.1.2)
+MAX_TRAILER_BYTES = 8 * 1024  #: of the whole trailer section (RFC 9112, section 7.1.2)
 
 SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\x00\r\n]*)?")
 TRAILER_LINE = re.compile(rb"(" + TOKEN + rb"):[^\x00\r\n]*")
-#: Fields that frame, route, or say who asks: behind a body they could only contradict the head
+#: Fields for framing, routing, authentication and request identity.  As trailers they could only contradict the head
 #: (RFC 9110, section 6.5.1).
 FORBIDDEN_TRAILERS = frozenset(
     {
@@ -46,20 +46,20 @@
 
 
 class ChunkedBody(BufferedBody):
-    """Decodes the bytes behind a head; each is looked at once, however they are split.
+    """Decodes a chunked body; each byte is parsed once, however the input is split.
 
-    What has been decoded is bounded by `max_bytes`; framing and trailers by the constants above.  Trailers are
+    `max_bytes` bounds the decoded body, and the constants above bound framing and trailers.  Trailers are
     checked and dropped.
 
-    The decoder is in one of five states, each a method that reads on from there:
+    The decoder has five states; the method of the current state reads the next bytes:
 
     | state            | reads                              | then                                            |
     | ---------------- | ---------------------------------- | ----------------------------------------------- |
     | `_read_size`     | the line with the size of a chunk  | `_read_data`, or `_read_trailer` after a size 0 |
     | `_read_data`     | the bytes of a chunk               | `_read_data_end` after the last                 |
-    | `_read_data_end` | the empty line behind them         | `_read_size`                                    |
+    | `_read_data_end` | the empty line after the chunk     | `_read_size`                                    |
     | `_read_trailer`  | a line of the trailer section      | complete after an empty one                     |
-    | complete         | nothing: what follows is not ours  |                                                 |
+    | complete         | nothing: the next message follows  |                                                 |
     """
 
     __slots__ = (
@@ -72,15 +72,15 @@
         "_trailer_bytes",
         "is_complete",
     )
-    length = None  #: not known beforehand
+    length = None  #: not known in advance
 
     def __init__(self, pool: BufferPool, max_bytes: int, is_strict: bool) -> None:
-        """Start before the first size line; with `is_strict`, `FORBIDDEN_TRAILERS` are rejected."""
+        """Expect the first size line; with `is_strict`, reject `FORBIDDEN_TRAILERS`."""
         super().__init__(pool)
         self._max_bytes = max_bytes
         self._is_strict = is_strict
-        self._partial_line = b""  # of a line whose end has not arrived
-        self._chunk_left_bytes = 0  # of the current chunk, not arrived yet
+        self._partial_line = b""  # the beginning of a line whose end has not arrived
+        self._chunk_left_bytes = 0  # bytes of the current chunk that have not arrived
         self._framing_bytes = 0
         self._trailer_bytes = 0
         self._read = self._read_size
@@ -88,15 +88,15 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that wait here, in buffers and in a line that is not complete."""
+        """Number of bytes in the buffers and in an incomplete line."""
         return self._queue.size + len(self._partial_line)
 
     def feed(self, data: bytes) -> int:
-        """Take in `data`; return where the body ends in it, or its length.
+        """Decode `data`; return the offset of the body's end in it, or its length if the body goes on.
 
         Raises:
-            RemoteProtocolError: 400 for malformed framing, 413 for too much of it or of body, 431 for too many
-                trailers.
+            RemoteProtocolError: 400 for malformed framing, 413 if framing or body exceed their limit, 431 if
+                the trailers do.
         """
         offset = 0
         while offset < len(data) and not self.is_complete:
@@ -104,7 +104,10 @@
         return offset
 
     def _next_line(self, data: bytes, offset: int, max_bytes: int) -> tuple[bytes | None, int]:
-        """Return the line that ends in `data`, without its CRLF, and where the next one begins."""
+        """Return the line that ends in `data`, without its CRLF, and the offset of the next line.
+
+        The line is None, and its beginning is kept, while its end has not arrived.
+        """
         end = data.find(b"\n", offset, offset + max_bytes + 2)
         if end < 0:
             self._partial_line += data[offset : offset + max_bytes + 2]
--- a/mapleline/http1/client.py
+++ b/mapleline/http1/client.py
@@ -1,12 +1,12 @@
-"""The client's side of a connection as a state machine: requests go out, responses come in, in their order.
+"""State machine of the client side of a connection: matches responses to pipelined requests in their order.
 
 | `reusable` | `is_streaming` | state                                                                           |
 | ---------- | -------------- | ------------------------------------------------------------------------------- |
-| True       | False          | requests may be sent; `receive` gives responses                                 |
-| True       | True           | a response is streamed: `receive_part` gives its parts                          |
-| False      | False          | done: what arrives belongs to no request and is not read; the owner closes      |
+| True       | False          | requests may be sent; `receive` returns responses                               |
+| True       | True           | a response is streamed: `receive_part` returns its parts                        |
+| False      | False          | finished: further input belongs to no request and is ignored; the owner closes  |
 
-A streamed response that ends the connection, or cannot be read to its end, leads to the last state.
+A streamed response that ends the connection, or that cannot be read to its end, leads to the last state.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 class ClientConnection(Generic[Tag]):
-    """Requests in the order they were sent, each with the tag that its caller gave it.
+    """Keeps the tags of the requests in flight, in the order sent, and assigns responses to them.
 
-    What cannot be read, or belongs to no request, ends the use of the connection and nothing else: the responses
-    before it are good and are given, what is behind it is never read.
+    Input that is malformed, or that belongs to no request, only ends the use of the connection: the responses
+    before it are valid and are returned, and the input after it is ignored.
     """
 
     __slots__ = (
@@ -48,42 +48,42 @@
         stream_threshold_bytes: int = 0,
         belongs: Callable[[Tag, Response], bool] | None = None,
     ) -> None:
-        """Start with a connection that is open and unused.
+        """Create the state of a connection that is open and unused.
 
         Args:
-            pool: buffers for what has to wait.
+            pool: buffers for incomplete messages.
             stream_threshold_bytes: larger bodies are streamed: see `MessageReader`.
-            belongs: whether a response is that of the oldest request; one that is not is skipped once, and the
-                connection then ends with the request's own.
+            belongs: returns whether a response answers the oldest request in flight.  One response that does not
+                is skipped; the connection is then not reused after the response that does.
         """
         self._belongs = belongs
         self._reader = ResponseReader(pool, stream_threshold_bytes, is_eager=True)
-        self._keep_alive = True  # the connection outlives the response that is streamed
-        self.pending: deque[Tag] = deque()  #: tags of the requests without a response
-        self.reusable = True  #: further requests may be sent
-        self.stray_count = 0  #: responses to other requests that were skipped
-        self.protocol_error = ""  #: why, once something has arrived that no response can begin with
-        self.is_truncated = False  #: the response that was streamed cannot be read to its end
+        self._keep_alive = True  # whether the connection persists after the streamed response
+        self.pending: deque[Tag] = deque()  #: tags of the requests in flight, oldest first
+        self.reusable = True  #: whether further requests may be sent
+        self.stray_count = 0  #: skipped responses that belonged to other requests
+        self.protocol_error = ""  #: the reason, once malformed or unrequested input has arrived
+        self.is_truncated = False  #: whether the streamed response is malformed before its end
 
     def add_request(self, tag: Tag) -> None:
-        """A request is sent."""
+        """Record a request that is being sent."""
         invariant(self.reusable, "call.on_a_used_up_connection")
         self.pending.append(tag)
 
     def receive(self, data: bytes) -> list[tuple[Tag, Response]]:
-        """Return the responses that `data` completes, with their tags."""
+        """Return the responses that `data` completes, with the tags of their requests."""
         if not self.reusable:
-            return []  # behind the last response, or an error: it belongs to nobody
+            return []  # input after the last response or after an error
         self._reader.feed(data)
         return self._next_responses(is_closed=False)
 
     @property
     def is_streaming(self) -> bool:
-        """The last response given has more to come."""
+        """Whether the last response returned is streamed and not complete."""
         return self._reader.is_streaming
 
     def receive_part(self, data: bytes) -> bytes:
-        """Return more of the response that is streamed; `is_streaming` is False once that was the last of it."""
+        """Return the next part of the streamed response; `is_streaming` is False after the last part."""
         self._reader.feed(data)
         try:
             part = self._reader.next_part()
@@ -95,22 +95,22 @@
             if self._reader.waiting_bytes:
                 self.protocol_error = "more than was asked for"
             if self.protocol_error or not self._keep_alive:
-                self._give_up()
+                self._retire()
         return part
 
     def on_closed_while_streaming(self, is_orderly: bool) -> bool:
-        """The connection has ended: return whether the response that is streamed is complete by that."""
+        """Handle the end of the connection; return whether it completes the streamed response."""
         is_complete = is_orderly and self._reader.ends_at_close()
-        self._give_up()
+        self._retire()
         return is_complete
 
     def on_closed(self, is_orderly: bool) -> list[tuple[Tag, Response]]:
-        """The connection has ended: return a response that only its orderly end could end, if there is one.
+        """Handle the end of the connection; return the response that its orderly end completes, if there is one.
 
-        After a reset, or an end of this side's making, what waits is a part of a response (RFC 9112, section 8).
+        After a reset, or a close by this side, buffered input is an incomplete response (RFC 9112, section 8).
         """
         responses = self._next_responses(is_closed=True) if is_orderly and self.reusable else []
-        self._give_up()
+        self._retire()
         return responses
 
     def _next_responses(self, is_closed: bool) -> list[tuple[Tag, Response]]:
@@ -129,16 +129,16 @@
                     self._keep_alive = response.keep_alive
                     break
                 if not response.keep_alive or self.stray_count:
-                    self._give_up()
+                    self._retire()
         except RemoteProtocolError as error:
             self._reject(error.reason)
         return responses
 
     def _is_stray(self, response: Response) -> bool:
-        """Whether the response is another request's, which is skipped.
+        """Return whether the response belongs to another request and is skipped.
 
         Raises:
-            RemoteProtocolError: where it cannot be skipped, or is the second.
+            RemoteProtocolError: if it cannot be skipped, or is the second of its kind.
         """
         if self._belongs is None or self._belongs(self.pending[0], response):
             return False
@@ -149,8 +149,9 @@
 
     def _reject(self, reason: str) -> None:
         self.protocol_error = reason
-        self._give_up()
+        self._retire()
 
-    def _give_up(self) -> None:
+    def _retire(self) -> None:
+        """End the use of the connection and drop buffered input."""
         self.reusable = False
         self._reader.clear()
--- a/mapleline/http1/head_reader.py
+++ b/mapleline/http1/head_reader.py
@@ -1,36 +1,36 @@
-"""Finds the heads of messages in bytes that arrive split or run together."""
+"""Extracts message heads from a byte stream, however it is split."""
 
 from __future__ import annotations
 
 from .buffers import BufferPool, ByteQueue
 from .errors import RemoteProtocolError
 
-MAX_HEAD_BYTES = 8 * 1024  #: of a start line and its header section
+MAX_HEAD_BYTES = 8 * 1024  #: of a start line with its header section
 END_OF_HEAD = b"\r\n\r\n"
 
-#: Start line, header section, and the offset of the body.  A bare tuple: one is made for every message.
+#: Start line, header section, and the offset of the body; a plain tuple is cheap to create for every message.
 Head = tuple[bytes, bytes, int]
 
 
 class HeadReader:
-    """Keeps what has arrived and belongs to no message yet.
+    """Keeps the received bytes that belong to no message yet.
 
-    A head that arrives in one piece is parsed where it lies; only what must wait is copied to a pooled buffer,
-    and each byte is searched once, however they are split.
+    A head that arrives in one piece is parsed in place.  Only incomplete input is copied to pooled buffers, and
+    each byte is searched once, however the input is split.
     """
 
     __slots__ = ("_data", "_is_head_pending", "_max_head_bytes", "_queue", "_tail")
 
     def __init__(self, pool: BufferPool, max_head_bytes: int) -> None:
-        """Start without any byte; a longer head than `max_head_bytes` is rejected."""
+        """Create a reader that rejects heads longer than `max_head_bytes`."""
         self._max_head_bytes = max_head_bytes
         self._queue = ByteQueue(pool)
-        self._data = b""  # the newest bytes, not searched yet
-        self._is_head_pending = False  # what waits in the queue has no end of a head
-        self._tail = b""  # the last bytes of the queue: an end of a head may be split
+        self._data = b""  # the newest bytes, which have not been searched
+        self._is_head_pending = False  # whether the queue holds a head without its end
+        self._tail = b""  # the last bytes of the queue, since END_OF_HEAD may be split
 
     def feed(self, data: bytes) -> None:
-        """Take in what has arrived."""
+        """Add received bytes."""
         if self._data:
             self._queue.put(self._data)
             if self._is_head_pending:
@@ -38,25 +38,25 @@
         self._data = data
 
     def _join_data(self) -> bytes:
-        """Put together all that waits; it is in `_data` then."""
+        """Move all buffered bytes to `_data` and return them."""
         if self._queue.size:
             self._data = self._queue.take() + self._data
         return self._data
 
     def _consume(self, end: int) -> None:
-        """Drop what has been parsed, the first `end` bytes of `_data`."""
+        """Drop the first `end` bytes of `_data`, which have been parsed."""
         self._data = self._data[end:] if end < len(self._data) else b""
 
     def _has_head_end(self) -> bool:
-        """Whether the newest bytes may end the head that waits, or make it too long."""
+        """Return whether the newest bytes complete the pending head or make it too long."""
         waiting_bytes = self._queue.size + len(self._data)
         return waiting_bytes > self._max_head_bytes or END_OF_HEAD in self._tail + self._data
 
     def _next_head(self) -> Head | None:
-        """Return the next head once all of it has arrived; the caller consumes it.
+        """Return the next head, or None while it is incomplete; the caller consumes it.
 
         Raises:
-            RemoteProtocolError: 431, where it is longer than the limit.
+            RemoteProtocolError: 431 if the head is longer than the limit.
         """
         if not self._data and not self._queue.size:
             return None
@@ -75,7 +75,7 @@
         return start_line, section, end + 4
 
     def _keep_partial_head(self, data: bytes) -> None:
-        """Let a head wait whose end has not arrived."""
+        """Buffer the beginning of a head whose end has not arrived."""
         if len(data) > self._max_head_bytes:
             raise RemoteProtocolError(431, "head too large")
         if data:
--- a/mapleline/http1/headers.py
+++ b/mapleline/http1/headers.py
@@ -1,4 +1,4 @@
-"""Header fields (RFC 9110, section 5) and those of them that say how a message is framed."""
+"""Parser of header fields (RFC 9110, section 5), and readers of the fields that define a message's framing."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from .errors import RemoteProtocolError
 
 TOKEN = rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+"  #: RFC 9110, section 5.6.2
-#: One match over the whole section costs less than a check a line.  No folded lines, no bare CR or LF, no NUL
-#: (RFC 9112, sections 2.2 and 5.2; RFC 9110, section 5.5).
+#: Matches a whole header section, which is cheaper than a check of each line.  Folded lines, bare CR or LF, and NUL
+#: are rejected (RFC 9112, sections 2.2 and 5.2; RFC 9110, section 5.5).
 FIELD_LINES = re.compile(rb"(?:" + TOKEN + rb":[^\x00\r\n]*\r\n)*")
-MAX_LENGTH_DIGITS = 19  #: of a Content-Length: no longer number is read
+MAX_LENGTH_DIGITS = 19  #: of a Content-Length; a longer one is too large
 
 Headers = dict[bytes, bytes]
 
 
 def parse_headers(section: bytes) -> Headers:
-    """Return the fields by name, in lower case; the values of a repeated name are joined (RFC 9110, section 5.3).
+    """Return the fields by lower-case name; values of a repeated name are joined (RFC 9110, section 5.3).
 
     Raises:
-        RemoteProtocolError: 400, where a line is no field line.
+        RemoteProtocolError: 400 if a line is malformed.
     """
     if not FIELD_LINES.fullmatch(section):
         raise RemoteProtocolError(400, "malformed header")
@@ -33,7 +33,7 @@
 
 
 def is_persistent(minor_version: bytes, headers: Headers) -> bool:
-    """Whether the connection outlives the message (RFC 9112, section 9.3)."""
+    """Return whether the connection persists after the message (RFC 9112, section 9.3)."""
     connection = headers.get(b"connection")
     if connection is None:
         return minor_version == b"1"
@@ -42,16 +42,16 @@
 
 
 def content_length(headers: Headers, max_body_bytes: int) -> int | None:
-    """Return the Content-Length, or None where there is none (RFC 9110, section 8.6).
+    """Return the Content-Length, or None if the field is absent (RFC 9110, section 8.6).
 
     Raises:
-        RemoteProtocolError: 400 for signs and for a list of numbers that differ, 413 for more than the limit.
+        RemoteProtocolError: 400 for a value with a sign or a list of different numbers, 413 above the limit.
     """
     text = headers.get(b"content-length")
     if text is None:
         return None
     if not text.isdigit():
-        # The same number again changes nothing (RFC 9110, section 8.6).
+        # A list that repeats one number is valid (RFC 9110, section 8.6).
         text, *others = [part.strip(b" \t") for part in text.split(b",")]
         if not text.isdigit() or any(other != text for other in others):
             raise RemoteProtocolError(400, "bad Content-Length")
--- a/mapleline/http1/message_reader.py
+++ b/mapleline/http1/message_reader.py
@@ -1,4 +1,4 @@
-"""Collects the body of a message, or passes it on while it arrives; the base of both readers of messages."""
+"""Base of the request and response readers: collects a message's body or streams it as it arrives."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class MessageReader(HeadReader):
-    """What requests and responses share: their bodies.
+    """Reads the bodies of requests and responses.
 
-    Without `stream_threshold_bytes` each body is given complete and has `MAX_BUFFERED_BODY_BYTES` at most.
-    With it a body may have `max_body_bytes`; one that is not complete with the threshold, or with
-    `MAX_BUFFERED_BODY_BYTES` while buffers are short, is streamed: the message is given with `is_streamed` set, and
-    the rest by `next_part` until `is_streaming` is False.
+    If `stream_threshold_bytes` is 0, each message is returned with its complete body of at most
+    `MAX_BUFFERED_BODY_BYTES`.  Otherwise a body may have `max_body_bytes`.  A body that is incomplete after
+    the threshold, or after `MAX_BUFFERED_BODY_BYTES` while the pool is short of buffers, is streamed: the message is
+    returned with `is_streamed` set, and `next_part` returns the rest until `is_streaming` is False.
     """
 
     __slots__ = (
@@ -38,28 +38,36 @@
         max_head_bytes: int = MAX_HEAD_BYTES,
         max_body_bytes: int = MAX_BODY_BYTES,
     ) -> None:
-        """`is_eager`: a body whose length says that it will be streamed is given with its first byte."""
+        """Create a reader.
+
+        Args:
+            pool: buffers for incomplete messages.
+            stream_threshold_bytes: larger bodies are streamed; 0: none is.
+            is_eager: stream a body from its first byte if its length exceeds `MAX_BUFFERED_BODY_BYTES`.
+            max_head_bytes: longer heads are rejected.
+            max_body_bytes: larger bodies are rejected, if bodies are streamed.
+        """
         super().__init__(pool, max_head_bytes)
         self._pool = pool
         self._stream_threshold_bytes = stream_threshold_bytes
         self._is_eager = is_eager
         self._max_body_bytes = max_body_bytes if stream_threshold_bytes else MAX_BUFFERED_BODY_BYTES
-        self._body: ContentLengthBody | UntilCloseBody | ChunkedBody | None = None  # its head has been parsed
-        self.is_streaming = False  #: a message has been given whose body goes on
+        self._body: ContentLengthBody | UntilCloseBody | ChunkedBody | None = None  # the body that is arriving
+        self.is_streaming = False  #: whether the last message returned has an incomplete body
 
     @property
     def waiting_bytes(self) -> int:
-        """Bytes taken in that belong to no message given out; a body that has begun counts one more."""
+        """Number of buffered bytes that have not been returned; a body that has begun counts one more."""
         body_bytes = 0 if self._body is None else self._body.buffered_bytes + 1
         return self._queue.size + len(self._data) + body_bytes
 
     @property
     def received_body_bytes(self) -> int:
-        """Bytes so far of the body that is arriving."""
+        """Number of bytes received of the body that is arriving."""
         return 0 if self._body is None else self._body.received_bytes
 
     def clear(self) -> None:
-        """Drop what waits, none of which will be read; its buffers go back now."""
+        """Drop all buffered input and release its buffers."""
         self._queue.take()
         self._data = b""
         self.is_streaming = False
@@ -68,13 +76,13 @@
             self._body = None
 
     def next_part(self) -> bytes:
-        """Return what has arrived of the body that is streamed; `is_streaming` is False once that was the last.
+        """Return the received part of the streamed body; `is_streaming` is False after the last part.
 
         Raises:
-            RemoteProtocolError: where the body cannot be read to its end.
+            RemoteProtocolError: if the body is malformed.
         """
         body = self._body
-        assert body is not None  # the caller has seen `is_streaming`
+        assert body is not None  # the caller has checked `is_streaming`
         self._consume(body.feed(self._join_data()))
         part = body.take()
         if body.is_complete:
@@ -83,13 +91,13 @@
         return part
 
     def ends_at_close(self) -> bool:
-        """The connection has ended: return whether that ends the body that is streamed."""
+        """Return whether the end of the connection, which has come, completes the streamed body."""
         return self.is_streaming and type(self._body) is UntilCloseBody
 
     def _collect_body(self, message: Request | Response) -> bool:
-        """Give `message` its body; return False while it has to wait for more of it."""
+        """Set the body of `message`; return False while the message cannot be returned yet."""
         body = self._body
-        assert body is not None  # the caller has begun it
+        assert body is not None  # the caller has begun the body
         self._consume(body.feed(self._join_data()))
         if body.is_complete:
             self._body = None
@@ -103,7 +111,7 @@
         return True
 
     def _is_to_be_streamed(self, body: ContentLengthBody | UntilCloseBody | ChunkedBody) -> bool:
-        """Whether an incomplete body goes on now instead of being collected."""
+        """Return whether an incomplete body is streamed from now on instead of being collected."""
         size = body.received_bytes
         if size > self._stream_threshold_bytes:
             return True
--- a/mapleline/http1/request_reader.py
+++ b/mapleline/http1/request_reader.py
@@ -1,4 +1,4 @@
-"""Requests (RFC 9112, section 3), read from the bytes of a client."""
+"""Parser of the requests that a client sends (RFC 9112, section 3)."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 from .message_reader import MAX_BODY_BYTES, MessageReader
 from .messages import Request
 
-#: The target in origin form, or in absolute form (RFC 9112, section 3.2.2), whose authority Host repeats.
+#: Accepts a target in origin form or in absolute form (RFC 9112, section 3.2.2).  The authority of the absolute form
+#: is ignored, since the Host field repeats it.
 REQUEST_LINE = re.compile(
     rb"(" + TOKEN + rb") (?:[Hh][Tt][Tt][Pp]://[^\x00-\x20/?#@\x7f]+)?((?:/[\x21-\x7e]*)?) HTTP/1\.([01])"
 )
-#: uri-host [":" port] (RFC 9110, section 7.2).  Two Host lines joined have a space, which none may have.
+#: uri-host [":" port] (RFC 9110, section 7.2).  Two joined Host fields contain a space, which this does not match.
 HOST = re.compile(rb"(?:\[[0-9A-Fa-f:.]+\]|[!$&'()*+,;=\-._~%0-9A-Za-z]*)(?::[0-9]{0,5})?")
 
 
 def parse_request_head(line: bytes, section: bytes, max_body_bytes: int) -> Request:
-    """Return the request, still without its body; its `length` is None with the chunked coding.
+    """Return the request without its body; its `length` is None with the chunked coding.
 
     Raises:
-        RemoteProtocolError: 400 for malformed or contradictory lines, 413 for too long a body, 501 for an
+        RemoteProtocolError: 400 for malformed or contradictory lines, 413 for a body above the limit, 501 for an
             unknown transfer coding.
     """
     match = REQUEST_LINE.fullmatch(line)
@@ -46,16 +47,16 @@
 
 
 def _check_chunked(minor_version: bytes, headers: Headers) -> None:
-    """Reject a Transfer-Encoding that is not the chunked coding alone, or cannot be trusted."""
+    """Reject a Transfer-Encoding that is ambiguous or anything but the chunked coding alone."""
     if b"content-length" in headers or minor_version == b"0":
-        # Two readers of it may not agree where it ends (RFC 9112, section 6.1).
+        # Two recipients may disagree on where the message ends (RFC 9112, section 6.1).
         raise RemoteProtocolError(400, "Transfer-Encoding with Content-Length, or in HTTP/1.0")
     if headers[b"transfer-encoding"].lower() != b"chunked":
         raise RemoteProtocolError(501, "unknown transfer coding")
 
 
 class RequestReader(MessageReader):
-    """Takes bytes as they arrive and gives requests."""
+    """Incremental reader of requests."""
 
     __slots__ = ("_request", "expects_continue")
 
@@ -66,21 +67,21 @@
         max_head_bytes: int = MAX_HEAD_BYTES,
         max_body_bytes: int = MAX_BODY_BYTES,
     ) -> None:
-        """See `MessageReader` for what is streamed."""
+        """Create a reader; `MessageReader` describes the arguments."""
         super().__init__(pool, stream_threshold_bytes, False, max_head_bytes, max_body_bytes)
-        self._request: Request | None = None  # whose body is arriving
-        self.expects_continue = False  #: the client waits for a 100 before it sends the body (RFC 9110, section 10.1.1)
+        self._request: Request | None = None  # the request whose body is arriving
+        self.expects_continue = False  #: whether the client waits for a 100 to send the body (RFC 9110, section 10.1.1)
 
     def clear(self) -> None:
-        """Drop what waits, none of which will be read; its buffers go back now."""
+        """Drop all buffered input and release its buffers."""
         super().clear()
         self.expects_continue = False
 
     def next_request(self) -> Request | None:
-        """Return the next request once it is complete or is to be streamed.
+        """Return the next request once it is complete or streamed, or None before that.
 
         Raises:
-            RemoteProtocolError: for a request that is rejected; nothing behind it can be read.
+            RemoteProtocolError: if the request is rejected; the input after it cannot be parsed.
         """
         if self._body is None:
             head = self._next_head()
@@ -104,7 +105,7 @@
         return pending
 
     def _begin_body(self, request: Request, body_start: int) -> None:
-        """Read on in the body, which has not arrived whole with its head."""
+        """Create the decoder of a body that did not arrive completely with its head."""
         if request.length is None:
             self._body = ChunkedBody(self._pool, self._max_body_bytes, is_strict=True)
         else:
--- a/mapleline/http1/response_reader.py
+++ b/mapleline/http1/response_reader.py
@@ -1,4 +1,4 @@
-"""Responses (RFC 9112, section 4), read from the bytes of a server."""
+"""Parser of the responses that a server sends (RFC 9112, section 4)."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from .message_reader import MessageReader
 from .messages import Response
 
-#: Interim responses (RFC 9110, section 15.2) before a final one: a server that sends no other must not keep its
-#: attempt for ever.
+#: Interim responses (RFC 9110, section 15.2) before a final one; the limit keeps a server that sends only these from
+#: prolonging an attempt for ever.
 MAX_INTERIM_RESPONSES = 32
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\x00\r\n]*)?")
 FIRST_FINAL_STATUS = 200
@@ -23,7 +23,7 @@
 
 
 def _body_length(status: int, headers: Headers, max_body_bytes: int) -> int | None:
-    """Return the length of the body, or None where its end is found otherwise (RFC 9112, section 6.3)."""
+    """Return the length of the body, or None if its end is found in another way (RFC 9112, section 6.3)."""
     length = 0 if status in (NO_CONTENT, NOT_MODIFIED) else content_length(headers, max_body_bytes)
     if b"transfer-encoding" in headers:
         if headers[b"transfer-encoding"].lower() != b"chunked" or b"content-length" in headers:
@@ -33,24 +33,24 @@
 
 
 class ResponseReader(MessageReader):
-    """Takes bytes as they arrive and gives final responses; interim ones are skipped."""
+    """Incremental reader of final responses; interim responses are skipped."""
 
     __slots__ = ("_interim_count", "_response")
 
     def __init__(self, pool: BufferPool, stream_threshold_bytes: int = 0, is_eager: bool = False) -> None:
-        """See `MessageReader` for what is streamed and when."""
+        """Create a reader; `MessageReader` describes the arguments."""
         super().__init__(pool, stream_threshold_bytes, is_eager)
-        self._response: Response | None = None  # whose body is arriving
-        self._interim_count = 0  # before the response that is awaited
+        self._response: Response | None = None  # the response whose body is arriving
+        self._interim_count = 0  # interim responses since the last final one
 
     def next_response(self, is_closed: bool = False) -> Response | None:
-        """Return the next response once it is complete or is to be streamed.
+        """Return the next response once it is complete or streamed, or None before that.
 
         Args:
-            is_closed: the connection has ended, which ends a body without a length.
+            is_closed: whether the connection has ended, which completes a body without a length.
 
         Raises:
-            RemoteProtocolError: for what is no response; nothing behind it can be read.
+            RemoteProtocolError: if the response is malformed; the input after it cannot be parsed.
         """
         while self._body is None:
             head = self._next_head()
@@ -78,14 +78,14 @@
         return self._pending_response(is_closed)
 
     def _skip_interim(self, status: int, body_start: int) -> None:
-        """Pass over a 1xx response; a 101 is an error, as no request asks to switch (RFC 9110, section 15.2.2)."""
+        """Skip a 1xx response; a 101 is an error, as no request asks for an upgrade (RFC 9110, section 15.2.2)."""
         self._interim_count += 1
         if self._interim_count > MAX_INTERIM_RESPONSES or status == SWITCHING_PROTOCOLS:
             raise RemoteProtocolError(400, "too much before the answer")
         self._consume(body_start)
 
     def _begin_body(self, response: Response, body_start: int) -> None:
-        """Read on in the body, which has not arrived whole with its head."""
+        """Create the decoder of a body that did not arrive completely with its head."""
         if response.length is not None:
             self._body = ContentLengthBody(self._pool, response.length)
         elif b"transfer-encoding" in response.headers:
@@ -97,7 +97,7 @@
         self._consume(body_start)
 
     def _pending_response(self, is_closed: bool) -> Response | None:
-        """Return the response whose body is arriving, once that is complete or is to be streamed."""
+        """Return the response whose body is arriving once it is complete or streamed, or None before that."""
         body = self._body
         if is_closed and type(body) is UntilCloseBody:
             body.is_complete = True
--- a/mapleline/http1/server.py
+++ b/mapleline/http1/server.py
@@ -1,12 +1,12 @@
-"""The server's side of a connection as a state machine: requests come in, each gets one response.
+"""State machine of the server side of a connection: each request gets one response, in order.
 
 | `busy` | `closing` | state                                                                                     |
 | ------ | --------- | ----------------------------------------------------------------------------------------- |
-| False  | False     | idle, or a request is arriving (`partial`): `next_request` gives it                       |
-| True   | False     | a request awaits its response; what arrives behind it waits (RFC 9112, section 9.3.2)     |
-| True   | True      | the response will be the last: the client or the owner closes, or nothing behind the      |
-|        |           | request can be read; only a body that is streamed is still read                           |
-| False  | True      | done: nothing is read or given any more, the owner closes once all is sent                |
+| False  | False     | idle, or a request is arriving (`partial`): `next_request` returns it                     |
+| True   | False     | a request awaits its response; further input is buffered (RFC 9112, section 9.3.2)        |
+| True   | True      | the response will be the last, as the client or the owner closes or the input after the   |
+|        |           | request cannot be parsed; only a body that is streamed is still read                      |
+| False  | True      | finished: input is ignored, and the owner closes once all output is sent                  |
 
 The owner may set `closing` at any time.
 """
@@ -24,20 +24,20 @@
 from .request_reader import RequestReader
 from .writer import LAST_CHUNK, write_chunk, write_head, write_response
 
-#: Taken in before reading pauses: one message that is not streamed.
+#: Reading pauses above this; it is the largest message that is not streamed.
 MAX_WAITING_BYTES = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES + len(END_OF_HEAD)
 
 
 class ResponseFraming(enum.Enum):
-    """How the end of a response's body is found (RFC 9112, section 6.3)."""
+    """How a client finds the end of a response's body (RFC 9112, section 6.3)."""
 
     LENGTH = enum.auto()  #: by its Content-Length
     CHUNKED = enum.auto()  #: by the last chunk
-    UNTIL_CLOSE = enum.auto()  #: by the end of the connection: a client of HTTP/1.0 knows no chunks
+    UNTIL_CLOSE = enum.auto()  #: by the end of the connection, as an HTTP/1.0 client does not know chunks
 
 
 class ServerConnection:
-    """One request at a time: what arrives behind it waits until it is answered."""
+    """Serves one request at a time; later requests stay buffered until it is answered."""
 
     __slots__ = ("_framing", "_is_http10", "_reader", "busy", "closing")
 
@@ -48,40 +48,40 @@
         max_head_bytes: int = MAX_HEAD_BYTES,
         max_body_bytes: int = MAX_BODY_BYTES,
     ) -> None:
-        """With `stream_threshold_bytes`, larger bodies are streamed: see `MessageReader`."""
+        """Create the state of a new connection; `MessageReader` describes the arguments."""
         self._reader = RequestReader(pool, stream_threshold_bytes, max_head_bytes, max_body_bytes)
-        self.busy = False  #: a request awaits its response
-        self.closing = False  #: nothing more is read, and the next response is the last
-        self._is_http10 = False  # the request's version
+        self.busy = False  #: whether a request awaits its response
+        self.closing = False  #: whether input is ignored and the next response is the last
+        self._is_http10 = False  # whether the current request's version is HTTP/1.0
         self._framing = ResponseFraming.LENGTH  # of the response that is being streamed
 
     def receive(self, data: bytes) -> None:
-        """Take in what has arrived."""
+        """Add received bytes."""
         if not self.closing or self._reader.is_streaming:
             self._reader.feed(data)
 
     def clear(self) -> None:
-        """Nothing more will arrive, and nothing that waits is read: its buffers go back."""
+        """Stop reading: drop all buffered input and release its buffers."""
         self.closing = True
         self._reader.clear()
 
     @property
     def partial(self) -> bool:
-        """A request has begun to arrive and is not complete."""
+        """Whether a request has begun to arrive and is incomplete."""
         return not self.busy and self._reader.waiting_bytes > 0
 
     @property
     def is_streaming(self) -> bool:
-        """The body of the current request is still arriving."""
+        """Whether the streamed body of the current request is still arriving."""
         return self._reader.is_streaming
 
     @property
     def body_size(self) -> int:
-        """Bytes so far of a body that is arriving."""
+        """Number of bytes received of the body that is arriving."""
         return self._reader.received_body_bytes
 
     def take_expectation(self) -> bool:
-        """Return whether the client waits for a 100 (RFC 9110, section 10.1.1): True once for each request."""
+        """Return whether the client waits for a 100 (RFC 9110, section 10.1.1), and reset that state."""
         is_expected = self._reader.expects_continue
         self._reader.expects_continue = False
         return is_expected
@@ -92,14 +92,14 @@
         return self._reader.waiting_bytes > MAX_WAITING_BYTES
 
     def next_request(self) -> Request | None:
-        """Return the next request once it has arrived and the one before it is answered.
+        """Return the next request once it has arrived and the previous one is answered, or None before that.
 
         Raises:
-            RemoteProtocolError: for a request that is rejected: the next response, with its status, is the last.
+            RemoteProtocolError: if the request is rejected; the response with the error's status is the last one.
         """
         if self.busy or self.closing:
             return None
-        self._is_http10 = False  # for the response to a request that cannot be read
+        self._is_http10 = False  # used if the request cannot be parsed
         try:
             request = self._reader.next_request()
         except RemoteProtocolError:
@@ -114,17 +114,17 @@
         return request
 
     def _end_after(self, request: Request) -> None:
-        """Read nothing behind the last request (RFC 9112, section 9.6)."""
+        """Ignore the input after the last request (RFC 9112, section 9.6)."""
         if request.is_streamed:
             self.closing = True
         else:
             self.clear()
 
     def next_part(self) -> bytes:
-        """Return more of the body of the current request.
+        """Return the next part of the current request's streamed body.
 
         Raises:
-            RemoteProtocolError: where it cannot be read to its end; nothing is read after that.
+            RemoteProtocolError: if the body is malformed; no further input is read then.
         """
         try:
             return self._reader.next_part()
@@ -137,13 +137,16 @@
         invariant(self.busy, "answer.without_request")
         self.busy = False
         if self._reader.is_streaming:
-            self.clear()  # nobody wants the rest of the body, and the next request could only follow it
+            self.clear()  # the rest of the body is not needed, and no later request is read after it
         if self._is_http10 and not self.closing:
             lines += b"Connection: keep-alive\r\n"
         return write_response(status, body, lines, self.closing)
 
     def begin(self, status: int, lines: bytes, length: int | None) -> bytes:
-        """Return the head of a response whose body is streamed; without a `length` it goes in chunks."""
+        """Return the head of a response whose body is streamed.
+
+        Without a `length` the body is sent in chunks, or until the connection's end to an HTTP/1.0 client.
+        """
         invariant(self.busy, "answer.without_request")
         if self._reader.is_streaming:
             self.clear()
@@ -161,14 +164,14 @@
 
     @property
     def ends_by_close(self) -> bool:
-        """Only an orderly end of the connection says that the current response is complete."""
+        """Whether only an orderly end of the connection marks the end of the current response."""
         return self._framing is ResponseFraming.UNTIL_CLOSE
 
     def part(self, data: bytes) -> bytes:
-        """Return the bytes of a part, which is not empty, of the response's body."""
+        """Return the encoded form of a non-empty part of the response's body."""
         return write_chunk(data) if self._framing is ResponseFraming.CHUNKED else data
 
     def end(self) -> bytes:
-        """Return what ends the streamed response; the connection is free for the next request."""
+        """End the streamed response and return its last bytes; the next request may follow."""
         self.busy = False
         return LAST_CHUNK if self._framing is ResponseFraming.CHUNKED else b""
--- a/mapleline/http1/translator.py
+++ b/mapleline/http1/translator.py
@@ -1,4 +1,4 @@
-"""What a request on the ingress in service means to the decision module (`policy`)."""
+"""Translates client requests of a real ingress into arrivals for the decision module (`policy`)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .upload import Upload
 
 READY_PATH = b"/health/ready"
-CUSTOMERS_END = 1 << 33  #: above the largest customer number
+CUSTOMERS_END = 1 << 33  #: one more than the largest customer number
 MAX_TIMEOUT_MS = 3_600_000
 MAX_REQUEST_ID_BYTES = 128
 NS_PER_MS = 1_000_000
@@ -25,35 +25,35 @@
 
 @dataclass(slots=True)
 class TranslatedRequest:
-    """A request of a known class and plan: the facts for the decision module and what goes upstream."""
+    """A valid request: its arrival for the decision module, and the data that is forwarded to a server."""
 
     id: bytes
     arrival: Arrival
     request: Request
     lines: bytes  #: the header lines that are forwarded
-    upload: Upload | None = None  #: the rest of a body that is still arriving
+    upload: Upload | None = None  #: the rest of a streamed body
 
 
 @dataclass(slots=True)
 class Weight:
-    """The header X-Weight: what a request uses of its quota, and the gateways that share the count."""
+    """The X-Weight header: the quota units that a request uses, and the gateways that share the count."""
 
     units: float
-    spread: int  #: gateways
-    first: int  #: the first of them
+    spread: int  #: number of gateways
+    first: int  #: index of the first gateway
 
 
 class Translator:
-    """Reads requests by the settings; one that does not fit them never reaches the decision module."""
+    """Validates requests against the settings; invalid ones never reach the decision module."""
 
     def __init__(self, start: Start, classes: list[str], plans: list[str]) -> None:
-        """Know the names of the classes and plans by their numbers in `start`."""
+        """Map the names of classes and plans to their indices in `start`."""
         self._classes = {name.encode(): number for number, name in enumerate(classes)}
         self._plans = {name.encode(): number for number, name in enumerate(plans)}
         self._start = start
 
     def read(self, request: Request) -> TranslatedRequest:
-        """Return what the request means.
+        """Return the translated request.
 
         Raises:
             RejectedRequestError: 404 for an unknown class, 405 for the wrong method, 400 for anything else.
@@ -89,7 +89,7 @@
         return TranslatedRequest(request_id, arrival, request, lines)
 
     def _class_of(self, name: bytes, request: Request) -> int:
-        """Return the number of the class, whose method the request has."""
+        """Return the index of the class; check that the request has the method of the class."""
         cls = self._classes.get(name)
         if cls is None:
             raise RejectedRequestError(404, "unknown class")
@@ -97,7 +97,7 @@
         if request.method != (b"GET" if effect == Effect.SAFE else b"POST"):
             raise RejectedRequestError(405, "wrong method")
         if request.body and request.method == b"GET":
-            # Servers may take it for the next request (RFC 9110, section 9.3.1).
+            # A server may parse such a body as the next request (RFC 9110, section 9.3.1).
             raise RejectedRequestError(400, "a body on GET")
         return cls
 
@@ -113,7 +113,7 @@
 
 
 def _read_customer(path: bytes) -> int:
-    """Return the customer's number: the last segment of the path."""
+    """Return the customer's number, which is the last segment of the path."""
     customer = path.rpartition(b"/")[2]
     if not CUSTOMER.fullmatch(customer) or int(customer, 16) >= CUSTOMERS_END:
         raise RejectedRequestError(400, "bad customer")
--- a/mapleline/http1/upload.py
+++ b/mapleline/http1/upload.py
@@ -1,4 +1,7 @@
-"""The rest of a request's body on its way from a client's connection to an attempt's; knows neither."""
+"""Forwards a streamed request body from the client's connection to that of an attempt.
+
+The module depends on neither connection: both sides are reached through callbacks and the `Sink` protocol.
+"""
 
 from __future__ import annotations
 
@@ -9,35 +12,35 @@
 
 
 class Sink(Protocol):
-    """Takes a body to a server."""
+    """A connection that sends a body to a server."""
 
     @property
     def is_flushed(self) -> bool:
-        """Everything given to it has been sent."""
+        """Whether all data passed to `send` has been sent."""
 
     def send(self, data: bytes) -> None:
-        """Send `data` behind what was given before."""
+        """Send `data` after the data of earlier calls."""
 
 
 def _ignore_end() -> None:
-    """Stand in for the callback of an attempt while there is none."""
+    """Do nothing: the callback while no attempt is attached."""
 
 
 class Upload:
-    """Keeps what arrives before there is an attempt; what arrives later is sent on and not kept.
+    """Buffers the body until an attempt is attached, and then forwards later parts without keeping them.
 
     Attributes:
-        length: of the whole body, in bytes; without one it is sent in chunks.
-        is_complete: the client has sent all of it.
+        length: bytes of the whole body; if None, it is sent in chunks.
+        is_complete: whether the client has sent the whole body.
     """
 
     def __init__(self, length: int | None, on_wanted: Callable[[], None], on_spent: Callable[[], None]) -> None:
-        """Start without any byte.
+        """Create an upload without data.
 
         Args:
-            length: of the whole body, in bytes, or None.
-            on_wanted: more may be read from the client.
-            on_spent: something is gone that another attempt would need.
+            length: bytes of the whole body, or None if unknown.
+            on_wanted: called when more may be read from the client.
+            on_spent: called when data is sent that is not kept, so that another attempt cannot send it.
         """
         self.length = length
         self._on_wanted = on_wanted
@@ -49,11 +52,11 @@
 
     @property
     def has_room(self) -> bool:
-        """More may be read from the client: one part is kept at most."""
+        """Whether more may be read from the client; at most one part is buffered."""
         return self._sink.is_flushed if self._sink is not None else not self._kept
 
     def put(self, part: bytes, is_last: bool) -> None:
-        """Take in what the client sent; `is_last` says that nothing follows."""
+        """Accept a part from the client; `is_last` marks the end of the body."""
         data = self._framed(part)
         if is_last:
             self.is_complete = True
@@ -74,11 +77,11 @@
         self.flushed()
 
     def attach(self, sink: Sink, on_sent: Callable[[], None]) -> None:
-        """Send what follows to an attempt whose head and first part are sent.
+        """Forward the rest of the body to an attempt whose head and first part are sent.
 
         Args:
             sink: the attempt's connection.
-            on_sent: the last byte of the body has been sent.
+            on_sent: called when the last byte of the body has been sent.
         """
         self._sink = sink
         self._on_sent = on_sent
@@ -90,12 +93,12 @@
             self.flushed()
 
     def detach(self, sink: Sink) -> None:
-        """The attempt is over."""
+        """Stop forwarding to an attempt that has ended."""
         if self._sink is sink:
             self._sink = None
 
     def flushed(self) -> None:
-        """The sink has sent all it was given (called as well when it may not have)."""
+        """Continue once the sink has sent all data; it is harmless to call this earlier."""
         if self._sink is None or not self._sink.is_flushed:
             return
         if self.is_complete:
--- a/mapleline/http1/writer.py
+++ b/mapleline/http1/writer.py
@@ -1,4 +1,4 @@
-"""Requests, responses and chunks as bytes (RFC 9112, sections 3, 4 and 7.1)."""
+"""Serialisers of requests, responses and chunks (RFC 9112, sections 3, 4 and 7.1)."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-LAST_CHUNK = b"0\r\n\r\n"  #: with an empty trailer section
+LAST_CHUNK = b"0\r\n\r\n"  #: with an empty trailer section (RFC 9112, section 7.1)
 
 
 def write_request(method: bytes, target: bytes, lines: bytes, body: bytes = b"") -> bytes:
     """Return a request with a complete body.
 
     Args:
-        method: as it is sent.
-        target: in origin form.
+        method: the method in the form sent.
+        target: the target in origin form.
         lines: complete header lines, each with its CRLF; Content-Length is added.
-        body: what follows the head.
+        body: the complete body.
     """
     if body or method == b"POST":
         return b"%b %b HTTP/1.1\r\n%bContent-Length: %d\r\n\r\n%b" % (method, target, lines, len(body), body)
@@ -52,7 +52,10 @@
 
 
 def write_head(status: int, lines: bytes, length: int | None, is_chunked: bool, close: bool) -> bytes:
-    """Return the head of a response whose body follows: with its length, in chunks, or until the close."""
+    """Return the head of a response whose body follows.
+
+    The body has `length` bytes; if that is None, it is sent in chunks (`is_chunked`) or ends with the connection.
+    """
     if length is not None:
         lines += b"Content-Length: %d\r\n" % length
     elif is_chunked:
@@ -63,5 +66,5 @@
 
 
 def write_chunk(data: bytes) -> bytes:
-    """Return `data`, which is not empty, as one chunk."""
+    """Return non-empty `data` as one chunk."""
     return b"%x\r\n%b\r\n" % (len(data), data)
