--- a/mapleline/settings/__init__.py
+++ b/mapleline/settings/__init__.py
@@ -1,1 +1,1 @@
-"""What the program is told: the platform's JSON (`platform`) and our own HCL (`own`), each checked once."""
+"""Settings, checked once when they are read: the platform's JSON (`platform`) and the program's own HCL (`own`)."""
--- a/mapleline/settings/hcl.py
+++ b/mapleline/settings/hcl.py
@@ -1,6 +1,6 @@
-"""HCL text as plain blocks with line numbers; python-hcl2 does the parsing.
+"""Reads HCL text into plain blocks with line numbers; python-hcl2 parses the text.
 
-Settings are constants: an expression, a reference or a function call is a fault of the line it stands on.
+All values are constants: an expression, a reference or a function call is reported as a fault of its line.
 """
 
 from __future__ import annotations
@@ -10,11 +10,17 @@
 
 
 class Fault(Exception):
-    """One thing wrong with a file: the line (from 1; 0 where it has none), the key and why."""
+    """An error in a settings file.
 
-    def __init__(self, line: int, key: str, why: str) -> None:
-        super().__init__(f"line {line}: {key}: {why}" if key else f"line {line}: {why}")
-        self.line, self.key, self.why = line, key, why
+    Attributes:
+        line: the line number from 1; 0 if the error belongs to no line.
+        key: the faulty key; empty if the error belongs to none.
+        reason: a short description.
+    """
+
+    def __init__(self, line: int, key: str, reason: str) -> None:
+        super().__init__(f"line {line}: {key}: {reason}" if key else f"line {line}: {reason}")
+        self.line, self.key, self.reason = line, key, reason
 
 
 @dataclass(slots=True)
@@ -27,7 +33,7 @@
 
 @dataclass(slots=True)
 class Block:
-    """A block: its type and labels, and what stands in its body, in the file's order."""
+    """A block: its type (`name`), its labels and the contents of its body, in the file's order."""
 
     name: str
     labels: tuple[str, ...]
@@ -38,55 +44,64 @@
 
     @property
     def key(self) -> str:
+        """The name and the labels, joined by dots."""
         return ".".join((self.name, *self.labels))
 
 
 def parse(text: str) -> Block:
-    """The file as a block without a name; raises Fault where the text is no HCL at all."""
-    import hcl2  # 9 MB: only those who read HCL pay for it
+    """Return the file as a block without a name.
+
+    Raises:
+        Fault: if the text is not HCL.  Faults of single values are collected in their blocks instead.
+    """
+    import hcl2  # imported here, as it takes 9 MB of memory that a process without HCL settings saves
     from lark.exceptions import UnexpectedInput
 
     try:
         tree = hcl2.parses_to_tree(text)
-    except UnexpectedInput as err:
-        raise Fault(max(0, getattr(err, "line", 0)), "", "not HCL: " + _shown(err)) from None
+    except UnexpectedInput as error:
+        raise Fault(max(0, getattr(error, "line", 0)), "", "not HCL: " + _describe(error)) from None
     top = Block("", (), 1)
-    _body(tree.children[0], top, "")
+    _read_body(tree.children[0], top, "")
     return top
 
 
-def _shown(err: Any) -> str:
-    token = getattr(err, "token", None) or getattr(err, "char", "")
+def _describe(error: Any) -> str:
+    token = getattr(error, "token", None) or getattr(error, "char", "")
     return f"unexpected {str(token).strip().splitlines()[0]!r}" if str(token).strip() else "unexpected end"
 
 
-def _body(tree: Any, block: Block, at: str) -> None:
+def _read_body(tree: Any, block: Block, key_prefix: str) -> None:
     for child in tree.children:
         kind = getattr(child, "data", None)
         if kind == "attribute":
             name = str(child.children[0].children[0])
-            line, key = child.meta.line, f"{at}{name}"
+            line, key = child.meta.line, f"{key_prefix}{name}"
             if name in block.values:
                 block.faults.append(Fault(line, key, f"set twice, first on line {block.values[name].line}"))
                 continue
             try:
-                block.values[name] = Value(_constant(child.children[2]), line)
-            except ValueError as err:
-                block.faults.append(Fault(line, key, str(err)))
-                block.values[name] = Value(None, line)  # known, though of no use: not missing as well
+                block.values[name] = Value(_read_constant(child.children[2]), line)
+            except ValueError as error:
+                block.faults.append(Fault(line, key, str(error)))
+                block.values[name] = Value(None, line)  # keeps the key from being reported as missing as well
         elif kind == "block":
-            heads = [c for c in child.children if getattr(c, "data", None) in ("identifier", "string")]
-            name, *labels = (_label(c) for c in heads)
-            inner = Block(name, tuple(labels), child.meta.line)
-            _body(next(c for c in child.children if getattr(c, "data", None) == "body"), inner, f"{at}{inner.key}.")
-            block.blocks.append(inner)
+            headings = [part for part in child.children if getattr(part, "data", None) in ("identifier", "string")]
+            name, *labels = (_read_label(heading) for heading in headings)
+            inner_block = Block(name, tuple(labels), child.meta.line)
+            _read_body(
+                next(part for part in child.children if getattr(part, "data", None) == "body"),
+                inner_block,
+                f"{key_prefix}{inner_block.key}.",
+            )
+            block.blocks.append(inner_block)
 
 
-def _label(tree: Any) -> str:
-    return str(tree.children[0]) if tree.data == "identifier" else _string(tree)
+def _read_label(tree: Any) -> str:
+    return str(tree.children[0]) if tree.data == "identifier" else _read_string(tree)
 
 
-def _string(tree: Any) -> str:
+def _read_string(tree: Any) -> str:
     parts = []
     for child in tree.children:
         if getattr(child, "data", None) != "string_part":
@@ -102,19 +117,19 @@
     return text.encode().decode("unicode_escape") if "\\" in text and text.isascii() else text
 
 
-def _constant(tree: Any) -> Any:
+def _read_constant(tree: Any) -> Any:
     kind = getattr(tree, "data", None)
     if kind == "expr_term":
-        inner = [c for c in tree.children if getattr(c, "data", None) not in (None, "new_line_or_comment")]
-        if len(inner) == 1 and len(tree.children) == 1:
-            return _constant(inner[0])
+        terms = [child for child in tree.children if getattr(child, "data", None) not in (None, "new_line_or_comment")]
+        if len(terms) == 1 and len(tree.children) == 1:
+            return _read_constant(terms[0])
     elif kind in ("int_lit", "float_lit"):
         text = str(tree.children[0])
         return int(text) if kind == "int_lit" else float(text)
     elif kind == "literal_value":
         return {"true": True, "false": False, "null": None}[str(tree.children[0])]
     elif kind == "string":
-        return _string(tree)
+        return _read_string(tree)
     elif kind == "tuple":
-        return [_constant(c) for c in tree.children if getattr(c, "data", None) == "expr_term"]
+        return [_read_constant(child) for child in tree.children if getattr(child, "data", None) == "expr_term"]
     raise ValueError("expected a constant: a number, a text, true, false, null or a list of them")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Our own settings and the command line: every fault is told, with its key and line; nothing is guessed."""
+"""The program's own settings and the command line: every fault is reported with its line and key."""
 
 import copy
 import json
@@ -15,6 +15,7 @@
 
 
 def command(*args, **environment):
+    """Run `mapleline` with these arguments and return the completed process."""
     return subprocess.run(
         [sys.executable, "-m", "mapleline", *map(str, args)],
         cwd=ROOT,
@@ -29,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected_faults"),
     [
         ("cores {\n  worker = 2\n}", ["line 2: cores.worker: unknown; did you mean 'workers'?"]),
         ("cores {\n  workers = 0\n}", ["line 2: cores.workers: expected 1 to 16, got 0"]),
@@ -64,28 +65,30 @@
         ),
     ],
 )
-def test_every_fault_names_its_line_and_key(text, told):
-    assert faults_of(text) == told
+def test_every_fault_names_its_line_and_key(text, expected_faults):
+    assert faults_of(text) == expected_faults
 
 
-def test_text_that_is_no_hcl_names_the_line():
+def test_syntax_error_names_the_line():
     assert faults_of("cores {\n workers = = 2\n}")[0].startswith("line 2: not HCL: ")
 
 
-def test_defaults_stand_where_nothing_is_said_and_the_shipped_file_says_just_them():
+def test_absent_settings_have_defaults_and_the_shipped_file_lists_them():
     assert own.read("") == (own.Own(), []) == own.read("cores { workers = null }")
     assert own.load(str(ROOT / "deploy" / "mapleline.hcl")) == (own.Own(), [])
 
 
 @given(st.integers(1, 16), st.floats(1.05, 10, allow_nan=False), st.sampled_from(["auto", "json", "text"]))
-def test_what_is_written_is_read(workers, lean, form):
+def test_values_are_read_as_written(workers, lean, form):
     cores = f"cores {{\n workers = {workers}\n lean = {lean:.6f}\n}}"
-    told, faults = own.read(f'{cores}\nlog {{ form = "{form}" }}')
+    settings_read, faults = own.read(f'{cores}\nlog {{ form = "{form}" }}')
     assert not faults
-    assert (told.cores.workers, told.log.form) == (workers, form) and abs(told.cores.lean - lean) < 1e-5
+    assert (settings_read.cores.workers, settings_read.log.form) == (workers, form) and abs(
+        settings_read.cores.lean - lean
+    ) < 1e-5
 
 
-def test_check_tells_every_fault_of_both_kinds_of_file_in_one_go(tmp_path):
+def test_check_reports_all_faults_of_json_and_hcl_files_at_once(tmp_path):
     config = copy.deepcopy(config_for(Counter(), Discovery(), [Peer(lambda *_: None)]))
     good, bad, hcl = tmp_path / "good.json", tmp_path / "bad.json", tmp_path / "own.hcl"
     good.write_text(json.dumps(config))
@@ -96,9 +99,9 @@
     bad.write_text(json.dumps(config))
     hcl.write_text("cores { workers = 0 }")
     done = command("check", good, bad, hcl, tmp_path / "none.hcl")
-    told = [line.split(": ", 1)[1].split(":")[0] for line in done.stdout.splitlines()]
+    faults = [line.split(": ", 1)[1].split(":")[0] for line in done.stdout.splitlines()]
     assert done.returncode == 1
-    assert told == [
+    assert faults == [
         "good",
         "seed",
         "settings.classes[0].aim_ns",
@@ -124,13 +127,13 @@
         (["completion", "bash"], 0, "_MAPLELINE_COMPLETE"),
     ],
 )
-def test_exit_codes_and_words(args, status, text):
+def test_exit_codes_and_output(args, status, text):
     done = command(*args)
     assert done.returncode == status and text in done.stdout + done.stderr
 
 
-def test_counters_does_not_signal_what_is_no_mapleline():
-    """SIGUSR1 ends a process that does not expect it."""
+def test_counters_does_not_signal_other_programs():
+    """SIGUSR1 ends a process without a handler for it."""
     other = subprocess.Popen(["sleep", "60"])
     try:
         done = command("counters", other.pid)
@@ -140,11 +143,11 @@
         other.wait()
 
 
-def test_run_imports_nothing_that_it_does_not_use(tmp_path):
-    """32 MB are all it may have: each of these would take a part of it."""
+def test_run_imports_no_unused_packages(tmp_path):
+    """Each of these packages would use a part of the 32 MB that the process may have."""
     code = "import sys, mapleline.ingress; print(*sorted({m.split('.')[0] for m in sys.modules}))"
     loaded = subprocess.check_output([sys.executable, "-c", code], cwd=ROOT, text=True).split()
     assert not {"click", "hcl2", "lark", "numpy", "pyarrow", "matplotlib", "hdrh", "uvloop"} & set(loaded)
     code = "import sys, mapleline.ingress; print(*(m for m in sys.modules if m.startswith('mapleline.')))"
-    ours = subprocess.check_output([sys.executable, "-c", code], cwd=ROOT, text=True)
-    assert not [m for m in ours.split() if m.split(".")[1] in ("cli", "cores", "lab")]
+    own_modules = subprocess.check_output([sys.executable, "-c", code], cwd=ROOT, text=True)
+    assert not [m for m in own_modules.split() if m.split(".")[1] in ("cli", "cores", "lab")]
