--- a/mapleline/cli/commands.py
+++ b/mapleline/cli/commands.py
@@ -228,7 +228,7 @@
     if plot is not None:
         from ..lab.plots import latency_by_rate
 
-        latency_by_rate(every, cores.HELD_MS, plot)
+        latency_by_rate(every, cores.MAX_P99_MS, plot)
     return 0
 
 
--- a/mapleline/lab/__init__.py
+++ b/mapleline/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-in parties, open-loop load, and measurements.  `run` needs none of it."""
+"""Load measurements on one machine: stand-in servers, an open-loop load generator and plots; `run` uses none of it."""
--- a/mapleline/lab/standins.py
+++ b/mapleline/lab/standins.py
@@ -1,7 +1,7 @@
-"""The parties round an ingress as processes on loopback: agenda servers, the counter and discovery.
+"""Stand-ins for the services around an ingress, as processes on loopback: agenda servers, the counter and discovery.
 
-Each is an asyncio protocol on uvloop that answers at once or after a fixed time, and keeps a tally.  A
-process prints its ports as one JSON line, and its tally as another when its standard input closes.
+Each is an asyncio protocol on uvloop that responds at once or after a fixed time, and counts its calls.  A process
+prints its ports as one JSON line, and its counts as another when its standard input closes.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Http(asyncio.Protocol):
-    """Reads requests one behind another; `answered` gives the bytes of each answer."""
+    """Reads pipelined requests; `party.answer` returns the bytes of each response, or None if it is sent later."""
 
     def __init__(self, party: Any) -> None:
         self.party, self.data = party, b""
@@ -28,23 +28,24 @@
 
     def data_received(self, data: bytes) -> None:
         data = self.data + data if self.data else data
-        out = []
+        answers = []
         while (end := data.find(b"\r\n\r\n")) >= 0:
-            head, body = data[:end], 0
-            at = head.find(b"Content-Length: ")
-            if at >= 0:
-                body = int(head[at + 16 : (head.find(b"\r\n", at) + 1 or len(head) + 1) - 1])
-            if len(data) < end + 4 + body:
+            head, body_bytes = data[:end], 0
+            start = head.find(b"Content-Length: ")
+            if start >= 0:
+                body_bytes = int(head[start + 16 : (head.find(b"\r\n", start) + 1 or len(head) + 1) - 1])
+            if len(data) < end + 4 + body_bytes:
                 break
-            data = data[end + 4 + body :]
+            data = data[end + 4 + body_bytes :]
             answer = self.party.answer(head, self)
             if answer:
-                out.append(answer)
+                answers.append(answer)
         self.data = data
-        if out:
-            self.transport.write(b"".join(out))
+        if answers:
+            self.transport.write(b"".join(answers))
 
     def later(self, delay_s: float, answer: bytes) -> None:
+        """Send a response after a delay."""
         asyncio.get_running_loop().call_later(delay_s, self._write, answer)
 
     def _write(self, answer: bytes) -> None:
@@ -53,7 +54,7 @@
 
 
 class Agenda:
-    """Agenda servers of one process: they serve after `work_s` and tally the metered customers' requests."""
+    """Agenda servers of one process: they respond after `work_s` and record the metered customers' arrival times."""
 
     body = b"x" * 200
 
@@ -63,6 +64,7 @@
         self.times: dict[int, list[float]] = defaultdict(list)
 
     def answer(self, head: bytes, connection: Http) -> bytes | None:
+        """Return the response, or None if it is sent later."""
         self.served += 1
         path = head[: head.find(b" HTTP/1.1")]
         customer = int(path[-16:], 16)
@@ -75,18 +77,20 @@
         return None
 
     def tally(self) -> dict[str, Any]:
-        return {"served": self.served, "times": {str(c): t for c, t in self.times.items()}}
+        """Return the counts."""
+        return {"served": self.served, "times": {str(customer): times for customer, times in self.times.items()}}
 
 
-class Totals:
-    """The counter."""
+class Counter:
+    """The counter service; with `record` it appends a JSON line for each call to that file."""
 
     def __init__(self, record: str | None = None) -> None:
         self.totals: dict[bytes, float] = defaultdict(float)
         self.calls = 0
-        self.record = open(record, "ab", buffering=0) if record else None  # a line a call
+        self.record = open(record, "ab", buffering=0) if record else None
 
     def answer(self, head: bytes, connection: Http) -> bytes:
+        """Add the amount and return the response with the new total."""
         self.calls += 1
         name, _, query = head[len(b"POST /v2/numbers/") : head.find(b" HTTP/1.1")].partition(b"?delta=")
         amount = float(query.partition(b"&")[0])
@@ -98,16 +102,18 @@
         return OK % (len(text), text)
 
     def tally(self) -> dict[str, Any]:
+        """Return the counts."""
         return {"calls": self.calls, "names": len(self.totals)}
 
 
-class Roster:
-    """Discovery: nothing is ever new."""
+class Discovery:
+    """Discovery with a constant server list."""
 
     def __init__(self, targets: list[dict[str, Any]]) -> None:
         self.list = orjson.dumps({"rev": 1, "all": True, "targets": targets})
 
     def answer(self, head: bytes, connection: Http) -> bytes | None:
+        """Return the response, or None if it is sent later."""
         if b"after=" not in head:
             return OK % (len(self.list), self.list)
         nothing = b'{"rev":1,"all":false,"targets":[]}'
@@ -115,25 +121,29 @@
         return None
 
     def tally(self) -> dict[str, Any]:
+        """Return the counts."""
         return {}
 
 
-def party_of(told: dict[str, Any]) -> Any:
-    if told["kind"] == "agenda":
-        return Agenda(told["work_s"], told["metered_below"])
-    return Totals(told.get("record")) if told["kind"] == "counter" else Roster(told["targets"])
+def _create_party(settings: dict[str, Any]) -> Any:
+    """Return the stand-in that `kind` names."""
+    if settings["kind"] == "agenda":
+        return Agenda(settings["work_s"], settings["metered_below"])
+    return Counter(settings.get("record")) if settings["kind"] == "counter" else Discovery(settings["targets"])
 
 
-async def serve(told: dict[str, Any]) -> None:
-    party, loop = party_of(told), asyncio.get_running_loop()
-    many = range(told.get("many", 1))
-    servers = [await loop.create_server(lambda: Http(party), "127.0.0.1", 0) for _ in many]
-    print(orjson.dumps([s.sockets[0].getsockname()[1] for s in servers]).decode(), flush=True)
+async def serve(settings: dict[str, Any]) -> None:
+    """Serve on `many` ports (default 1) until standard input closes."""
+    party, loop = _create_party(settings), asyncio.get_running_loop()
+    indices = range(settings.get("many", 1))
+    servers = [await loop.create_server(lambda: Http(party), "127.0.0.1", 0) for _ in indices]
+    print(orjson.dumps([server.sockets[0].getsockname()[1] for server in servers]).decode(), flush=True)
     await loop.run_in_executor(None, sys.stdin.read)
     print(orjson.dumps(party.tally()).decode(), flush=True)
 
 
 def main() -> None:
+    """Run the stand-in that the JSON argument describes."""
     import uvloop
 
     uvloop.run(serve(orjson.loads(sys.argv[1])))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory measures what it says: its tallies agree with each other and with sums done by hand."""
+"""Load measurements: the counts of all parties agree with each other and with sums computed by hand."""
 
 import json
 
@@ -10,41 +10,41 @@
 
 
 @pytest.mark.parametrize(
-    ("moments", "beyond"),
+    ("times", "units_beyond"),
     [
-        ([0.0] * 20, 0),  # the burst
+        ([0.0] * 20, 0),  # exactly the burst
         ([0.0] * 25, 5),
-        ([0.0] * 20 + [0.5] * 7, 2),  # refilled by five
-        ([n / 10 for n in range(100)], 0),  # the rate
+        ([0.0] * 20 + [0.5] * 7, 2),  # five of the seven are refilled
+        ([n / 10 for n in range(100)], 0),  # exactly the quota's rate
         ([n / 20 for n in range(200)], 200 - 20 - 99.5),
     ],
 )
-def test_units_beyond_a_bucket(moments, beyond):
-    given = cores.METERED * (cores.BURST + cores.RATE * 10)
-    assert cores.beyond_buckets({"1": moments}, 10) * given == pytest.approx(beyond, abs=1)
+def test_units_beyond_a_bucket(times, units_beyond):
+    granted = cores.METERED_CUSTOMERS * (cores.QUOTA_BURST_UNITS + cores.QUOTA_RATE_PER_S * 10)
+    assert cores.beyond_buckets({"1": times}, 10) * granted == pytest.approx(units_beyond, abs=1)
 
 
-def test_the_load_the_ingress_and_the_stand_ins_count_the_same():
+def test_load_ingress_and_stand_ins_agree_on_counts():
     run = cores.trial(workers=2, rate=300, seconds=1, connections=16, seed=3)
     ends = run["ends"]
     assert run["offered_rps"] * 1 == sum(ends.values()) and ends["unanswered"] == 0
     assert 200 < run["offered_rps"] < 400 and ends["200"] > 0.5 * run["offered_rps"]
     assert set(ends) <= {"200", "429", "503", "unanswered"}
-    assert 5 <= run["p50_ms"] <= run["p99_ms"] <= run["p999_ms"]  # a server takes 5 ms
+    assert 5 <= run["p50_ms"] <= run["p99_ms"] <= run["p999_ms"]  # each request takes 5 ms at a server
     assert run["cpu_ms_per_request"] > 0 and run["rss_mb"] > 60 and 0 <= run["quota_error"] < 0.5
 
 
-def test_the_same_seed_offers_the_same_load():
+def test_load_is_determined_by_its_seed():
     from mapleline.lab.load import Load
 
-    told = {"seed": 7, "rate": 100.0, "seconds": 5, "metered_share": 0.3, "metered": 20, "customers": 100}
-    one, two, other = Load(told), Load(told), Load({**told, "seed": 8})
-    assert (one.due, one.customers) == (two.due, two.customers) and one.due != other.due
-    assert one.due == sorted(one.due) and one.due[-1] < 5
-    assert one.request(3) == two.request(3) and b"X-Weight: units=1" in one.request(3)
+    settings = {"seed": 7, "rate": 100.0, "seconds": 5, "metered_share": 0.3, "metered": 20, "customers": 100}
+    first, second, other = Load(settings), Load(settings), Load({**settings, "seed": 8})
+    assert (first.due, first.customers) == (second.due, second.customers) and first.due != other.due
+    assert first.due == sorted(first.due) and first.due[-1] < 5
+    assert first.request(3) == second.request(3) and b"X-Weight: units=1" in first.request(3)
 
 
-def test_results_go_to_json_parquet_and_a_plot(tmp_path, monkeypatch):
+def test_results_are_written_as_json_parquet_and_plot(tmp_path, monkeypatch):
     from click.testing import CliRunner
 
     from mapleline.cli.commands import group
@@ -89,6 +89,6 @@
     assert files["png"].read_bytes().startswith(b"\x89PNG")
 
 
-def test_workers_that_are_no_numbers_are_refused():
+def test_malformed_numbers_of_workers_are_rejected():
     done = command("lab", "cores", "--workers", "1,x")
     assert done.returncode == 2 and "expected numbers and commas" in done.stderr
