--- a/mapleline/__init__.py
+++ b/mapleline/__init__.py
@@ -1,1 +1,1 @@
-"""mapleline: an ingress that holds the plan quotas of customers who share a fleet of agenda servers."""
+"""mapleline: an ingress that enforces the plan quotas of customers who share a fleet of agenda servers."""
--- a/mapleline/__main__.py
+++ b/mapleline/__main__.py
@@ -1,8 +1,8 @@
-"""`python -m mapleline`: the ingress, a node of the balancer (`balancer`), or the command line with other arguments.
+"""Entry point of `python -m mapleline`: the ingress, a balancer node (`balancer`), or the command line.
 
-Both services start without modules of the standard library that they import through Twisted and do not use: an empty
-module stands in for each while they are imported, and is taken out afterwards, so that a later import gets the real
-one.
+Twisted imports modules of the standard library that neither service uses.  To save memory and start time, an empty
+module replaces each of them while the service is imported.  It is removed afterwards, so that a later import gets the
+real module.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 import sys
 import types
 
-#: `desk` is the hidden alias of `balancer`, its first name.
+#: `desk` is a hidden alias of `balancer`.
 BALANCER_ARGUMENTS = (["balancer"], ["desk"])
-#: Twisted's `compat` module imports it, and with it `email` and `urllib.request`: a tenth of what a start costs.
+#: Twisted's `compat` module imports it together with `email` and `urllib.request`, a tenth of the start's cost.
 COOKIE_MODULE = "http.cookiejar"
-#: Twisted's `Deferred` takes three names of it: a tenth of a process's memory.
+#: Twisted's `Deferred` uses only three of its names; the module takes a tenth of a process's memory.
 ASYNCIO_MODULE = "asyncio"
 
 
 def main() -> int:
-    """Run what the arguments ask for; return the exit code."""
+    """Run the service or command that the arguments select; return the exit code."""
     if sys.argv[1:] in BALANCER_ARGUMENTS:
         return _serve_balancer()
     if len(sys.argv) > 1:
@@ -31,9 +31,9 @@
 
 
 def _serve_balancer() -> int:
-    """Run a node of the global load balancer, without the command line's packages.
+    """Run a node of the global load balancer without importing the command line's packages.
 
-    SIGHUP is ignored until the node has its own handler: it would end a process that is still starting.
+    SIGHUP is ignored until the node installs its handler, since it would end a process that is still starting.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     stand_in = types.ModuleType(ASYNCIO_MODULE)
@@ -52,7 +52,7 @@
 
 
 def _serve_ingress() -> int:
-    """Run the ingress."""
+    """Run the ingress without importing the command line's packages."""
     stand_in = sys.modules.setdefault(COOKIE_MODULE, types.ModuleType(COOKIE_MODULE))
     from .ingress import main as serve
 
--- a/mapleline/cli/__init__.py
+++ b/mapleline/cli/__init__.py
@@ -4,21 +4,21 @@
 
 import sys
 
-#: The global load balancer's commands (balancer/cli/commands.py); `desk` is a hidden alias of `balancer`.  The others
-#: are those of the ingress.
+#: The global load balancer's commands (balancer/cli/commands.py); `desk` is a hidden alias of `balancer`.  All other
+#: commands belong to the ingress.
 BALANCER_COMMANDS = frozenset(
     {"balancer", "desk", "settings", "config", "evacuate", "core", "status", "archive", "try", "soak"}
 )
 EXIT_MISSING_PACKAGE = 3
-EXIT_INTERRUPTED = 130  # as of a shell: 128 and the number of SIGINT
+EXIT_INTERRUPTED = 130  # 128 plus the number of SIGINT, as in a shell
 
 
 def main() -> int:
     """Run the command that the arguments name.
 
     Returns:
-        The exit code: 0 done, 1 a command that found what it looks for (faults, a missed target), 2 wrong use or
-        unusable configuration, 3 a missing package.
+        The exit code: 0 for success, 1 if a check found faults or a target was missed, 2 for wrong usage or
+        invalid configuration, 3 for a missing package.
     """
     if sys.argv[1:2] and sys.argv[1] in BALANCER_COMMANDS:
         return _run_balancer_command()
@@ -48,7 +48,7 @@
 
 
 def _report_missing_package(extra: str, error: ModuleNotFoundError) -> int:
-    """Say which extra has the package; return the exit code."""
+    """Report which extra installs the package; return the exit code."""
     sys.stderr.write(
         f"mapleline: this command needs more packages: pip install 'mapleline[{extra}]' (no module {error.name})\n"
     )
@@ -56,7 +56,7 @@
 
 
 def _report_click_error(error: Exception) -> int:
-    """Show an error of click's and return its exit code; raise any other error again."""
+    """Show an error raised by click and return its exit code; re-raise any other error."""
     import click
 
     if isinstance(error, click.ClickException):
--- a/tests/test_simulate.py
+++ b/tests/test_simulate.py
@@ -1,4 +1,4 @@
-"""The commands `mapleline simulate` and their earlier names."""
+"""The commands of `mapleline simulate` and their aliases under `lab`."""
 
 import json
 from unittest import mock
@@ -18,14 +18,14 @@
 
 @pytest.fixture
 def measured():
-    """No run takes place: the digests of two seeds are given."""
+    """Replace the simulation by the digests of two seeds."""
     with mock.patch("mapleline.simulation.behaviour_digest.measure_all", return_value=MEASURED) as measure_all:
         yield measure_all
 
 
 @pytest.mark.parametrize("names", [("simulate", "run"), ("lab", "days")])
 @pytest.mark.parametrize(("broken", "status"), [(0, 0), (1, 1)])
-def test_run_reports_how_many_runs_broke_a_rule(names, broken, status):
+def test_run_reports_the_number_of_runs_that_violate_a_rule(names, broken, status):
     with mock.patch("mapleline.simulation.runner.run_many", return_value=broken) as run_many:
         done = invoke(*names, "--seeds", "3", "--first", "7", "--jobs", "1", "--grown")
     assert (done.exit_code, done.output) == (status, f"3 days, {broken} with a rule broken\n")
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("names", [("simulate", "digest"), ("lab", "digest")])
-def test_digest_of_changed_behaviour_is_named_with_status_1(names, measured, tmp_path):
+def test_digest_of_changed_behaviour_is_reported_with_status_1(names, measured, tmp_path):
     baseline = tmp_path / "baseline.json"
     rows = [behaviour.to_json() for behaviour in MEASURED]
     rows[1]["events"]["call"] = 3
@@ -56,7 +56,7 @@
     assert compared.output == "seed 400: aa\nseed 401: bb differs\n2 days, 1 with another digest\n"
 
 
-def test_earlier_names_are_not_listed():
+def test_aliases_are_not_listed():
     listed = invoke("lab", "--help").output
     assert "cores" in listed
     assert "days" not in listed
