--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""What a test leaves open is closed behind it: all tests in one process must not run out of descriptors."""
+"""Shared fixtures: fleets that play schedules, and the cleanup of sockets after each test.
+
+Without the cleanup the process that runs all tests would run out of file descriptors.
+"""
 
 import os
 from concurrent.futures import ThreadPoolExecutor
@@ -7,7 +10,7 @@
 from ingress import Client, Peer
 from rig import play
 
-PLAYS = min(5, 1 + (os.cpu_count() or 1) // 2)  # fleets at once: each is a dozen processes that mostly wait
+MAX_FLEETS = min(5, 1 + (os.cpu_count() or 1) // 2)  # at the same time; each has a dozen processes that mostly wait
 
 
 def pytest_configure(config):
@@ -16,30 +19,32 @@
 
 @pytest.fixture(scope="session")
 def plays(request, tmp_path_factory):
-    """Every schedule that a test of this run wants, played beside the others; by test."""
-    with ThreadPoolExecutor(PLAYS) as pool:
+    """Play the schedules of all tests of this run concurrently; return futures of their logs by test id."""
+    with ThreadPoolExecutor(MAX_FLEETS) as pool:
         marked = [(item.nodeid, item.get_closest_marker("schedule")) for item in request.session.items]
-        marked = [(name, mark.args) for name, mark in marked if mark is not None]
-        out = {}
-        # Without an ingress's defences what a busy machine delays breaks a rule as well: those play alone.
-        for name, args in sorted(marked, key=lambda one: "--bare" not in one[1]):
-            out[name] = pool.submit(play, args[0], tmp_path_factory.mktemp("fleet"), *args[1:])
+        marked = [(test_id, marker.args) for test_id, marker in marked if marker is not None]
+        logs_by_test = {}
+        # Schedules without an ingress's defences run alone, since delays on a busy machine would break rules as well.
+        for test_id, args in sorted(marked, key=lambda marked_test: "--bare" not in marked_test[1]):
+            logs_by_test[test_id] = pool.submit(play, args[0], tmp_path_factory.mktemp("fleet"), *args[1:])
             if "--bare" in args:
-                out[name].exception()  # waits
-        yield out
+                logs_by_test[test_id].exception()  # waits for the end of the run
+        yield logs_by_test
 
 
 @pytest.fixture
 def logs(request, plays):
+    """The logs of the fleet that played the test's schedule."""
     return plays[request.node.nodeid].result()
 
 
 @pytest.fixture(autouse=True)
-def closed_behind():
+def close_sockets():
+    """Close the peers and clients that a test leaves open."""
     yield
-    for made, end in ((Peer.made, Peer.stop), (Client.made, lambda client: client.sock.close())):
-        while made:
+    for opened, close in ((Peer.made, Peer.stop), (Client.made, lambda client: client.sock.close())):
+        while opened:
             try:
-                end(made.pop())
+                close(opened.pop())
             except OSError:
-                pass  # the test has closed it
+                pass  # the test has closed it already
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the platform asks of `run` in deploy/balancer.toml: one process, and nothing that it refuses."""
+"""The `run` command of deploy/balancer.toml: one process without the features that the platform forbids."""
 
 import os
 import sys
@@ -11,19 +11,19 @@
 
 
 def unix_sockets(pid):
-    """Inodes of the Unix sockets that a process holds."""
+    """Return the inodes of the Unix sockets that a process has open."""
     lines = Path(f"/proc/{pid}/net/unix").read_text().splitlines()[1:]
     known = {line.split()[6] for line in lines}
-    held = set()
+    open_inodes = set()
     for fd in Path(f"/proc/{pid}/fd").iterdir():
         try:
-            held.add(os.readlink(fd).removeprefix("socket:[").removesuffix("]"))
+            open_inodes.add(os.readlink(fd).removeprefix("socket:[").removesuffix("]"))
         except OSError:
-            continue  # closed while we looked
-    return held & known
+            continue  # closed in the meantime
+    return open_inodes & known
 
 
-def test_run_is_one_process_that_starts_no_other_and_holds_no_unix_socket(tmp_path):
+def test_run_is_a_single_process_without_children_and_unix_sockets(tmp_path):
     config = config_for(Counter(), Discovery(), [Peer(lambda *_: message(body=b"slots"))])
     line = RUN.replace(".venv/bin/python", sys.executable)
     assert line != RUN and line.startswith("exec ")
@@ -33,14 +33,14 @@
         assert ingress.client().ask()[0] == 200
         tasks = Path(f"/proc/{process.pid}/task")
         assert os.readlink(f"/proc/{process.pid}/exe") == os.path.realpath(sys.executable)
-        assert [kids for t in tasks.iterdir() if (kids := (t / "children").read_text())] == []
+        assert [children for task in tasks.iterdir() if (children := (task / "children").read_text())] == []
         assert unix_sockets(process.pid) == set()
     finally:
         process.kill()
         process.wait()
 
 
-def test_every_path_that_the_deploy_file_names_exists():
+def test_paths_in_the_deploy_file_exist():
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     named = [*deploy["policy"], *deploy["node"]]
     assert [path for path in named if not (ROOT / path).exists()] == []
