--- a/tests/simulation/history_builder.py
+++ b/tests/simulation/history_builder.py
@@ -1,4 +1,4 @@
-"""Histories made by hand, and assertions on the rules that they break."""
+"""A builder of synthetic histories, and assertions on the rules that they break."""
 
 import unittest
 
@@ -26,27 +26,35 @@
 
 
 class HistoryBuilder:
-    """A history of 60 s with five machines, of which m1 to m4 are control replicas."""
+    """Builds a history of 60 s with machines m1 to m5, of which m1 to m4 are control replicas."""
 
     def __init__(self, isolated=(), since=0.0, until=END_S, connected=None, voters=None):
-        """`isolated`: machines without contact in that time; `connected`, `voters`: instead of all replicas."""
+        """Add samples of contacts and replicas for the whole history.
+
+        Args:
+            isolated: Machines without contact to a majority from `since` to `until`, in seconds.
+            since: Begin of the isolation.
+            until: End of the isolation.
+            connected: The connected replicas; None for all.
+            voters: The voters; None for the connected replicas.
+        """
         self.history = History(Bounds(), {"z1": "r", "z2": "r2"}, ended_at=END_S)
         self.history.services["idempotent"] = {"s1"}
         self.history.services["upload"] = {"s1"}
         connected = REPLICAS if connected is None else connected
         for index in range(int(END_S * SAMPLES_PER_S)):
             at = index / SAMPLES_PER_S
-            away = set(isolated) if since <= at < until else set()
-            self.history.contacts.append(ContactSample(at, MACHINES - away))
-            sample = ReplicaSample(at, connected - away, connected if voters is None else voters)
+            without_contact = set(isolated) if since <= at < until else set()
+            self.history.contacts.append(ContactSample(at, MACHINES - without_contact))
+            sample = ReplicaSample(at, connected - without_contact, connected if voters is None else voters)
             self.history.replicas.append(sample)
 
-    def command(self, version, content, at, took_s=0.1, status=200, path=REPLACE_PATH, is_valid=True, by="m1"):
-        """Add a command with its one response; status None is no response at all."""
+    def command(self, version, content, at, took_s=0.1, status=200, path=REPLACE_PATH, is_valid=True, machine="m1"):
+        """Add a command with a single response; status None means that there is no response."""
         command = OperatorCommand(path, version, content, at, is_valid)
         end = at + took_s
         if status is not None:
-            self.history.responses.append(OperatorResponse(command, by, at, end, status))
+            self.history.responses.append(OperatorResponse(command, machine, at, end, status))
         command.closed_at = end
         if status == 200:
             command.acknowledged_at = end
@@ -58,18 +66,18 @@
         self.history.commands.append(command)
         return self
 
-    def read(self, version, content, at, status=200, by="m2"):
+    def read(self, version, content, at, status=200, machine="m2"):
         """Add a read that took 0.1 s."""
-        self.history.responses.append(OperatorResponse(None, by, at, at + 0.1, status, version, content))
+        self.history.responses.append(OperatorResponse(None, machine, at, at + 0.1, status, version, content))
         return self
 
-    def active(self, version, content, at, by="m3", incarnation=1):
+    def active(self, version, content, at, machine="m3", incarnation=1):
         """Add a sample of the configuration in force."""
-        self.history.configurations.append(ConfigurationSample(at, by, incarnation, version, content))
+        self.history.configurations.append(ConfigurationSample(at, machine, incarnation, version, content))
         return self
 
     def event(self, at, kind, name="m4"):
-        """Add something that befell a replica."""
+        """Add an event of a replica."""
         self.history.replica_events.append(MachineEvent(at, name, kind))
         return self
 
@@ -85,7 +93,7 @@
         return self
 
     def run(self, id, at, tenant="t1", server="i1", service="s1"):
-        """Add a run at a server."""
+        """Add the execution of a request by a server."""
         self.history.runs.append(self._delivered(id, at, tenant, server, "z1", service, 0.01))
         return self
 
--- a/tests/simulation/invariants/test_directory.py
+++ b/tests/simulation/invariants/test_directory.py
@@ -1,4 +1,4 @@
-"""DIRECTORY on histories made by hand: found in a bad one, and nothing in a good one."""
+"""DIRECTORY on synthetic histories: violations are found, and correct histories have none."""
 
 from mapleline.simulation.history import DirectoryLookup
 from mapleline.simulation.invariants import Rule
@@ -7,12 +7,16 @@
 
 
 class TestDirectory(InvariantTestCase):
-    def test_the_directory_without_a_majority(self):
-        def looked_up(at, status, **away):
-            made = HistoryBuilder(**away)
-            made.history.lookups.append(DirectoryLookup(at, "m2", status))
-            return made
+    def test_a_machine_without_a_majority_answers_no_lookup(self):
+        def with_lookup(at, status, **isolation):
+            builder = HistoryBuilder(**isolation)
+            builder.history.lookups.append(DirectoryLookup(at, "m2", status))
+            return builder
 
-        away = {"isolated": ["m2"], "since": 10.0, "until": 30.0}
-        self.assert_holds(looked_up(14.0, 200, **away), looked_up(20.0, 503, **away), looked_up(31.0, 200, **away))
-        self.assert_breaks(Rule.DIRECTORY, looked_up(15.2, 200, **away), looked_up(29.0, 200, **away))
+        isolation = {"isolated": ["m2"], "since": 10.0, "until": 30.0}
+        self.assert_holds(
+            with_lookup(14.0, 200, **isolation),
+            with_lookup(20.0, 503, **isolation),
+            with_lookup(31.0, 200, **isolation),
+        )
+        self.assert_breaks(Rule.DIRECTORY, with_lookup(15.2, 200, **isolation), with_lookup(29.0, 200, **isolation))
--- a/tests/simulation/invariants/test_draining.py
+++ b/tests/simulation/invariants/test_draining.py
@@ -1,4 +1,4 @@
-"""HOME, DRAIN and EVAC on histories made by hand."""
+"""HOME, DRAIN and EVAC on synthetic histories."""
 
 from mapleline.simulation.history import Evacuation, FaultInterval
 from mapleline.simulation.invariants import Rule
@@ -8,8 +8,8 @@
 SENT_AT = 40.0
 
 
-def arrives(**where):
-    return HistoryBuilder().request("q1", SENT_AT, status=503).arrival("q1", SENT_AT, **where)
+def with_arrival(**arrival):
+    return HistoryBuilder().request("q1", SENT_AT, status=503).arrival("q1", SENT_AT, **arrival)
 
 
 def disturb(builder):
@@ -20,7 +20,7 @@
 class TestServerEligibility(InvariantTestCase):
     def test_an_arrival_outside_the_home_regions(self):
         for home in ("upload", "t1"):
-            inside, outside = arrives(), arrives(zone="z2")
+            inside, outside = with_arrival(), with_arrival(zone="z2")
             for builder in (inside, outside):
                 builder.history.homes[home] = {"r"}
             self.assert_holds(inside)
@@ -28,7 +28,7 @@
 
     def test_an_arrival_at_a_server_that_drains(self):
         def draining_since(at):
-            builder = arrives()
+            builder = with_arrival()
             builder.history.draining_since["i1"] = at
             return builder
 
@@ -38,7 +38,7 @@
 
     def test_an_arrival_in_an_evacuated_zone(self):
         def evacuated(zone, since, until):
-            builder = arrives()
+            builder = with_arrival()
             builder.history.evacuations.append(Evacuation(zone, since, until))
             return builder
 
--- a/tests/simulation/invariants/test_quota.py
+++ b/tests/simulation/invariants/test_quota.py
@@ -1,4 +1,4 @@
-"""QUOTA on histories made by hand."""
+"""QUOTA on synthetic histories."""
 
 from mapleline.simulation.invariants import Rule
 
--- a/tests/simulation/invariants/test_requests.py
+++ b/tests/simulation/invariants/test_requests.py
@@ -1,4 +1,4 @@
-"""UNASKED, TWICE, REFUSED, MIXED, ROUTE and CONFIG for keys on histories made by hand."""
+"""UNASKED, TWICE, REFUSED, MIXED, ROUTE, and CONFIG as far as it concerns API keys, on synthetic histories."""
 
 from mapleline.simulation.invariants import Rule
 
@@ -15,9 +15,9 @@
     def test_a_run_as_another_tenant(self):
         self.assert_breaks(Rule.UNASKED, HistoryBuilder().request("q1", 10.0).run("q1", 10.1, tenant="t2"))
 
-    def test_a_second_run_of_a_request_that_is_not_repeatable(self):
-        repeatable = HistoryBuilder().request("q1", 10.0, kind="idempotent").run("q1", 10.1).run("q1", 10.2)
-        self.assert_holds(repeatable)
+    def test_a_second_run_of_a_request_that_is_not_idempotent(self):
+        idempotent = HistoryBuilder().request("q1", 10.0, kind="idempotent").run("q1", 10.1).run("q1", 10.2)
+        self.assert_holds(idempotent)
         self.assert_breaks(Rule.TWICE, HistoryBuilder().request("q1", 10.0).run("q1", 10.1).run("q1", 10.2))
 
     def test_a_run_by_a_service_that_no_configuration_allows(self):
--- a/tests/simulation/invariants/test_retry_budget.py
+++ b/tests/simulation/invariants/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""BUDGET on histories made by hand."""
+"""BUDGET on synthetic histories."""
 
 from mapleline.simulation.invariants import Rule
 
--- a/tests/simulation/invariants/test_slow_start.py
+++ b/tests/simulation/invariants/test_slow_start.py
@@ -1,4 +1,4 @@
-"""FAILBACK on histories made by hand."""
+"""FAILBACK on synthetic histories."""
 
 from mapleline.simulation.history import SlowStart
 from mapleline.simulation.invariants import Rule, check
--- a/tests/simulation/invariants/test_windows.py
+++ b/tests/simulation/invariants/test_windows.py
@@ -1,4 +1,4 @@
-"""Counting in sliding windows."""
+"""Counting of events in sliding windows."""
 
 import unittest
 
--- a/tests/simulation/mutants.py
+++ b/tests/simulation/mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of the balancer: each patch takes one defence out, so that a scenario has to break the rule it is about."""
+"""Mutants of the balancer: each patch disables one safeguard, so that a directed scenario must break its rule."""
 
 import contextlib
 import re
@@ -14,7 +14,7 @@
 
 
 def grant_every_read_lease():
-    """Serve without contact to a majority."""
+    """Let a machine serve without contact to a majority."""
     return mock.patch(BALANCER + "node.Node.has_read_lease", lambda self: True)
 
 
@@ -26,17 +26,17 @@
 
 
 def accept_half_as_a_majority():
-    """Let half of the voters decide."""
+    """Accept half of the voters as a majority."""
     return mock.patch(
         CONTROL + "state.has_majority",
-        lambda voters, heard: 2 * len([r for r in voters if any(r.matches(one) for one in heard)]) >= len(voters),
+        lambda voters, heard: 2 * len([v for v in voters if any(v.matches(sender) for sender in heard)]) >= len(voters),
     )
 
 
 def respond_before_writing():
-    """Send promises and acceptances before they are on the disk."""
+    """Send promises and acceptances before they are stored on the disk."""
 
-    def sync(self, acceptor):
+    def respond_at_once(self, acceptor):
         if self.store is not None:
             contents = dict(self._committed.contents)
             saved = self._context.environment.run_in_thread(self.store.save, acceptor.record, contents)
@@ -44,7 +44,7 @@
         acceptor.on_record_saved(acceptor.record)
         return succeed(None)
 
-    return mock.patch(CONTROL + "replica.LocalReplica._save", sync)
+    return mock.patch(CONTROL + "replica.LocalReplica._save", respond_at_once)
 
 
 def never_change_voters():
@@ -53,22 +53,22 @@
 
 
 def never_remove_voters():
-    """Add voters, but remove none."""
+    """Add voters, but never remove any."""
 
-    def grows(state, *rest):
-        voters = next_voters(state, *rest)
+    def next_larger_voters(state, *args):
+        voters = next_voters(state, *args)
         return voters if voters is None or len(voters) > len(state.voters) else None
 
-    return mock.patch(CONTROL + "replica_monitor.next_voters", grows)
+    return mock.patch(CONTROL + "replica_monitor.next_voters", next_larger_voters)
 
 
 def forget_known_members():
-    """Forget what an earlier incarnation knew of the members."""
+    """Do not restore the members that an earlier incarnation knew."""
     return mock.patch(BALANCER + "membership.table.MembershipTable.add_member", lambda *_: None)
 
 
 def confirm_every_content():
-    """Confirm each content under a version; the last one stays."""
+    """Acknowledge every content under a version; the last one stays in force."""
 
     def replaced_without_check(state, version, content):
         if state.config is not None and version < state.config.version:
@@ -80,7 +80,7 @@
 
 
 def remember_only_the_version_in_force():
-    """Remember the content of the version in force alone."""
+    """Remember only the content of the version in force."""
 
     def replaced_with_check(state, version, content):
         if state.config is not None and version < state.config.version:
@@ -91,7 +91,7 @@
 
 
 def reject_repeated_commands():
-    """Reject each version that is not higher, also what was confirmed before."""
+    """Reject every version that is not higher, including those that were acknowledged before."""
 
     def replaced_with_check(state, version, content):
         if state.config is not None and version <= state.config.version:
@@ -102,7 +102,7 @@
 
 
 def execute_commands_of_disconnected_callers():
-    """Execute a command although its caller has gone to another machine."""
+    """Execute a command although its caller has disconnected to retry at another machine."""
 
     def submit(self, client_conn, request):
         decided = self._control_plane.submit_command(request.command, request.body, self.command_timeout_s)
@@ -112,17 +112,17 @@
     patches.enter_context(mock.patch(CONTROL + "api.ControlApi.submit", submit))
     patches.enter_context(
         mock.patch(CONTROL + "proposer.Proposer.is_without_read_lease", lambda *_: False)
-    )  # either is enough
+    )  # each of the two safeguards suffices alone
     return patches
 
 
 def believe_any_reply():
-    """Accept a reply for any call that is in flight."""
+    """Accept any reply for a call in flight, also the reply to another call."""
     return mock.patch(BALANCER + "transport.fencing.Fence._check_reply", lambda *_: None)
 
 
 def measure_by_the_wall_clock():
-    """Measure ages by the time of day."""
+    """Measure ages by the time of day instead of the monotonic clock."""
     return mock.patch(
         "mapleline.simulation.event_loop.ProcessReactor.seconds",
         lambda self: self.clock.seconds() + self.machine.clock_skew_s,
@@ -130,9 +130,9 @@
 
 
 def accept_invalid_configurations():
-    """Accept configurations without a check."""
+    """Accept configurations without validation."""
 
-    def version(body):
+    def parse_version_only(body):
         return mock.Mock(config_version=int(re.search(rb'"config_version": (\d+)', body)[1]))
 
-    return mock.patch(CONTROL + "api.parse_configuration", version)
+    return mock.patch(CONTROL + "api.parse_configuration", parse_version_only)
--- a/tests/simulation/test_behaviour_digest.py
+++ b/tests/simulation/test_behaviour_digest.py
@@ -1,4 +1,4 @@
-"""The digest of behaviour: what crosses a machine's border in simulated runs is what it was, bit for bit."""
+"""The digest of behaviour: all messages and operations in simulated runs stay unchanged, bit for bit."""
 
 import json
 import unittest
--- a/tests/simulation/test_directed_scenarios.py
+++ b/tests/simulation/test_directed_scenarios.py
@@ -1,4 +1,4 @@
-"""The directed scenarios: each has to hold, and with its defence taken out its rule has to be found broken."""
+"""The directed scenarios: each breaks no rule, and with one safeguard disabled its rule is found broken."""
 
 import contextlib
 import logging
@@ -19,7 +19,7 @@
 
 SEED = 3
 ATTEMPTS = 4
-"""What a mutant does depends on timing: one of so many seeds has to break the rule."""
+"""Number of seeds to try: the effect of a mutant depends on timing, and one seed must break the rule."""
 
 MUTANTS = {
     partitions.replica_isolated_for_twenty_seconds: (Rule.DIRECTORY, mutants.grant_every_read_lease),
@@ -50,7 +50,7 @@
     many_changes.stepping_clocks: (Rule.DIRECTORY, mutants.measure_by_the_wall_clock),
     membership_changes.removed_seed_machines: (Rule.CATCH_UP, mutants.forget_known_members),
 }
-"""By scenario: the rule that it is about, and the mutant that has to break it."""
+"""By scenario: the rule that it tests, and the mutant that must break the rule."""
 
 
 class TestDirectedScenarios(unittest.TestCase):
--- a/tests/simulation/test_event_loop.py
+++ b/tests/simulation/test_event_loop.py
@@ -1,4 +1,4 @@
-"""Virtual time: the order of timers, and the reactor of a process that ends or freezes."""
+"""Virtual time: the order of timers, and the reactor of a process that ends or is frozen."""
 
 import unittest
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
     def fire(self, name):
         self.fired.append((name, self.loop.seconds()))
 
-    def test_timers_fire_at_their_moments_and_equal_ones_in_the_order_of_setting(self):
+    def test_timers_fire_at_their_moments_and_equal_ones_in_the_order_of_creation(self):
         self.loop.callLater(2.0, self.fire, "later")
         self.loop.callLater(1.0, self.fire, "first")
         self.loop.callLater(1.0, self.fire, "second")
@@ -38,7 +38,7 @@
         self.assertEqual((self.fired, self.loop.seconds()), ([], 101.5))
         self.assertTrue(timer.active())
 
-    def test_a_negative_delay_counts_as_none(self):
+    def test_a_negative_delay_counts_as_zero(self):
         self.loop.callLater(-5.0, self.fire, "now")
         self.loop.run_until(100.0)
         self.assertEqual(self.fired, [("now", 100.0)])
@@ -73,7 +73,7 @@
         self.loop.run_until(110.0)
         self.assertEqual(self.fired, [])
 
-    def test_what_falls_into_a_freeze_fires_right_after_it(self):
+    def test_a_timer_due_during_a_freeze_fires_right_after_it(self):
         self.reactor.callLater(1.0, self.fire)
         self.process.frozen_until = 105.0
         self.loop.run_until(110.0)
--- a/tests/simulation/test_network.py
+++ b/tests/simulation/test_network.py
@@ -1,4 +1,4 @@
-"""The simulated network: partitions that overlap, and faults that draw nothing while they are off."""
+"""The simulated network: overlapping partitions, and faults that draw no random number while they are disabled."""
 
 import random
 import unittest
@@ -13,7 +13,7 @@
         self.rng = random.Random(7)
         self.network = Network(self.rng, REGIONS)
 
-    def test_delays_grow_from_the_zone_over_the_region_to_other_regions(self):
+    def test_delays_grow_from_zone_to_region_to_other_regions(self):
         near, region, far = (self.network.delay_s("a1", zone) for zone in ("a1", "a2", "b1"))
         self.assertLess(near, region)
         self.assertLess(region, far)
@@ -29,7 +29,7 @@
         self.assertFalse(self.network.is_partitioned(*pair))
         self.assertFalse(self.network.has_partitions)
 
-    def test_faults_that_are_off_change_nothing_and_draw_nothing(self):
+    def test_disabled_faults_change_nothing_and_draw_no_random_number(self):
         state = self.rng.getstate()
         self.assertEqual(self.network.copies(), 1)
         self.assertEqual(self.network.extra_delay_s(), 0.0)
--- a/tests/simulation/test_reachability.py
+++ b/tests/simulation/test_reachability.py
@@ -1,4 +1,4 @@
-"""Which machines are connected to a majority of the control replicas."""
+"""The computation of the machines that are connected to a majority of the control replicas."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 def partitioned(*pairs):
-    """Partitions of these ordered pairs."""
+    """Return a predicate that is true for these ordered pairs."""
     return lambda source, target: (source, target) in pairs
 
 
@@ -21,13 +21,13 @@
         replicas = [name for name in running if name in REPLICAS]
         return machines_with_majority(running, REPLICAS, replicas, partitioned(*pairs))
 
-    def test_all_have_it_without_partitions(self):
+    def test_all_machines_have_a_majority_without_partitions(self):
         self.assertEqual(self.reached(), {*REPLICAS, "m1"})
 
     def test_half_of_the_replicas_is_no_majority(self):
         self.assertEqual(self.reached(running=("r1", "r2", "m1")), set())
 
-    def test_an_isolated_machine_has_none(self):
+    def test_an_isolated_machine_has_no_majority(self):
         self.assertEqual(self.reached(*both_ways("m1", REPLICAS)), set(REPLICAS))
 
     def test_a_path_over_another_machine_counts(self):
@@ -49,5 +49,5 @@
         self.assertEqual(self.group(list(REPLICAS), ("r1", "r2")), {"r1", "r3", "r4", "r5"})
 
     def test_no_group_of_more_than_half(self):
-        across = [(a, b) for a in ("r1", "r2") for b in ("r3", "r4")]
+        across = [(source, target) for source in ("r1", "r2") for target in ("r3", "r4")]
         self.assertEqual(self.group(["r1", "r2", "r3", "r4"], *across), set())
