--- a/mapleline/soak/__init__.py
+++ b/mapleline/soak/__init__.py
@@ -1,5 +1,6 @@
-"""A soak of the real program: many node processes on loopback under load, faults and changes, judged from outside.
+"""Soak test of the real program: many node processes on loopback under load, faults and configuration changes.
 
-Clients, servers, the platform and the operator are stand-ins in one process; nodes are real ones, started, signalled
-and killed.  What is judged is what the stand-ins saw, never what the nodes log (docs/balancer/soak.md).
+The nodes are real processes that the rig starts, signals and kills.  One further process simulates the clients, the
+servers, the cloud platform and the operator.  The verdict uses only what these simulated parties observed, never the
+nodes' logs (docs/balancer/soak.md).
 """
--- a/mapleline/soak/command.py
+++ b/mapleline/soak/command.py
@@ -1,4 +1,4 @@
-"""The command `mapleline soak`."""
+"""Implementation of the command `mapleline soak`."""
 
 from __future__ import annotations
 
@@ -18,28 +18,35 @@
 
 
 def run_seeds(options: SoakOptions, count: int, logs: Path | None) -> Result[str, str]:
-    """Run a soak for each of so many seeds, from that of the options on, and print each verdict.
+    """Run one soak test per seed and print each verdict.
 
-    With `logs`, the nodes' logs and data of each seed are kept there, with what the stand-ins saw if it broke a rule.
+    Args:
+        options: Options of each run; its seed is the first one.
+        count: Number of consecutive seeds.
+        logs: Folder that keeps the nodes' logs and data of each seed, and the recorded history of each seed that
+            violated a rule; None to keep nothing.
+
+    Returns:
+        A summary; an error that names the seeds with violations, if there are any.
     """
-    broken = []
+    failed_seeds = []
     for seed in range(options.seed, options.seed + count):
-        with _folder(logs, seed) as folder:
+        with _seed_folder(logs, seed) as folder:
             result = asyncio.run(run_soak(replace(options, seed=seed), folder))
             print(result.summary(), flush=True)
             for violation in result.violations:
                 print(f"  {violation}", flush=True)
             if result.violations:
-                broken.append(str(seed))
+                failed_seeds.append(str(seed))
                 _write_history(result, folder)
-    if broken:
-        return Error(f"rules broken in seeds {', '.join(broken)}")
+    if failed_seeds:
+        return Error(f"rules broken in seeds {', '.join(failed_seeds)}")
     return Ok(f"{count} seeds, no rule broken")
 
 
 @contextmanager
-def _folder(logs: Path | None, seed: int) -> Iterator[Path]:
-    """Yield a folder for a seed; it is kept under `logs`, or else removed in the end."""
+def _seed_folder(logs: Path | None, seed: int) -> Iterator[Path]:
+    """Yield the folder of a seed: a permanent one under `logs`, or a temporary one if `logs` is None."""
     if logs is None:
         with tempfile.TemporaryDirectory(prefix="mapleline-soak-") as temporary:
             yield Path(temporary)
--- a/mapleline/soak/faults.py
+++ b/mapleline/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak: signals, kills and restarts in series that overlap, seeded."""
+"""Fault injection of a soak test: seeded signals, kills and restarts that may overlap."""
 
 from __future__ import annotations
 
@@ -11,71 +11,79 @@
 from .processes import NodeProcesses
 
 CATCH_UP_S = 4.0
-"""So long after its start a node with a disk counts as lost: one at a time is (`fault_tolerance`)."""
+"""Time after its start for which a node with a disk still counts as lost.
+
+The settings tolerate the loss of one such node at a time (`fault_tolerance`).
+"""
 MAX_DOWN_S = 2.0
-MAX_STOPPED_S = 3.0
-HERD_SHARE = 0.5
-SERIES_LENGTH = 4
-SERIES_GAP_S = 0.4
+MAX_PAUSED_S = 3.0
+MAX_MASS_KILL_SHARE = 0.5
+BURST_FAULTS = 4
+BURST_GAP_S = 0.4
 
 Fault = Callable[[], Coroutine[None, None, None]]
 
 
 class FaultSeries:
-    """Injects one fault after the other, without waiting for the last one to end."""
+    """Injects faults periodically, without waiting for earlier ones to end."""
 
     def __init__(self, layout: FleetLayout, processes: NodeProcesses, rng: random.Random) -> None:
-        """Inject nothing yet."""
+        """Initialise without injecting anything."""
         self._layout = layout
         self._processes = processes
         self._rng = rng
-        self._busy: set[str] = set()
-        self._open: set[asyncio.Task[None]] = set()
-        self._lost_disk_until = 0.0
+        self._faulty_nodes: set[str] = set()
+        self._open_faults: set[asyncio.Task[None]] = set()
+        self._disk_node_lost_until = 0.0
 
     async def run(self, duration_s: float, period_s: float) -> None:
-        """Inject a fault each period, and wait until all have ended."""
+        """Inject faults for `duration_s` seconds and wait until all have ended.
+
+        The pause between two faults is 0.5 to 1.5 times `period_s`.
+        """
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + duration_s
         while loop.time() < ends_at:
             await asyncio.sleep(period_s * self._rng.uniform(0.5, 1.5))
             self._processes.check_running()
-            fault = self._rng.choice([self._one, self._one, self._one, self._series, self._herd])
+            fault = self._rng.choice(
+                [self._inject_one, self._inject_one, self._inject_one, self._inject_burst, self._kill_many]
+            )
             task = loop.create_task(fault())
-            self._open.add(task)
-            task.add_done_callback(self._open.discard)
-        if self._open:
-            await asyncio.wait(self._open)
-
-    async def _one(self) -> None:
-        """Befall one node with something."""
-        node = self._take()
+            self._open_faults.add(task)
+            task.add_done_callback(self._open_faults.discard)
+        if self._open_faults:
+            await asyncio.wait(self._open_faults)
+
+    async def _inject_one(self) -> None:
+        """Inject a random fault into one node."""
+        node = self._reserve_node()
         if node is None:
             return
         try:
-            await self._rng.choice([self._restart, self._restart, self._kill, self._kill, self._stop, self._reload])(
+            await self._rng.choice([self._restart, self._restart, self._kill, self._kill, self._pause, self._reload])(
                 node
             )
         finally:
-            self._release(node)
+            self._release_node(node)
 
-    async def _series(self) -> None:
-        """Restart or kill a few nodes one shortly after the other."""
+    async def _inject_burst(self) -> None:
+        """Inject single faults `BURST_GAP_S` apart, so that they overlap."""
         tasks = []
-        for _ in range(SERIES_LENGTH):
-            tasks.append(asyncio.get_running_loop().create_task(self._one()))
-            await asyncio.sleep(SERIES_GAP_S)
+        for _ in range(BURST_FAULTS):
+            tasks.append(asyncio.get_running_loop().create_task(self._inject_one()))
+            await asyncio.sleep(BURST_GAP_S)
         await asyncio.gather(*tasks)
 
-    async def _herd(self) -> None:
-        """Kill many nodes without a disk at the same moment."""
-        nodes = [node for node in self._layout.nodes if not node.has_disk and node.name not in self._busy]
-        herd = self._rng.sample(nodes, int(len(nodes) * self._rng.uniform(0.0, HERD_SHARE)))
-        self._busy.update(node.name for node in herd)
+    async def _kill_many(self) -> None:
+        """Kill up to `MAX_MASS_KILL_SHARE` of the free nodes without a disk at the same moment."""
+        nodes = [node for node in self._layout.nodes if not node.has_disk and node.name not in self._faulty_nodes]
+        killed_nodes = self._rng.sample(nodes, int(len(nodes) * self._rng.uniform(0.0, MAX_MASS_KILL_SHARE)))
+        self._faulty_nodes.update(node.name for node in killed_nodes)
         down_s = self._rng.uniform(0.0, MAX_DOWN_S)
-        await asyncio.gather(*(self._kill(node, down_s) for node in herd))
-        for node in herd:
-            self._release(node)
+        await asyncio.gather(*(self._kill(node, down_s) for node in killed_nodes))
+        for node in killed_nodes:
+            self._release_node(node)
 
     async def _restart(self, node: NodeSpec) -> None:
         await self._processes.terminate(node)
@@ -87,31 +95,34 @@
         await asyncio.sleep(self._rng.uniform(0.0, MAX_DOWN_S) if down_s is None else down_s)
         await self._processes.start(node)
 
-    async def _stop(self, node: NodeSpec) -> None:
+    async def _pause(self, node: NodeSpec) -> None:
         self._processes.signal(node, ProcessEventKind.STOP)
-        await asyncio.sleep(self._rng.uniform(0.2, MAX_STOPPED_S))
+        await asyncio.sleep(self._rng.uniform(0.2, MAX_PAUSED_S))
         self._processes.signal(node, ProcessEventKind.CONTINUE)
 
     async def _reload(self, node: NodeSpec) -> None:
         self._processes.signal(node, ProcessEventKind.RELOAD)
 
-    def _take(self) -> NodeSpec | None:
-        """Return a node that nothing befalls; one with a disk only while no other is lost."""
+    def _reserve_node(self) -> NodeSpec | None:
+        """Reserve and return a random node without a fault, or None.
+
+        A node with a disk is eligible only while no other node with a disk is lost.
+        """
         now = asyncio.get_running_loop().time()
         free = [
             node
             for node in self._layout.nodes
-            if node.name not in self._busy and (not node.has_disk or now >= self._lost_disk_until)
+            if node.name not in self._faulty_nodes and (not node.has_disk or now >= self._disk_node_lost_until)
         ]
         if not free:
             return None
         node = self._rng.choice(free)
-        self._busy.add(node.name)
+        self._faulty_nodes.add(node.name)
         if node.has_disk:
-            self._lost_disk_until = float("inf")
+            self._disk_node_lost_until = float("inf")
         return node
 
-    def _release(self, node: NodeSpec) -> None:
-        self._busy.discard(node.name)
+    def _release_node(self, node: NodeSpec) -> None:
+        self._faulty_nodes.discard(node.name)
         if node.has_disk:
-            self._lost_disk_until = asyncio.get_running_loop().time() + CATCH_UP_S
+            self._disk_node_lost_until = asyncio.get_running_loop().time() + CATCH_UP_S
--- a/mapleline/soak/history.py
+++ b/mapleline/soak/history.py
@@ -1,4 +1,4 @@
-"""What the stand-ins of a soak saw; times are seconds of one steady clock."""
+"""Observations of the simulated parties of a soak test; times are seconds of one monotonic clock."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 @dataclass(slots=True)
 class ClientAttempt:
-    """One request of a client to one node, with an id of its own.
+    """One request of a client to one node, under a unique id.
 
     Attributes:
-        id: Its `Request-Id`.
-        tenant: Whose key it carries.
-        is_idempotent: Whether it may run more than once.
-        node: The name of the node.
-        sent_at: When it was sent.
-        is_retry: The client has tried before.
-        ended_at: When it ended; None while it is open.
-        end: How it ended.
-        status: Of the answer; 0 without one.
-        is_foreign_answer: The answer bears a server's stamp, and is not the one that a server gave to this id.
+        id: Value of the `Request-Id` header.
+        tenant: Name of the tenant whose API key the request carries.
+        is_idempotent: Whether the request may run more than once.
+        node: Name of the node.
+        sent_at: Time of sending.
+        is_retry: Whether the client retries an earlier attempt.
+        ended_at: Time of the end; None while the attempt is open.
+        end: How the attempt ended; None while it is open.
+        status: HTTP status of the answer; 0 without one.
+        is_foreign_answer: Whether the answer carries a server's stamp but belongs to another request id.
     """
 
     id: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRun:
-    """One request that a server has begun to work on."""
+    """The start of one request at a server."""
 
     request_id: str
     tenant: str
@@ -56,7 +56,10 @@
 
 @dataclass(slots=True)
 class Order:
-    """One configuration that the operator sent, and its clear answer: 0 while there is none."""
+    """One configuration that the operator sent.
+
+    `status` is that of its conclusive answer, or 0 while there is none.
+    """
 
     version: int
     body: bytes
@@ -66,7 +69,7 @@
 
 
 class ProcessEventKind(Enum):
-    """What befell a node's process."""
+    """Kind of an event of a node's process."""
 
     START = "start"
     TERMINATE = "SIGTERM"
@@ -78,13 +81,13 @@
     STUCK = "did not end after SIGTERM"
 
 
-#: After these a connection may break without a fault of the node's.
-UNPLANNED = frozenset({ProcessEventKind.KILL, ProcessEventKind.STOP})
+#: A connection that breaks after one of these events is not a fault of the node.
+UNPLANNED_EVENTS = frozenset({ProcessEventKind.KILL, ProcessEventKind.STOP})
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessEvent:
-    """One event of a node's process; `status` is that of an exit."""
+    """One event of a node's process; `status` is the exit status of an `EXIT`."""
 
     at: float
     node: str
@@ -94,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadBack:
-    """What one node answered to a read of the configuration after the load had ended."""
+    """The answer of one node to a read of the configuration after the load has ended; `status` 0 without an answer."""
 
     node: str
     status: int
@@ -103,17 +106,16 @@
 
 @dataclass(slots=True)
 class SoakHistory:
-    """All that was seen in one soak.
+    """All observations of one soak test.
 
     Attributes:
-        attempts: Of the clients, by id.
-        runs: At the servers.
-        orders: Of the operator.
-        process_events: Of the nodes.
-        read_backs: After the end.
-        limits: The highest rate a second and burst that each tenant ever had; rate 0 is none.
-        max_loop_lag_s: How much later than due the stand-ins' event loop ever ran: by so much arrivals may be recorded
-            too late.
+        attempts: Attempts of the clients, by id.
+        runs: Runs of requests at the servers.
+        orders: Configurations that the operator sent.
+        process_events: Events of the nodes' processes.
+        read_backs: Reads of the configuration after the load has ended.
+        limits: Highest rate per second and burst that each tenant ever had; a rate of 0 means unlimited.
+        max_loop_lag_s: Greatest delay of the rig's event loop; arrivals may be recorded late by up to this time.
     """
 
     attempts: dict[str, ClientAttempt] = field(default_factory=dict)
--- a/mapleline/soak/http_io.py
+++ b/mapleline/soak/http_io.py
@@ -1,4 +1,4 @@
-"""Just enough of HTTP/1.1 for the stand-ins: messages with a head and a body of known length (RFC 9112)."""
+"""Minimal HTTP/1.1 for the soak rig: messages with a head and a body of known length (RFC 9112)."""
 
 from __future__ import annotations
 
@@ -7,12 +7,18 @@
 
 
 class MalformedMessageError(Exception):
-    """What came is no message with a head and a body of known length."""
+    """The received bytes are not a message with a head and a body of known length."""
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A request or an answer: its first line in words, its fields in lower case, and its body."""
+    """A request or an answer.
+
+    Attributes:
+        first_line: Parts of the first line, split at spaces into at most three.
+        headers: Header fields, with names in lower case.
+        body: The body; empty without one.
+    """
 
     first_line: tuple[str, ...]
     headers: dict[str, str]
@@ -23,7 +29,7 @@
         """The status of an answer.
 
         Raises:
-            MalformedMessageError: It is none.
+            MalformedMessageError: The first line has no numeric status.
         """
         try:
             return int(self.first_line[1])
@@ -32,7 +38,7 @@
 
     @property
     def keeps_connection(self) -> bool:
-        """Whether the connection goes on after it."""
+        """Whether the connection stays open after this message."""
         return self.headers.get("connection", "").lower() != "close"
 
 
@@ -40,8 +46,9 @@
     """Read one message.
 
     Raises:
-        asyncio.IncompleteReadError: The connection was closed, with `partial` empty if that was before a first byte.
-        MalformedMessageError: It cannot be read.
+        asyncio.IncompleteReadError: The connection was closed; `partial` is empty if no byte had arrived.
+        asyncio.LimitOverrunError: The head exceeds the reader's limit.
+        MalformedMessageError: The content length is not a number.
     """
     head = await reader.readuntil(b"\r\n\r\n")
     first_line, *lines = head.decode("latin-1").rstrip("\r\n").split("\r\n")
@@ -55,18 +62,18 @@
 
 
 def encode_message(first_line: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """Return a message as bytes, with its length."""
+    """Return a message as bytes, with a `Content-Length` header."""
     lines = [first_line, *(f"{name}: {value}" for name, value in headers.items()), f"Content-Length: {len(body)}"]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + body
 
 
 async def exchange(host: str, port: int, data: bytes, timeout_s: float) -> Message:
-    """Send a request over a connection of its own, and return the answer.
+    """Send a request over a new connection and return the answer.
 
     Raises:
-        OSError: There is no connection, or it broke.
-        TimeoutError: There is no answer in time.
-        MalformedMessageError: The answer cannot be read.
+        OSError: The connection failed or broke.
+        TimeoutError: No answer arrived within `timeout_s` seconds.
+        MalformedMessageError: The answer is malformed.
         asyncio.IncompleteReadError: The connection was closed before the end of an answer.
     """
     async with asyncio.timeout(timeout_s):
@@ -78,7 +85,7 @@
             writer.close()
 
 
-#: Why an exchange has no answer.
+#: Errors of an exchange that ends without a complete answer.
 NO_ANSWER_ERRORS = (
     OSError,
     TimeoutError,
--- a/mapleline/soak/judge.py
+++ b/mapleline/soak/judge.py
@@ -1,4 +1,7 @@
-"""Judges a soak by the operators' rules, from what clients, servers and the operator saw (RULES.md)."""
+"""Checks a soak test's history against the operators' rules (RULES.md).
+
+The history holds the observations of clients, servers and the operator.
+"""
 
 from __future__ import annotations
 
@@ -8,34 +11,41 @@
 from dataclasses import dataclass
 
 from ..simulation.invariants.windows import fullest_window
-from .history import UNPLANNED, AttemptEnd, ClientAttempt, Order, ProcessEvent, ProcessEventKind, SoakHistory
+from .history import UNPLANNED_EVENTS, AttemptEnd, ClientAttempt, Order, ProcessEvent, ProcessEventKind, SoakHistory
 from .layout import GRACE_PERIOD_S, QUOTA_OVERSHOOT, QUOTA_SLACK, QUOTA_WINDOW_S
 
 STATUS_OK = 200
 PROMISES_NOT_EXECUTED = frozenset({408, 421, 429, 503})
 DENIALS = frozenset({400, 401, 403, 404, 405})
-#: So long a process may take, on a busy machine, until it has a handler of a signal; SIGHUP is ignored as soon as the
-#: interpreter has started.
-MAX_START_S = {int(signal.SIGTERM): 5.0, int(signal.SIGHUP): 0.5}
+#: Longest time, on a busy machine, before a new process handles a signal.  SIGHUP is ignored as soon as the interpreter
+#: has started.
+MAX_HANDLER_DELAY_S = {int(signal.SIGTERM): 5.0, int(signal.SIGHUP): 0.5}
 CONTACT_WINDOW_S = 4.0
-"""So long before a request no unplanned event of its node excuses a broken answer."""
+"""An unplanned event of a node excuses a broken answer if it came at most this long before the request was sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken rule, and what shows it."""
+    """A violated rule, and the evidence for it."""
 
     rule: str
     detail: str
 
     def __str__(self) -> str:
-        """Return it as one line."""
+        """Return the rule and the evidence as one line."""
         return f"{self.rule}: {self.detail}"
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaUse:
-    """The most requests of one tenant that ran in any quota window, and how many may."""
+    """The fullest quota window of one tenant.
+
+    Attributes:
+        tenant: Name of the tenant.
+        begins_at: Start of the window, in seconds of the rig's clock.
+        count: Requests that ran in the window.
+        allowed: Greatest permitted number of requests in a window.
+    """
 
     tenant: str
     begins_at: float
@@ -44,7 +54,7 @@
 
 
 def judge(history: SoakHistory) -> list[Violation]:
-    """Return the broken rules."""
+    """Return all violations in the history."""
     return [
         *_check_quotas(history),
         *_check_executions(history),
@@ -55,7 +65,7 @@
 
 
 def quota_uses(history: SoakHistory) -> list[QuotaUse]:
-    """Return each limited tenant's fullest window, the fullest by its limit first."""
+    """Return each limited tenant's fullest window, sorted by use of the limit, highest first."""
     times: defaultdict[str, list[float]] = defaultdict(list)
     for run in history.runs:
         times[run.tenant].append(run.arrived_at)
@@ -82,7 +92,11 @@
 
 
 def _check_executions(history: SoakHistory) -> Iterator[Violation]:
-    """TWICE, REFUSED and UNASKED: what ran, how often, and for whom."""
+    """Check the rules TWICE, REFUSED and UNASKED.
+
+    A non-idempotent request runs at most once, and never if its answer promises that it did not run.  Each run
+    belongs to a request that a client of this tenant sent.
+    """
     run_counts: defaultdict[str, int] = defaultdict(int)
     for run in history.runs:
         run_counts[run.request_id] += 1
@@ -102,7 +116,7 @@
 
 
 def _check_answers(history: SoakHistory) -> Iterator[Violation]:
-    """MIXED and DENIED: whose answer it is, and that proper requests are not refused as improper."""
+    """MIXED and DENIED: each client gets the answer to its own request, and no valid request is denied as invalid."""
     for attempt in history.attempts.values():
         if attempt.is_foreign_answer:
             yield Violation("MIXED", f"{attempt.id} got another request's answer from {attempt.node}")
@@ -111,32 +125,40 @@
 
 
 def _check_graceful_ends(history: SoakHistory) -> Iterator[Violation]:
-    """LOST and Fault: a node that is told to leave answers what has run, and ends by itself."""
+    """LOST and Fault: a node that gets SIGTERM answers all requests that ran, and exits with status 0 in time."""
     ran = {run.request_id for run in history.runs}
     for attempt in history.attempts.values():
-        if attempt.end is AttemptEnd.BROKEN and attempt.id in ran and _is_planned(history, attempt):
+        if attempt.end is AttemptEnd.BROKEN and attempt.id in ran and _ended_in_planned_exit(history, attempt):
             yield Violation("LOST", f"{attempt.id} ran, and {attempt.node} closed the connection without an answer")
     for event in history.process_events:
         if event.kind is ProcessEventKind.STUCK:
             yield Violation("Fault", f"{event.node} still ran after its grace period")
-        if event.kind is ProcessEventKind.EXIT and event.status and not _was_starting(history, event):
+        if event.kind is ProcessEventKind.EXIT and event.status and not _is_early_signal_exit(history, event):
             yield Violation("Fault", f"{event.node} ended with status {event.status}")
 
 
-def _was_starting(history: SoakHistory, end: ProcessEvent) -> bool:
-    """Return whether a signal ended a process that had only just been started, and cannot have set a handler yet."""
-    start_s = MAX_START_S.get(-end.status, 0.0)
+def _is_early_signal_exit(history: SoakHistory, end: ProcessEvent) -> bool:
+    """Return whether a signal ended a process too soon after its start for a handler to be installed."""
+    handler_delay_s = MAX_HANDLER_DELAY_S.get(-end.status, 0.0)
     return any(
-        event.kind is ProcessEventKind.START and event.node == end.node and end.at - start_s < event.at <= end.at
+        event.kind is ProcessEventKind.START
+        and event.node == end.node
+        and end.at - handler_delay_s < event.at <= end.at
         for event in history.process_events
     )
 
 
-def _is_planned(history: SoakHistory, attempt: ClientAttempt) -> bool:
-    """Return whether the node was told to leave around an attempt's end, and nothing unplanned befell it."""
+def _ended_in_planned_exit(history: SoakHistory, attempt: ClientAttempt) -> bool:
+    """Return whether an attempt ended while its node was shutting down after SIGTERM.
+
+    The result is False if the node had an unplanned event since `CONTACT_WINDOW_S` before the request.
+    """
     ended_at = attempt.ended_at if attempt.ended_at is not None else attempt.sent_at
     events = [event for event in history.process_events if event.node == attempt.node]
-    if any(event.kind in UNPLANNED and attempt.sent_at - CONTACT_WINDOW_S <= event.at <= ended_at for event in events):
+    if any(
+        event.kind in UNPLANNED_EVENTS and attempt.sent_at - CONTACT_WINDOW_S <= event.at <= ended_at
+        for event in events
+    ):
         return False
     return any(
         event.kind is ProcessEventKind.TERMINATE and event.at <= ended_at <= event.at + GRACE_PERIOD_S + 1.0
@@ -145,17 +167,17 @@
 
 
 def _check_configurations(history: SoakHistory) -> Iterator[Violation]:
-    """CONFIG: one content a version, and what was acknowledged is read back, or something newer that was sent."""
+    """CONFIG: one content per version; each node has the newest acknowledged version or a newer one that was sent."""
     acknowledged = [order for order in history.orders if order.status == STATUS_OK]
-    yield from _check_rivals(acknowledged)
+    yield from _check_conflicting_contents(acknowledged)
     newest = max((order.version for order in acknowledged), default=0)
-    bodies = {order.body: order.version for order in history.orders}
+    versions = {order.body: order.version for order in history.orders}
     confirmed = {order.version: order.body for order in acknowledged}
     for read in history.read_backs:
         if read.status != STATUS_OK:
             yield Violation("CONFIG", f"{read.node} answered a read with {read.status}")
             continue
-        version = bodies.get(read.body)
+        version = versions.get(read.body)
         if version is None:
             yield Violation("CONFIG", f"{read.node} has a configuration that nobody sent")
         elif version < newest:
@@ -164,7 +186,7 @@
             yield Violation("CONFIG", f"{read.node} has another content under {version} than was acknowledged")
 
 
-def _check_rivals(acknowledged: list[Order]) -> Iterator[Violation]:
+def _check_conflicting_contents(acknowledged: list[Order]) -> Iterator[Violation]:
     contents: defaultdict[int, set[bytes]] = defaultdict(set)
     for order in acknowledged:
         contents[order.version].add(order.body)
--- a/mapleline/soak/layout.py
+++ b/mapleline/soak/layout.py
@@ -1,4 +1,4 @@
-"""Names, zones and loopback addresses of a fleet, and the settings file of each of its nodes."""
+"""Names, zones, loopback addresses and settings files of the nodes of a soak test."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 REGION_BY_ZONE = {"z1": "east", "z2": "east", "z3": "west", "z4": "west"}
 ZONES = tuple(REGION_BY_ZONE)
-FIRST_NODE_NETWORK = 21  #: nodes of the first zone are at 127.21.0.1 and on
+FIRST_NODE_NETWORK = 21  #: Second octet of the first zone: its nodes are 127.21.0.1 and up; each further zone adds 1.
 PLATFORM_ADDRESS = ("127.30.0.1", 8382)
-SERVER_NETWORK = 31
+SERVER_NETWORK = 31  #: Second octet of the servers in the first zone; each further zone adds 1.
 SERVER_PORT = 9000
 FRONT_PORT = 8388
 READY_PORT = 8384
@@ -17,7 +17,7 @@
 DIRECTORY_PORT = 8383
 INTERNAL_PORTS = "7560,7575"
 SEED_COUNT = 3
-FLEET_WITH_MORE_DISKS = 20  #: from so many nodes on two in each zone have a disk
+TWO_DISKS_MIN_NODES = 20  #: From this node count, two nodes per zone have a disk, otherwise one.
 PROTOCOL_BOUNDS = (
     "contact_window=4s,ack_timeout=6s,drain_timeout=3s,grace_period=6s,config_apply=3s,revocation_strict=true,"
     "revoke_timeout=5s,retry_budget_ratio=0.2,retry_budget_slack=62,retry_window=10s,quota_window=5s,"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSpec:
-    """One node: its name, zone and address, and whether it keeps a replica of the control state."""
+    """One node; `has_disk` is whether it stores a replica of the control state."""
 
     name: str
     zone: str
@@ -47,11 +47,17 @@
 
     @property
     def disk_nodes(self) -> list[NodeSpec]:
-        """Nodes that take the operator's orders."""
+        """Nodes that accept configurations from the operator."""
         return [node for node in self.nodes if node.has_disk]
 
     def settings_text(self, node: NodeSpec, data_folder: Path, *, is_initial: bool) -> str:
-        """Return a node's settings file; `is_initial` when the whole fleet starts for the first time."""
+        """Return the text of a node's settings file.
+
+        Args:
+            node: The node.
+            data_folder: Data directory of a node with a disk.
+            is_initial: Whether the whole fleet starts for the first time.
+        """
         seeds = ",".join(f"{seed.host}:{CONTROL_PORT}" for seed in self.disk_nodes[:SEED_COUNT])
         lines = [
             f"node_name={node.name}",
@@ -77,8 +83,8 @@
 
 
 def fleet_layout(node_count: int) -> FleetLayout:
-    """Return a fleet of so many nodes, spread over the zones in turn."""
-    disks_per_zone = 2 if node_count >= FLEET_WITH_MORE_DISKS else 1
+    """Return a fleet of `node_count` nodes, assigned to the zones round robin."""
+    disks_per_zone = 2 if node_count >= TWO_DISKS_MIN_NODES else 1
     nodes = []
     for index in range(node_count):
         zone_index, number = index % len(ZONES), index // len(ZONES)
--- a/mapleline/soak/processes.py
+++ b/mapleline/soak/processes.py
@@ -1,4 +1,4 @@
-"""The node processes of a soak: started, signalled, killed and waited for."""
+"""Control of the node processes of a soak test."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 READY_TIMEOUT_S = 1.0
 READY_POLL_S = 0.3
 EXIT_SLACK_S = 4.0
-"""How much longer than the grace period a process may take to end."""
+"""Time beyond the grace period that a process may take to exit."""
 
 SIGNALS = {
     ProcessEventKind.TERMINATE: signal.SIGTERM,
@@ -27,10 +27,10 @@
 
 
 class NodeProcesses:
-    """The processes of all nodes; each runs `command`, which gets its settings by the environment."""
+    """Processes of all nodes; each runs `command`, with the path of its settings file in `MAPLELINE_CONFIG`."""
 
     def __init__(self, layout: FleetLayout, folder: Path, history: SoakHistory, command: list[str]) -> None:
-        """Start nothing yet; settings, data and logs go under the folder."""
+        """Initialise without starting anything; settings, data and logs are stored under `folder`."""
         self._layout = layout
         self._folder = folder
         self._history = history
@@ -38,11 +38,16 @@
         self._processes: dict[str, asyncio.subprocess.Process] = {}
 
     def is_running(self, node: NodeSpec) -> bool:
-        """Return whether the node has a process that was not told to end."""
+        """Return whether the node has a process that the rig has not terminated or killed."""
         return node.name in self._processes
 
     async def start(self, node: NodeSpec, *, is_initial: bool = False) -> None:
-        """Start a node's process, unless it has one."""
+        """Start a node's process, unless it has one.
+
+        Args:
+            node: The node.
+            is_initial: Whether the whole fleet starts for the first time.
+        """
         if node.name in self._processes:
             return
         data_folder = self._folder / node.name
@@ -65,14 +70,17 @@
         self._record(node, kind)
 
     async def kill(self, node: NodeSpec) -> None:
-        """Kill a node's process, if it has one."""
+        """Kill a node's process, if it has one, and wait until it has exited."""
         self.signal(node, ProcessEventKind.KILL)
         process = self._processes.pop(node.name, None)
         if process is not None:
             await process.wait()
 
     async def terminate(self, node: NodeSpec) -> None:
-        """Tell a node's process to end, and wait until it has."""
+        """Send SIGTERM to a node's process and wait until it has exited.
+
+        The process is killed, and recorded as stuck, if it outlives its grace period by `EXIT_SLACK_S`.
+        """
         self.signal(node, ProcessEventKind.TERMINATE)
         process = self._processes.pop(node.name, None)
         if process is None:
@@ -87,7 +95,7 @@
             await process.wait()
 
     def check_running(self) -> None:
-        """Record processes that have ended though nobody told them to."""
+        """Record processes that have exited on their own; an exit with status 0 is recorded as 1."""
         for node in self._layout.nodes:
             process = self._processes.get(node.name)
             if process is not None and process.returncode is not None:
@@ -95,7 +103,7 @@
                 del self._processes[node.name]
 
     async def stop(self) -> None:
-        """Kill all processes that are left."""
+        """Kill all remaining processes and wait for their exit."""
         for process in self._processes.values():
             if process.returncode is None:
                 process.kill()
@@ -104,7 +112,7 @@
         self._processes.clear()
 
     async def wait_until_ready(self, nodes: list[NodeSpec], timeout_s: float) -> list[NodeSpec]:
-        """Wait until nodes are ready; return those that are not in time."""
+        """Wait up to `timeout_s` seconds until nodes are ready; return those that are not."""
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + timeout_s
         waiting = list(nodes)
--- a/mapleline/soak/runner.py
+++ b/mapleline/soak/runner.py
@@ -1,4 +1,4 @@
-"""Runs one soak: a fleet, its load, changes and faults by a seed, and the verdict."""
+"""Runs one soak test: a fleet with seeded load, configuration changes and faults, and the check of its history."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """What one soak plays.
+    """Options of one soak test.
 
     Attributes:
-        seed: Of all chance.
-        node_count: Processes of the program.
-        duration_s: Of the load.
-        load: Factor on the clients' rates.
-        command: What a node runs.
+        seed: Seed of all random choices.
+        node_count: Number of node processes.
+        duration_s: Duration of the load.
+        load: Factor on the clients' request rates.
+        command: Command line of a node process.
     """
 
     seed: int
@@ -48,7 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakProfile:
-    """What is drawn from the seed."""
+    """Random parameters of one soak test.
+
+    Attributes:
+        change_period_s: Mean pause between configuration changes.
+        fault_period_s: Mean pause between faults; None for no faults.
+        break_off_rate: Share of answers that servers drop by closing the connection.
+        changes: Kinds of configuration changes to choose from.
+    """
 
     change_period_s: float
     fault_period_s: float | None
@@ -58,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """The verdict on a soak."""
+    """Result of one soak test."""
 
     options: SoakOptions
     profile: SoakProfile
@@ -68,7 +75,7 @@
     history: SoakHistory
 
     def summary(self) -> str:
-        """Return the verdict in one line."""
+        """Return the result as one line."""
         fullest = ", ".join(f"{use.tenant} {use.count}/{use.allowed:.0f}" for use in self.uses)
         statuses = ", ".join(f"{name} {count}" for name, count in sorted(self.statuses.items()))
         acknowledged = sum(order.status == 200 for order in self.history.orders)
@@ -81,12 +88,12 @@
 
 
 def node_command(text: str) -> tuple[str, ...]:
-    """Return what a node runs, split as a shell does; this program if the text is empty."""
+    """Return the command line of a node, split as by a shell; this program if `text` is empty."""
     return tuple(shlex.split(text)) or NODE_COMMAND
 
 
 def draw_profile(rng: random.Random) -> SoakProfile:
-    """Return how often what happens."""
+    """Return random parameters for one soak test."""
     return SoakProfile(
         change_period_s=rng.choice([0.3, 0.5, 0.8, 2.0, 4.0]),
         fault_period_s=rng.choice([None, 0.6, 1.0, 2.0, 5.0]),
@@ -96,10 +103,10 @@
 
 
 async def run_soak(options: SoakOptions, folder: Path) -> SoakResult:
-    """Run one soak; settings, data and logs go under the folder.
+    """Run one soak test; settings, data and logs are stored under `folder`.
 
     Raises:
-        TimeoutError: Nodes are not ready in time after their first start.
+        TimeoutError: Nodes are not ready `START_TIMEOUT_S` after their first start.
     """
     rng = random.Random(options.seed)
     profile = draw_profile(rng)
@@ -113,11 +120,13 @@
         for node in layout.nodes:
             await processes.start(node, is_initial=True)
         await operator.put_first()
-        late = await processes.wait_until_ready(list(layout.nodes), START_TIMEOUT_S)
-        if late:
-            raise TimeoutError(f"not ready: {', '.join(node.name for node in late)}")
+        unready_nodes = await processes.wait_until_ready(list(layout.nodes), START_TIMEOUT_S)
+        if unready_nodes:
+            raise TimeoutError(f"not ready: {', '.join(node.name for node in unready_nodes)}")
         history.max_loop_lag_s = 0.0
-        await _play(options, profile, ClientTraffic(layout.nodes, history, rng, options.load), operator, processes, rng)
+        await _run_load_and_faults(
+            options, profile, ClientTraffic(layout.nodes, history, rng, options.load), operator, processes, rng
+        )
         await processes.wait_until_ready(layout.disk_nodes, SETTLE_TIMEOUT_S)
         await operator.read_back()
         processes.check_running()
@@ -132,7 +141,7 @@
     return SoakResult(options, profile, judge(history), quota_uses(history), statuses, history)
 
 
-async def _play(
+async def _run_load_and_faults(
     options: SoakOptions,
     profile: SoakProfile,
     traffic: ClientTraffic,
@@ -140,7 +149,7 @@
     processes: NodeProcesses,
     rng: random.Random,
 ) -> None:
-    """Run load, changes and faults beside each other."""
+    """Run load, configuration changes and faults concurrently."""
     layout = fleet_layout(options.node_count)
     async with asyncio.TaskGroup() as group:
         group.create_task(traffic.run(options.duration_s))
@@ -151,7 +160,7 @@
 
 
 async def _watch_loop_lag(history: SoakHistory) -> None:
-    """Measure how late the event loop runs."""
+    """Record the greatest delay of the event loop, sampled every `LOOP_LAG_PERIOD_S`."""
     loop = asyncio.get_running_loop()
     while True:
         due_at = loop.time() + LOOP_LAG_PERIOD_S
--- a/mapleline/soak/stand_ins.py
+++ b/mapleline/soak/stand_ins.py
@@ -1,4 +1,4 @@
-"""The platform and the servers of a soak, as asyncio servers on loopback."""
+"""Simulated cloud platform and servers of a soak test, as asyncio servers on loopback."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSpec:
-    """One server."""
+    """One simulated server."""
 
     id: str
     zone: str
@@ -42,33 +42,39 @@
 
 
 class StandIns:
-    """All servers and the platform; `break_off_rate` is the share of the answers that servers lose."""
+    """All simulated servers and the cloud platform."""
 
     def __init__(self, history: SoakHistory, rng: random.Random, break_off_rate: float) -> None:
-        """Nothing listens yet."""
+        """Initialise without listening.
+
+        Args:
+            history: Records every run at a server.
+            rng: Source of all random choices.
+            break_off_rate: Share of answers that servers drop by closing the connection.
+        """
         self._history = history
         self._rng = rng
         self._break_off_rate = break_off_rate
         self._servers: list[asyncio.Server] = []
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen on all addresses."""
         specs = server_specs()
         for spec in specs:
             self._servers.append(await asyncio.start_server(self._server_handler(spec), spec.host, SERVER_PORT))
-        page = _instance_list(specs)
+        instance_page = _instance_list(specs)
 
-        async def serve_page(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve_platform(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with suppress(*NO_ANSWER_ERRORS):
                 while True:
                     await read_message(reader)
-                    writer.write(encode_message("HTTP/1.1 200 OK", {}, page))
+                    writer.write(encode_message("HTTP/1.1 200 OK", {}, instance_page))
             writer.close()
 
-        self._servers.append(await asyncio.start_server(serve_page, *PLATFORM_ADDRESS))
+        self._servers.append(await asyncio.start_server(serve_platform, *PLATFORM_ADDRESS))
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         for server in self._servers:
             server.close()
 
@@ -86,7 +92,7 @@
         return handle
 
     async def _serve(self, spec: ServerSpec, request: Message) -> bytes | None:
-        """Run a request; return None to break off in place of an answer."""
+        """Run a request and return the answer; None to close the connection without one."""
         headers = {"Instance-Id": spec.id, "Server-Load": f"1,0,{SERVER_SLOTS}"}
         request_id = request.headers.get("request-id")
         if request_id is None:  # a health probe
@@ -103,7 +109,7 @@
 
 
 def _instance_list(specs: list[ServerSpec]) -> bytes:
-    """Return the platform's list of instances."""
+    """Return the platform's list of instances as JSON."""
     entries = [
         {
             "instance_id": spec.id,
--- a/mapleline/soak/workload.py
+++ b/mapleline/soak/workload.py
@@ -1,4 +1,4 @@
-"""Tenants, routes and configurations of a soak."""
+"""Tenants, routes and configurations of a soak test."""
 
 from __future__ import annotations
 
@@ -17,7 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantSpec:
-    """A tenant: its limit, and how many requests a second its clients send."""
+    """A tenant.
+
+    Attributes:
+        name: Name of the tenant.
+        rate_per_s: Limit in requests per second; 0 for no limit.
+        burst_size: Requests that the limit allows at once.
+        load_per_s: Requests that its clients send per second.
+    """
 
     name: str
     rate_per_s: float
@@ -26,11 +33,12 @@
 
     @property
     def api_key(self) -> str:
-        """Its key, which stays."""
+        """API key of the tenant, the same in all configurations."""
         return f"key-{self.name}"
 
 
-#: Some send many times what they may, others less.  Limits with little burst have short windows, those with much long.
+#: Three tenants send several times their limit, one sends less than its limit, one has no limit.  A limit with a small
+#: burst has a short window, one with a large burst a long window.
 TENANTS = (
     TenantSpec("hot-even", 20.0, 20.0, 70.0),
     TenantSpec("hot-little-burst", 28.0, 13.0, 70.0),
@@ -42,13 +50,13 @@
 
 @dataclass(slots=True)
 class ConfigurationState:
-    """What the operator's next configuration contains.
+    """Content of the operator's next configuration.
 
     Attributes:
-        limits: Rate a second and burst by tenant.
-        homes: Home regions by tenant.
-        extra_tenants: How many tenants there are beside, without any request.
-        extra_routes: How many routes beside.
+        limits: Rate per second and burst, by tenant.
+        homes: Home regions, by tenant.
+        extra_tenants: Number of further tenants, which send no requests.
+        extra_routes: Number of further routes, which get no requests.
     """
 
     limits: dict[str, tuple[float, float]] = field(
@@ -59,7 +67,7 @@
     extra_routes: int = 0
 
     def body(self, version: int, serial: int) -> bytes:
-        """Return the configuration; `serial` tells contents under one version apart."""
+        """Return the configuration as JSON; `serial` makes contents under one version differ."""
         document = {
             "config_version": version,
             "route_table": self._routes(),
--- a/tests/soak/faulty_node.py
+++ b/tests/soak/faulty_node.py
@@ -1,4 +1,4 @@
-"""A node with a planted fault, for the soak to find: every tenant's use is taken for nothing."""
+"""A node with a deliberate fault that the soak test must detect: it admits every request, whatever the tenant's use."""
 
 import sys
 
@@ -7,7 +7,7 @@
 
 
 def admit_everything(tenancy, usage):
-    """Return that there is room."""
+    """Return None: no excess, thus no wait."""
 
 
 if __name__ == "__main__":
