--- a/mapleline/faults/__init__.py
+++ b/mapleline/faults/__init__.py
@@ -1,4 +1,4 @@
-"""The fault rig: several processes of the program, a fault proxy on every link, schedules and the checker.
+"""The fault rig: a fleet of processes of the program, a fault proxy on every link, schedules and the checker.
 
-A driver for tests and operators: nothing on `run`'s path imports it.  See docs/fleet.md.
+Tests and operators run it; `mapleline run` imports nothing from it.  See docs/fleet.md.
 """
--- a/mapleline/faults/addresses.py
+++ b/mapleline/faults/addresses.py
@@ -1,4 +1,4 @@
-"""Where the rig's parties listen and how long connecting takes at most."""
+"""The rig's listening address and connect timeout."""
 
 from __future__ import annotations
 
@@ -7,5 +7,5 @@
 
 
 def loopback_address(port: int) -> str:
-    """The address `host:port` as settings have it."""
+    """Return the address `host:port` in the form that settings use."""
     return f"{LOOPBACK}:{port}"
--- a/mapleline/faults/checker/__init__.py
+++ b/mapleline/faults/checker/__init__.py
@@ -1,7 +1,7 @@
-"""The checker: judges a fleet's history from its logs alone, as an operator could.
+"""Checker of the fault rig: finds rule violations in a fleet's logs, without any other knowledge of the run.
 
-Pure: it reads the events of every log and returns the violations, each with the name of its rule.  The rules are
-those of docs/fleet.md; each is a function `check_RULE`, whose docstring says it.
+The package does no I/O: it takes the events of every log and returns the violations, each with the name of its rule.
+The rules are those of docs/fleet.md; a function `check_RULE` implements each, and its docstring states the rule.
 """
 
 from .budgets import BudgetEpoch, EpochSpending, shares_by_epoch, spent_by_epoch
--- a/mapleline/faults/checker/answers.py
+++ b/mapleline/faults/checker/answers.py
@@ -1,4 +1,4 @@
-"""Rule `answered`: every request has exactly one answer, in time."""
+"""Rule `answered`: every request gets exactly one answer, in time."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeSpan:
-    """From `start` to `end`, both in Unix seconds and included."""
+    """A closed interval of time; both ends are in Unix seconds."""
 
     start: float
     end: float
 
     def overlaps(self, start: float, end: float) -> bool:
-        """Whether the two spans have an instant in common."""
+        """Return whether the two spans have an instant in common."""
         return start <= self.end and end >= self.start
 
 
 def check_answered(history: History, slack_s: float, strict: bool) -> list[Violation]:
     """`answered`: every request of the load has one answer by its deadline plus `slack_s`.
 
-    None is lost, late, answered twice, or cut off with its connection.  A request whose time overlaps a fault
-    of its ingress or of the load's link to it is excused: the load there stands for clients that a load
-    balancer in front would move.  A restart's fault lasts until the process is ready again.
+    No request may be lost, late, answered twice, or cut off with its connection.  A request is excused if its
+    time overlaps a fault of its ingress or of the load's link to it, because a load balancer in front of the
+    ingresses would send such clients elsewhere.  The fault of a restart lasts until the process is ready again.
 
     Args:
         history: The fleet's logs.
         slack_s: Seconds that an answer may come after its deadline.
-        strict: Whether no request is excused.
+        strict: If true, no request is excused.
     """
     excused = {} if strict else _excused_spans(history.of_source("fleet"))
     requests: dict[str, Event] = {}
@@ -56,13 +56,13 @@
 
 
 def _deadline(request: Event) -> float:
-    """When the request's time is over, in Unix seconds."""
+    """Return the request's deadline in Unix seconds."""
     deadline: float = request["at"] + request["timeout_ms"] / 1000
     return deadline
 
 
 def _judge_outcomes(request: Event, outcomes: list[Event], slack_s: float) -> Violation | None:
-    """How the outcomes of one request break the rule, if they do."""
+    """Return the violation that the outcomes of one request show, or None."""
     ingress, request_id = request["ingress"], request["id"]
     if not outcomes or outcomes[0]["event"] == "unanswered":
         return Violation("answered", request["at"], ingress, f"request {request_id} lost: never answered")
@@ -80,14 +80,14 @@
 
 
 def _excused_spans(fleet_events: list[Event]) -> dict[str, list[TimeSpan]]:
-    """For each ingress, the times when it or the load's link to it had a fault.
+    """Return for each ingress the times when it or the load's link to it had a fault.
 
-    A killed ingress is excused for good; another fault that never ended, until the last event of the fleet.
+    A killed ingress is excused forever.  Any other fault that never ended counts until the fleet's last event.
     """
     open_faults: dict[tuple[str, str], float] = {}
     spans: dict[str, list[TimeSpan]] = defaultdict(list)
     for event in fleet_events:
-        ingress = _faulty_ingress(event)
+        ingress = _affected_ingress(event)
         if not ingress:
             continue
         key = (ingress, event.get("fault", ""))
@@ -103,8 +103,8 @@
     return spans
 
 
-def _faulty_ingress(event: Event) -> str:
-    """The ingress that the event's process or load link names; empty for any other link or process."""
+def _affected_ingress(event: Event) -> str:
+    """Return the ingress whose process or load link the event names; empty for any other process or link."""
     target = fault_target(event)
     if not target.startswith((LOAD_LINK_PREFIX, INGRESS_PREFIX)):
         return ""
--- a/mapleline/faults/checker/budgets.py
+++ b/mapleline/faults/checker/budgets.py
@@ -1,4 +1,4 @@
-"""Rules `budget` and `spent`: the fleet's shares of a budget, and what it spends, stay within the total."""
+"""Rules `budget` and `spent`: neither the shares of a budget nor the spending exceed its total."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .history import Event, History, Logs
 from .violation import Violation
 
-ROUNDING_MARGIN = 1 + 1e-9  # sums of many fractions may be above the total by rounding
+ROUNDING_MARGIN = 1 + 1e-9  # rounding may raise a sum of many fractions above the total
 
 
 class BudgetEpoch(NamedTuple):
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochSpending:
-    """What the fleet spent of one budget in one epoch.
+    """Spending of the whole fleet from one budget in one epoch.
 
     Attributes:
         spent: Units that all members together spent.
         total: Units of the whole budget.
-        reported_at: When the last member reported, in Unix seconds.
+        reported_at: Time of the last member's report, in Unix seconds.
     """
 
     spent: float
@@ -36,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ShareChange:
-    """A share of a budget that comes into use, or goes out of it, at one ingress.
+    """The start or end of the use of a budget share at one ingress.
 
-    The order of the fields is that of sorting: at one instant, ends come before starts.
+    The order of the fields defines the sort order: at equal times, ends come before starts.
     """
 
     at: float
@@ -64,7 +64,7 @@
 
 
 def check_spent(history: History) -> list[Violation]:
-    """`spent`: what members report of a budget in an epoch (`budget spent`) sums to at most its total."""
+    """`spent`: the spending that members report (`budget spent`) for an epoch sums to at most the budget's total."""
     found = []
     for (budget, epoch), spending in spent_by_epoch(history.events).items():
         if spending.spent > spending.total * ROUNDING_MARGIN:
@@ -74,7 +74,7 @@
 
 
 def spent_by_epoch(logs: Logs) -> dict[BudgetEpoch, EpochSpending]:
-    """What the fleet spent, by budget and epoch."""
+    """Return the fleet's spending by budget and epoch."""
     spendings: dict[BudgetEpoch, EpochSpending] = {}
     for events in logs.values():
         for event in events:
@@ -90,7 +90,7 @@
 
 
 def shares_by_epoch(logs: Logs) -> dict[str, dict[int, float]]:
-    """For each budget, the shares that came into use in each epoch, summed over the fleet."""
+    """Return, by budget and epoch, the sum of the shares that came into use in the fleet."""
     shares: dict[str, dict[int, float]] = defaultdict(lambda: defaultdict(float))
     for events in logs.values():
         for event in events:
@@ -100,7 +100,7 @@
 
 
 def _collect_totals(events: list[Event], totals: dict[str, float]) -> None:
-    """The least total that any ingress has for each budget."""
+    """Store in `totals` the least total that any ingress reports for each budget."""
     for event in events:
         if event["event"] == "budget held":
             budget = event["budget"]
@@ -108,7 +108,7 @@
 
 
 def _collect_changes(source: str, events: list[Event], changes: dict[str, list[ShareChange]]) -> None:
-    """Add the starts and ends of one ingress's shares; one that is never released ends at infinity."""
+    """Add the starts and ends of one ingress's shares; a share that is never released ends at infinity."""
     in_use: dict[tuple[str, int | None], float] = {}
     for event in events:
         if event["event"] not in ("budget held", "budget released"):
@@ -132,7 +132,7 @@
 
 
 def _judge_changes(budget: str, total: float, changes: list[ShareChange]) -> list[Violation]:
-    """Sweep over the changes in order of time; the sum is checked after each start."""
+    """Return a violation for each start after which the shares in use exceed the total."""
     found = []
     in_use = 0.0
     for change in sorted(changes):
--- a/mapleline/faults/checker/execution.py
+++ b/mapleline/faults/checker/execution.py
@@ -1,4 +1,4 @@
-"""Rules `once` and `charged`: no effect happens twice, none is reported wrongly, none is charged twice."""
+"""Rules `once` and `charged`: no effect happens twice, is reported wrongly or is charged twice."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from .history import Event, History
 from .violation import Violation
 
-CUSTOMER_WINDOW = re.compile("[0-9a-f]{16}")  # the counter's names for customers' windows
+CUSTOMER_WINDOW = re.compile("[0-9a-f]{16}")  # format of the counter's names for customers' quota windows
 IDEMPOTENT_CLASS = "look"  # may be repeated freely
-KEYED_CLASS = "pay"  # repeated with an idempotency key, which the servers drop
+KEYED_CLASS = "pay"  # repeated with an idempotency key, by which the servers drop repeats
 SINGLE_ATTEMPT_CLASS = "book"  # must not be repeated
 SERVED_STATUS = 200
 REFUSAL_STATUSES = (429, 503)
@@ -20,18 +20,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRun:
-    """One run of a request at a server: its zone's process name and when it began, in Unix seconds."""
+    """One run of a request at a server; `zone` is the zone's process name, `at` the start in Unix seconds."""
 
     zone: str
     at: float
 
 
 def check_once(history: History) -> list[Violation]:
-    """`once`: by the servers' records every request ran as often as its class allows, and was answered so.
+    """`once`: each request ran as often as its class allows, and its answer agrees with the servers' records.
 
-    No request of `book` ran twice, nor one of `pay` but for repeats that its key dropped.  What was answered
-    200 ran, with its own answer; no `book` that ran was refused, and no outcome is unknown of a request that
-    might have been repeated.
+    No `book` request ran twice, and no `pay` request did, apart from repeats that servers dropped by its key.
+    A request that was answered 200 ran and got its own answer.  No `book` request that ran was refused.  No
+    repeatable request was answered with an unknown outcome.
     """
     runs = _runs_by_request(history)
     classes = {event["id"]: event.get("cls", IDEMPOTENT_CLASS) for event in history.of_kind("load", "sent")}
@@ -47,9 +47,9 @@
 
 
 def check_charged(history: History) -> list[Violation]:
-    """`charged`: what the counter added for customers is no more than a unit for each request to charge.
+    """`charged`: the counter added at most one unit to customers' windows per chargeable request.
 
-    To charge is each request that ran, that was answered by other than a refusal, or whose client had to retry.
+    A request is chargeable if it ran, if its answer was not a refusal, or if its client had to retry it.
     """
     additions = [
         event for event in history.of_kind("counter", "add") if CUSTOMER_WINDOW.fullmatch(event["name"]) is not None
@@ -83,7 +83,7 @@
 
 
 def _wrong_answer(answer: Event, request_class: str, has_run: bool) -> str:
-    """What is wrong with an answer, given whether its request ran; empty if nothing is."""
+    """Return a description of the error in an answer, given whether its request ran; empty without an error."""
     request_id, status = answer["id"], answer["status"]
     if status == SERVED_STATUS and (not has_run or "foreign" in answer):
         return f"request {request_id} answered 200 without having run"
@@ -95,5 +95,5 @@
 
 
 def _is_chargeable(event: Event) -> bool:
-    """Whether an event of the load shows that its request may be charged."""
+    """Return whether an event of the load shows that its request is chargeable."""
     return event["event"] == "again" or event.get("status", REFUSAL_STATUSES[-1]) not in REFUSAL_STATUSES
--- a/mapleline/faults/checker/handoff.py
+++ b/mapleline/faults/checker/handoff.py
@@ -1,4 +1,4 @@
-"""Rule `fenced`: what another ingress has taken over is not answered by the ingress that had it before."""
+"""Rule `fenced`: an ingress doesn't answer requests that another ingress has taken over from it."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 STOPPING_MODES = ("kill", "stall")
 SENT_EVENTS = ("sent", "sent again")
 
-#: An ingress whose log was taken over, and the id of a request on record there.
+#: An ingress whose record log was taken over, and the id of a request in that log.
 RecordedRequest = tuple[str, str]
 
 
 def check_fenced(history: History) -> list[Violation]:
-    """`fenced`: once another began to take over an ingress's log, that ingress answers nothing on record there.
+    """`fenced`: after another ingress began to take over an ingress's log, the owner answers no request in that log.
 
-    Excused is a request that was sent to it again (what was not on record lay unread, and is new to it when it
-    wakes).  What a client reads while that process is stopped or dead was written before, and shows nothing.
+    A request that was sent to the owner again is excused: bytes that the process had not read, and so not recorded,
+    are a new request to it when it resumes.  Answers that a client reads while the owner's process is stopped or
+    dead are ignored, because the owner wrote them earlier.
     """
     takeovers = _takeover_times(history)
     stops = [span for span in history.fault_spans() if span.mode in STOPPING_MODES]
@@ -27,18 +28,18 @@
             last_sent[event["id"]] = event
         elif event["event"] == "answer" and event["id"] in last_sent:
             ingress = event.get("ingress", "")
-            taken_at = takeovers.get((ingress, event["id"]), float("inf"))
+            takeover_at = takeovers.get((ingress, event["id"]), float("inf"))
             if _is_stopped(ingress, event["at"], stops):
                 continue
             sent = last_sent[event["id"]]
-            if sent["at"] <= taken_at < event["at"] and sent.get("ingress", "") == ingress:
+            if sent["at"] <= takeover_at < event["at"] and sent.get("ingress", "") == ingress:
                 description = f"answered {event['id']} after another had taken it over"
                 found.append(Violation("fenced", event["at"], ingress, description))
     return found
 
 
 def _takeover_times(history: History) -> dict[RecordedRequest, float]:
-    """When another first began to take over each request on record, in Unix seconds."""
+    """Return for each recorded request when another ingress first began to take it over, in Unix seconds."""
     takeovers: dict[RecordedRequest, float] = {}
     for source in history.ingresses():
         for event in history.of_kind(source, "taking over"):
--- a/mapleline/faults/checker/history.py
+++ b/mapleline/faults/checker/history.py
@@ -1,4 +1,4 @@
-"""The logs of a fleet as the rules read them: events in order of time, faults as spans of time."""
+"""Access to a fleet's logs for the rules: events in order of time, faults as spans of time."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     Attributes:
         target: The process or link that had the fault.
         mode: The fault's mode, as in docs/fleet.md.
-        start: When it began, in Unix seconds.
-        end: When it ended, in Unix seconds; infinity for one that never did.
+        start: Start in Unix seconds.
+        end: End in Unix seconds; infinity if the fault never ended.
     """
 
     target: str
@@ -32,7 +32,7 @@
     end: float
 
     def covers(self, at: float, after_s: float = 0.0) -> bool:
-        """Whether `at` lies in the span, or at most `after_s` seconds after its end."""
+        """Return whether `at` lies in the span, or at most `after_s` seconds after its end."""
         return self.start <= at <= self.end + after_s
 
 
@@ -48,32 +48,32 @@
         return cls({source: sorted(events, key=_event_time) for source, events in logs.items()})
 
     def of_source(self, source: str) -> list[Event]:
-        """The events of one log; none if it was not written."""
+        """Return the events of one log; empty if the log doesn't exist."""
         return self.events.get(source, [])
 
     def of_kind(self, source: str, kind: str) -> list[Event]:
-        """The events of one log whose `event` is `kind`."""
+        """Return the events of one log whose `event` is `kind`."""
         return [event for event in self.of_source(source) if event["event"] == kind]
 
     def ingresses(self) -> dict[str, list[Event]]:
-        """The logs of the ingresses, by name."""
+        """Return the logs of the ingresses, by name."""
         return self._with_prefix(INGRESS_PREFIX)
 
     def zones(self) -> dict[str, list[Event]]:
-        """The records of the zones' servers, by the zone's process name."""
+        """Return the records of the zones' servers, by the zone's process name."""
         return self._with_prefix(ZONE_PREFIX)
 
     def fleet_settings(self) -> Event:
-        """The schedule's `fleet` block, as the controller logged it when the load began."""
+        """Return the schedule's `fleet` block, as the controller logged it when the load began."""
         return next(iter(self.of_kind("fleet", "load begun")), {})
 
     def program_settings(self, block: str) -> dict[str, Any]:
-        """One block of the ingresses' own settings; empty if the schedule has none."""
+        """Return one block of the ingresses' own settings; empty if the schedule has none."""
         settings: dict[str, Any] = self.fleet_settings().get("own", {}).get(block, {})
         return settings
 
     def fault_spans(self) -> list[FaultSpan]:
-        """Every fault that began: those that ended in the order of their ends, then the others."""
+        """Return every fault that began: first the ended ones, by end, then the open ones."""
         open_faults: dict[str | None, Event] = {}
         spans = []
         for event in self.of_source("fleet"):
@@ -89,7 +89,7 @@
 
 
 def fault_target(event: Event) -> str:
-    """The process or link that a `fault begun` or `fault ended` names."""
+    """Return the process or link that a `fault begun` or `fault ended` names."""
     return event.get("process") or event.get("link") or ""
 
 
--- a/mapleline/faults/checker/judge.py
+++ b/mapleline/faults/checker/judge.py
@@ -1,4 +1,4 @@
-"""The checker's verdict: every rule applied to the logs of a fleet."""
+"""Applies every rule to the logs of a fleet."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .violation import Violation
 from .zones import check_zones
 
-ANSWER_SLACK_S = 0.5  # an answer may come so long after its deadline: docs/fleet.md, rule `answered`
+ANSWER_SLACK_S = 0.5  # allowed time of an answer after its deadline; docs/fleet.md, rule `answered`
 
 RULES = (
     check_schedule,
@@ -31,12 +31,12 @@
 
 
 def judge(logs: Logs, slack_s: float = ANSWER_SLACK_S, strict: bool = False) -> list[Violation]:
-    """Every violation, by time and rule.
+    """Return all violations, sorted by time and rule.
 
     Args:
         logs: The events of each log, by source (`load`, `fleet`, `ingress-2`).
         slack_s: Seconds that an answer may come after its deadline.
-        strict: Whether no request is excused, not even at an ingress under a fault.
+        strict: If true, no request is excused, not even at an ingress under a fault.
     """
     history = History.from_logs(logs)
     found = check_answered(history, slack_s, strict)
--- a/mapleline/faults/checker/processes.py
+++ b/mapleline/faults/checker/processes.py
@@ -1,4 +1,4 @@
-"""Rules `schedule` and `crash`: the faults came as scheduled, and no process failed by itself."""
+"""Rules `schedule` and `crash`: all scheduled faults began, and no process failed by itself."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def check_schedule(history: History) -> list[Violation]:
-    """`schedule`: every fault that waits for something of its process has begun by the end."""
+    """`schedule`: every fault with a precondition has begun by the end of the run."""
     return [
         Violation(
             "schedule", event["at"], event["process"], f"{event['fault']} never began: what it waits for did not come"
@@ -23,15 +23,15 @@
 def check_crash(history: History) -> list[Violation]:
     """`crash`: no process failed by itself.
 
-    None ended that the schedule did not end, and none failed to start.  No ingress reported a fault of its own
-    or counted one, or a broken invariant (`broken.*`).
+    No process exited unless the schedule ended it, and none failed to start.  No ingress reported or counted an
+    internal fault or a broken invariant (`broken.*`).
     """
     found = _failed_processes(history.of_source("fleet"))
     for source, events in history.events.items():
         if source in ("fleet", "load"):
             continue
         for event in events:
-            description = _own_fault(event)
+            description = _internal_fault(event)
             if description:
                 found.append(Violation("crash", event["at"], source, description))
     return found
@@ -48,8 +48,8 @@
     return found
 
 
-def _own_fault(event: Event) -> str:
-    """The fault of its own that an ingress logs here; empty if it logs none."""
+def _internal_fault(event: Event) -> str:
+    """Return a description of the internal fault that an ingress's event reports; empty if it reports none."""
     if event["event"] in REPORTED_FAULTS:
         return f"reported {event['event']!r}"
     if event["event"] != "counters":
--- a/mapleline/faults/checker/quota.py
+++ b/mapleline/faults/checker/quota.py
@@ -1,4 +1,4 @@
-"""Rule `quota`: the load replayed against a token bucket a customer."""
+"""Rule `quota`: replays the load against one token bucket per customer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class QuotaOutcome:
-    """What became of the requests under their customers' quotas.
+    """Counts of requests by their outcome under the customers' quotas.
 
     Attributes:
         requests: Requests sent.
@@ -50,10 +50,10 @@
     """One customer's quota: filled at a rate up to a burst, in requests.
 
     Attributes:
-        rate: Tokens a second.
-        burst: Tokens at most.
+        rate: Tokens per second.
+        burst: Capacity in tokens.
         level: Tokens left at `updated_at`.
-        updated_at: Unix seconds.
+        updated_at: Time of the last refill, in Unix seconds.
     """
 
     rate: float
@@ -62,28 +62,28 @@
     updated_at: float
 
     def refill(self, at: float) -> None:
-        """Add what has come since the last update."""
+        """Add the tokens that accrued since the last update; `at` is in Unix seconds."""
         self.level = min(self.burst, self.level + self.rate * (at - self.updated_at))
         self.updated_at = at
 
-    def take(self) -> bool:
-        """Take a token, and whether there was one."""
+    def try_take(self) -> bool:
+        """Take a token if one is left; return whether there was one."""
         if self.level < 1:
             return False
         self.level -= 1
         return True
 
     def has_room(self) -> bool:
-        """Whether at least half of the burst, and a token, is left."""
+        """Return whether at least half of the burst, and at least one token, is left."""
         return self.level >= max(1.0, self.burst / 2)
 
 
 def check_quota(history: History) -> list[Violation]:
     """`quota`: the shares served over quota and refused with room are within the schedule's bounds.
 
-    Served over quota is at most `overrun_most` of what is served; refused with a 429 while at least half of the
-    customer's bucket was unused is at most `refused_most` of all requests.  Both bounds are of the schedule's
-    `fleet` block; 0: not judged.
+    At most `overrun_most` of the served requests are over quota.  At most `refused_most` of all requests are
+    refused with a 429 while at least half of the customer's bucket is unused.  Both bounds come from the
+    schedule's `fleet` block; a bound of 0 is not checked.
     """
     settings = history.fleet_settings()
     overrun_bound = settings.get("overrun_most", 0)
@@ -107,7 +107,7 @@
 
 
 def _replay(history: History, since: float, until: float) -> QuotaOutcome:
-    """A served request takes its token when it was sent, or finds none: it is over quota."""
+    """Replay the load; a served request takes a token at its time of sending, or is over quota if none is left."""
     settings = history.fleet_settings()
     rate, burst = settings.get("quota_rate", 1.0), settings.get("quota_burst", 1.0)
     statuses = {event["id"]: event.get("status") for event in history.of_kind("load", "answer")}
@@ -127,7 +127,7 @@
     outcome.requests += 1
     if status == SERVED_STATUS:
         outcome.served += 1
-        if not bucket.take():
+        if not bucket.try_take():
             outcome.over_quota += 1
     elif status == OVER_QUOTA_STATUS and bucket.has_room():
         outcome.refused_with_room += 1
--- a/mapleline/faults/checker/servers.py
+++ b/mapleline/faults/checker/servers.py
@@ -1,4 +1,4 @@
-"""Rules `room` and `fall`: no server has more work than it may have, and none is overloaded."""
+"""Rules `room` and `fall`: no server exceeds its limit of concurrent requests, and none is overloaded."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def check_room(history: History) -> list[Violation]:
-    """`room`: no server had more requests in work than `budgets.room` (the servers' records); 0: no bound."""
+    """`room`: no server's record shows more concurrent requests than `budgets.room`; 0 means no bound."""
     room = history.program_settings("budgets").get("room", 0)
     if room <= 0:
         return []
@@ -21,7 +21,7 @@
 
 
 def check_fall(history: History) -> list[Violation]:
-    """`fall`: no server fell over, which it does when more arrive than a multiple of what it bears."""
+    """`fall`: no server fell over; a server does so when arrivals exceed a multiple of its capacity."""
     found = []
     for zone in history.zones():
         for event in history.of_kind(zone, "fell over"):
--- a/mapleline/faults/checker/violation.py
+++ b/mapleline/faults/checker/violation.py
@@ -1,4 +1,4 @@
-"""What the checker reports: one record for each broken rule."""
+"""The record that the checker returns for each violation of a rule."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One break of one rule.
+    """One violation of one rule.
 
     Attributes:
         rule: The rule's name, as listed in docs/fleet.md.
-        at: When it broke, in Unix seconds.
-        source: The log, process or link at which it broke.
-        description: What broke, in a sentence.
+        at: Time of the violation, in Unix seconds.
+        source: The log, process or link that violated the rule.
+        description: Description of the violation in a short phrase.
     """
 
     rule: str
@@ -22,5 +22,5 @@
     description: str
 
     def __str__(self) -> str:
-        """The line that `mapleline fleet check` prints."""
+        """Return the line that `mapleline fleet check` prints."""
         return f"{self.rule} at {self.at:.3f} ({self.source}): {self.description}"
--- a/mapleline/faults/checker/zones.py
+++ b/mapleline/faults/checker/zones.py
@@ -1,4 +1,4 @@
-"""Rule `zones`: all ingresses leave an unreachable zone in time, none leaves another, and none returns too soon."""
+"""Rule `zones`: all ingresses leave an unreachable zone in time, and none leaves a reachable one or returns early."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 CUTTING_MODES = ("cut", "cut_up", "cut_down", "blackhole", "kill")
 TRANSITION_EVENTS = ("zone left", "zone back")
-SCHEDULING_SLACK_S = 0.4  # a process's turn to run, a call to the counter, the load's next request
+SCHEDULING_SLACK_S = 0.4  # covers process scheduling, a call to the counter, and the wait for the load's next request
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneHistory:
-    """What the logs say of zones and of the ingresses' reach.
+    """Facts from the logs about zones and their reachability from the ingresses.
 
     Attributes:
         fleet_events: The controller's log.
         settings: The ingresses' `zones` block.
-        heartbeat_s: Their heartbeat period, in seconds.
-        bound_s: Within so many seconds every ingress has left a zone that none reaches.
+        heartbeat_s: Heartbeat period of the ingresses, in seconds.
+        bound_s: Seconds within which every ingress must leave a zone that none reaches.
         transitions: By ingress, the events at which it left a zone or returned to it.
         own_faults: By ingress, the faults of its own process.
         cuts: The faults that cut off zones or kill their processes.
@@ -39,7 +39,7 @@
 
     @classmethod
     def from_history(cls, history: History, settings: Zones) -> ZoneHistory:
-        """Collect it from the logs."""
+        """Collect the facts from the logs."""
         heartbeat_s = history.program_settings("budgets").get("beat_s", 0.0)
         ingresses = _started_ingresses(history)
         spans = history.fault_spans()
@@ -54,11 +54,11 @@
         )
 
     def is_cut_off(self, ingress: str, zone: str, at: float) -> bool:
-        """Whether `ingress` does not reach `zone`, or did not at most `bound_s` before."""
+        """Return whether `ingress` cannot reach `zone`, or could not at some time in the last `bound_s` seconds."""
         return any(_cuts_off(cut, ingress, zone) and cut.covers(at, after_s=self.bound_s) for cut in self.cuts)
 
     def failed_sends(self, zone: str) -> Iterator[Event]:
-        """The attempts at the zone's servers that had no answer, as the links logged them."""
+        """Return the attempts at the zone's servers that had no answer, as the links logged them."""
         for event in self.fleet_events:
             if event["event"] == "sent in vain" and event["link"].endswith(f">{ZONE_PREFIX}{zone}"):
                 yield event
@@ -67,12 +67,12 @@
 def check_zones(history: History) -> list[Violation]:
     """`zones` (where `zones.enabled`): the fleet leaves a zone and returns to it as docs/zones.md says.
 
-    - A zone that no ingress reaches (a cutting fault of `*>zone-Z`, or its process killed) is left by every
-      ingress without a fault of its own within `Zones.bound_s`, by all within a heartbeat period of each other,
-      and nothing is sent there after that bound until the fault ends.
-    - No ingress leaves a zone that most of them reach.
-    - An ingress stays away for the hold time it logged, and a zone left again within `flap_s` of its return
-      has twice the hold time, up to `hold_most_s`.
+    - If no ingress reaches a zone (a cutting fault of `*>zone-Z`, or its process killed), every ingress without
+      a fault of its own leaves the zone within `Zones.bound_s`, and all within a heartbeat period of each other.
+      Nothing is sent there after that bound until the fault ends.
+    - No ingress leaves a zone that most ingresses reach.
+    - An ingress stays away for the hold time that it logged.  If it leaves a zone again within `flap_s` of its
+      return, the hold time doubles, up to `hold_most_s`.
     """
     settings = history.program_settings("zones")
     if not settings.get("enabled"):
@@ -88,7 +88,7 @@
 
 
 def _check_departures(zones: ZoneHistory, ingress: str) -> list[Violation]:
-    """No ingress leaves a zone that most of them reach."""
+    """Return a violation for each departure of an ingress from a zone that most ingresses reach."""
     found = []
     for event in zones.transitions[ingress]:
         if event["event"] != "zone left":
@@ -101,7 +101,7 @@
 
 
 def _check_hold_times(zones: ZoneHistory, ingress: str) -> list[Violation]:
-    """An ingress stays away for its hold time, which doubles after a flap."""
+    """Check that an ingress stays away for its hold time, which doubles after a flap."""
     last_left: dict[str, Event] = {}
     returned_at: dict[str, float] = {}
     found = []
@@ -123,15 +123,15 @@
 
 
 def _short_hold(settings: Zones, previous: Event, event: Event) -> str:
-    """What is wrong with the hold time of a zone that was left again after a flap; empty if nothing is."""
-    least_s = min(settings.hold_most_s, 2 * previous["hold_s"])
-    if event["hold_s"] >= least_s:
+    """Return an error if the hold time after a flap is too short, otherwise an empty string."""
+    min_hold_s = min(settings.hold_most_s, 2 * previous["hold_s"])
+    if event["hold_s"] >= min_hold_s:
         return ""
-    return f"held zone {event['zone']} {event['hold_s']:g} s after a flap, not {least_s:g}"
+    return f"held zone {event['zone']} {event['hold_s']:g} s after a flap, not {min_hold_s:g}"
 
 
 def _early_return(left: Event, event: Event, heartbeat_s: float) -> str:
-    """What is wrong with a return; empty if the hold time, less a heartbeat period, was over."""
+    """Return an error if a return came before the hold time less a heartbeat period, otherwise an empty string."""
     away_s = event["at"] - left["at"]
     if away_s >= left["hold_s"] - heartbeat_s:
         return ""
@@ -139,7 +139,7 @@
 
 
 def _check_cut(zones: ZoneHistory, cut: FaultSpan) -> list[Violation]:
-    """A zone that no ingress reaches for longer than the bound is left by all, together, and for good."""
+    """Check that all ingresses leave a zone that none reaches for longer than the bound, together and until its end."""
     zone = cut.target.rpartition(ZONE_PREFIX)[2]
     if cut.target not in (f"{ZONE_PREFIX}{zone}", f"*>{ZONE_PREFIX}{zone}"):
         return []
@@ -159,13 +159,13 @@
         elif not _is_away(zones.transitions[ingress], zone, start):
             description = f"had not left zone {zone} {zones.bound_s:.2f} s after its {cut.mode}"
             found.append(Violation("zones", start + zones.bound_s, ingress, description))
-    found += _check_together(zones, zone, left_at)
+    found += _check_departure_spread(zones, zone, left_at)
     found += _check_late_sends(zones, zone, start, cut.end)
     return found
 
 
-def _check_together(zones: ZoneHistory, zone: str, left_at: dict[str, float]) -> list[Violation]:
-    """All leave the zone within a heartbeat period of each other; `left_at` is in Unix seconds, by ingress."""
+def _check_departure_spread(zones: ZoneHistory, zone: str, left_at: dict[str, float]) -> list[Violation]:
+    """Check that all ingresses leave the zone within a heartbeat period; `left_at` is in Unix seconds, by ingress."""
     if not left_at:
         return []
     first = min(left_at.values())
@@ -176,7 +176,7 @@
 
 
 def _check_late_sends(zones: ZoneHistory, zone: str, start: float, end: float) -> list[Violation]:
-    """Nothing is sent to a zone out of reach after the bound, but by an ingress with a fault of its own."""
+    """Check that no ingress without a fault of its own sends to an unreachable zone after the bound."""
     found = []
     for event in zones.failed_sends(zone):
         at = event["at"]
@@ -189,7 +189,7 @@
 
 
 def _has_fault_around(zones: ZoneHistory, ingress: str, start: float) -> bool:
-    """Whether it was stalled, restarted or killed between a bound before `start` and a bound after it."""
+    """Return whether the ingress's process had a fault within `bound_s` seconds before or after `start`."""
     return any(
         fault.start <= start + zones.bound_s and fault.end + zones.bound_s >= start
         for fault in zones.own_faults[ingress]
@@ -197,7 +197,7 @@
 
 
 def _first_departure(zones: ZoneHistory, ingress: str, zone: str, start: float) -> float | None:
-    """When the ingress first left the zone within the bound after `start`, in Unix seconds."""
+    """Return when the ingress first left the zone within the bound after `start`, in Unix seconds."""
     for event in zones.transitions[ingress]:
         if event["event"] == "zone left" and event["zone"] == zone:
             at: float = event["at"]
@@ -207,13 +207,13 @@
 
 
 def _is_away(transitions: list[Event], zone: str, at: float) -> bool:
-    """Whether an ingress was out of `zone` at that time, by its own log."""
+    """Return whether, by its own log, an ingress had left `zone` at time `at`."""
     kinds = [event["event"] for event in transitions if event["zone"] == zone and event["at"] <= at]
     return bool(kinds) and kinds[-1] == "zone left"
 
 
 def _cuts_off(cut: FaultSpan, ingress: str, zone: str) -> bool:
-    """Whether the fault's target is the zone's process or a link of the ingress to it."""
+    """Return whether the fault's target is the zone's process or a link of the ingress to it."""
     process = f"{ZONE_PREFIX}{zone}"
     return cut.target == process or fnmatch.fnmatchcase(f"{ingress}>{process}", cut.target)
 
@@ -223,6 +223,6 @@
 
 
 def _started_ingresses(history: History) -> list[str]:
-    """The names of all ingresses that were started, sorted."""
+    """Return the names of all ingresses that were started, sorted."""
     started = {event["process"] for event in history.of_kind("fleet", "process started")}
     return sorted(name for name in started if name.startswith(INGRESS_PREFIX))
--- a/mapleline/faults/discovery.py
+++ b/mapleline/faults/discovery.py
@@ -1,4 +1,4 @@
-"""The rig's discovery: an agent for each ingress, which answers with the whole list and with changes to it."""
+"""The rig's service discovery: one agent per ingress, which returns the full list of servers or changes to it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
     from ..balancer.clock import DelayedCall
 
-LONG_POLL_S = 10.0  # a request for changes is answered after this without any
+LONG_POLL_S = 10.0  # longest wait of a request for changes, if there are none
 HEAD_END = b"\r\n\r\n"
 REVISION_PARAMETER = b"after="
 FIRST_REVISION = 1
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """One server as the list has it; the field names are the platform's."""
+    """One server in the list; the field names are the platform's."""
 
     uid: str
     endpoint: str
@@ -37,7 +37,7 @@
 
 
 class TargetList(TypedDict):
-    """An answer: the whole list, or what has changed of it."""
+    """An answer: the full list, or the targets that have changed."""
 
     rev: int
     all: bool
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingPoll:
-    """A request for changes that waits for one."""
+    """A long-poll request that waits for a change."""
 
     connection: AgentConnection
     revision: int
@@ -54,10 +54,10 @@
 
 
 class Agent(ServerFactory):
-    """The list of one ingress and the requests for its changes."""
+    """The server list of one ingress and its pending long polls."""
 
     def __init__(self, targets: list[Target], reactor: Reactor) -> None:
-        """Begin with these targets; `listen` opens it."""
+        """Initialise with these targets; `listen` opens the socket."""
         self._reactor = reactor
         self._revision = FIRST_REVISION
         self._targets = {target.uid: target for target in targets}
@@ -65,19 +65,19 @@
         self._pending_polls: list[PendingPoll] = []
 
     def listen(self) -> int:
-        """Accept connections; the port is any free one, and is returned."""
+        """Accept connections on any free port and return the port."""
         return self._reactor.listenTCP(0, self, interface=LOOPBACK).getHost().port
 
     def buildProtocol(self, addr: IAddress | None) -> AgentConnection:
         """Return the protocol of a new connection."""
         return AgentConnection(self)
 
-    def whole_list(self) -> TargetList:
-        """Every target."""
+    def full_list(self) -> TargetList:
+        """Return the full list."""
         return {"rev": self._revision, "all": True, "targets": list(self._targets.values())}
 
     def set_boot_time(self, uids: list[str], boot_ms: int) -> None:
-        """Give targets a new boot time, in Unix milliseconds, and answer the requests that wait."""
+        """Set the boot time of targets, in Unix milliseconds, and answer all pending polls."""
         self._revision += 1
         for uid in uids:
             self._targets[uid] = replace(self._targets[uid], boot_ms=boot_ms)
@@ -88,9 +88,12 @@
             poll.connection.answer(self._changes_since(poll.revision))
 
     def handle_request(self, connection: AgentConnection, revision: int | None) -> None:
-        """Answer with the whole list, or with the changes since a revision once there are any."""
+        """Answer with the full list if `revision` is None, otherwise with the changes since it.
+
+        Without changes the answer is delayed until there is one, at most `LONG_POLL_S` seconds.
+        """
         if revision is None:
-            connection.answer(self.whole_list())
+            connection.answer(self.full_list())
         elif revision < self._revision:
             connection.answer(self._changes_since(revision))
         else:
@@ -112,12 +115,12 @@
     transport: StreamTransport | None  # type: ignore[assignment]  # Twisted's type has no usable methods
 
     def __init__(self, agent: Agent) -> None:
-        """`agent` answers its requests."""
+        """Initialise; `agent` answers the requests."""
         self._agent = agent
         self._received = b""
 
     def dataReceived(self, data: bytes) -> None:
-        """Read requests; they have no bodies."""
+        """Read requests, which have no bodies."""
         self._received += data
         while HEAD_END in self._received:
             head, _, self._received = self._received.partition(HEAD_END)
@@ -131,7 +134,7 @@
 
 
 def _parse_revision(head: bytes) -> int | None:
-    """The revision that a request already has; None if it wants the whole list."""
+    """Return the revision from a request's `after` parameter; None without one, to get the full list."""
     _, parameter, rest = head.partition(REVISION_PARAMETER)
     if not parameter:
         return None
--- a/mapleline/faults/errors.py
+++ b/mapleline/faults/errors.py
@@ -1,10 +1,10 @@
-"""What goes wrong in the rig itself."""
+"""Errors of the rig itself."""
 
 from __future__ import annotations
 
 
 class FaultRigError(Exception):
-    """The rig cannot do what it was asked to."""
+    """Base class of the rig's errors."""
 
 
 class NoFreePortError(FaultRigError):
@@ -12,4 +12,4 @@
 
 
 class ProcessNotStartedError(FaultRigError):
-    """A process was used that has not been started."""
+    """An operation needs a process that has not been started."""
--- a/mapleline/faults/fleet/ingress_files.py
+++ b/mapleline/faults/fleet/ingress_files.py
@@ -39,7 +39,7 @@
         self.write_config(ingress, {**config, "counter": loopback_address(port)})
 
     def needs_settings(self) -> bool:
-        """Whether the ingresses need a file of their own settings; else they run with the defaults."""
+        """Return whether the ingresses need a file of their own settings; else they run with the defaults."""
         return self._program_settings.budgets.enabled or self._program_settings.handoff.enabled
 
     def write_settings(self, ingress: str, clock_offset_s: float = 0.0) -> Path:
--- a/mapleline/faults/fleet/parties.py
+++ b/mapleline/faults/fleet/parties.py
@@ -136,7 +136,7 @@
         return link.listen()
 
     def links_matching(self, pattern: str) -> list[Link]:
-        """The links that a schedule's name stands for; one to a zone is a link to each of its servers."""
+        """Return the links that a schedule's name stands for; one to a zone is a link to each of its servers."""
         return [link for name, link in self.links.items() if fnmatch.fnmatchcase(_schedule_name(name), pattern)]
 
     def _report_unanswered_request(self, link: str) -> None:
@@ -161,7 +161,7 @@
 
 
 def server_uid(zone: str, number: int) -> str:
-    """The name of a zone's server in discovery."""
+    """Return the name of a zone's server in discovery."""
     return f"s-{zone}{number}"
 
 
--- a/mapleline/faults/fleet/platform_settings.py
+++ b/mapleline/faults/fleet/platform_settings.py
@@ -30,7 +30,7 @@
 
 
 def platform_settings(fleet: FleetSettings, ingress_number: int) -> dict[str, Any]:
-    """The platform's settings of one ingress; the keys are the platform's."""
+    """Return the platform's settings of one ingress; the keys are the platform's."""
     class_times = {"aim_ns": fleet.aim_ms * NS_PER_MS, "deadline_ns": fleet.deadline_ms * NS_PER_MS}
     return {
         "balancers": fleet.ingresses,
--- a/mapleline/faults/fleet/preconditions.py
+++ b/mapleline/faults/fleet/preconditions.py
@@ -26,7 +26,7 @@
         self._begun: set[str] = set()
 
     def begun_requests(self) -> set[str]:
-        """The ids of all requests that a server has begun by now."""
+        """Return the ids of all requests that a server has begun by now."""
         for zone in self._zones:
             if zone not in self._files:
                 path = self._logs.path_of(f"{ZONE_PREFIX}{zone}")
@@ -57,7 +57,7 @@
         self._load = load
 
     def is_met(self, fault: ScheduledFault) -> bool:
-        """Whether the fault may begin, or its `at` be counted from now."""
+        """Return whether the fault may begin, or its `at` be counted from now."""
         if fault.after:
             return self._has_logged(fault.process, fault.after)
         return self._requests_in_work(fault.process) >= fault.in_flight
--- a/mapleline/faults/fleet/startup.py
+++ b/mapleline/faults/fleet/startup.py
@@ -90,7 +90,7 @@
         "seed": f"{number + 1:x}",
         "counter": loopback_address(parties.add_link(f"{name}>counter", counter_port)),
         "discovery": loopback_address(agent.listen()),
-        "known": agent.whole_list(),
+        "known": agent.full_list(),
         "limits": {"sockets": MAX_SOCKETS},
         "settings": platform_settings(parties.schedule.fleet, number),
     }
--- a/mapleline/faults/load/connection.py
+++ b/mapleline/faults/load/connection.py
@@ -125,7 +125,7 @@
 
 
 def _content_length(head: bytes) -> int:
-    """The length that a head in lower case gives, in bytes; 0 if it gives none."""
+    """Return the length that a head in lower case gives, in bytes; 0 if it gives none."""
     at = head.find(CONTENT_LENGTH_HEADER)
     if at < 0:
         return 0
--- a/mapleline/faults/load/generator.py
+++ b/mapleline/faults/load/generator.py
@@ -93,7 +93,7 @@
             self._log("unanswered", id=request_id, ingress=connection.ingress if connection else "")
 
     def requests_at(self, ingress: str) -> list[str]:
-        """The ids of the requests that were sent to an ingress and have no answer yet."""
+        """Return the ids of the requests that were sent to an ingress and have no answer yet."""
         return [
             request_id
             for request_id, connection in self._pending.items()
--- a/mapleline/faults/load/request.py
+++ b/mapleline/faults/load/request.py
@@ -30,7 +30,7 @@
 
 
 def encode_request(request_id: str, request_class: RequestClass, customer: int, timeout_ms: int, spread: int) -> bytes:
-    """The bytes of a request.
+    """Return the bytes of a request.
 
     Args:
         request_id: Its `X-Request-ID`, and its idempotency key if its class has one.
--- a/mapleline/faults/logs.py
+++ b/mapleline/faults/logs.py
@@ -1,4 +1,4 @@
-"""The logs of a fleet on disk: one file a source, one JSON line an event."""
+"""The logs of a fleet on disk: one file per source, one JSON line per event."""
 
 from __future__ import annotations
 
@@ -9,42 +9,45 @@
 import orjson
 
 LOG_SUFFIX = ".jsonl"
-UNREADABLE_CHARACTERS = 200  # of a line that is no event, kept for the reader
+UNREADABLE_CHARACTERS = 200  # characters kept of a line that is not an event
 
 
 class EventLogs:
     """Writes events to the logs in one directory."""
 
     def __init__(self, directory: Path) -> None:
-        """The directory is made if need be."""
+        """Create the directory if it doesn't exist."""
         directory.mkdir(parents=True, exist_ok=True)
         self._directory = directory
         self._files: dict[str, IO[bytes]] = {}
 
     def path_of(self, source: str) -> Path:
-        """The file of one source."""
+        """Return the file of one source."""
         return self._directory / f"{source}{LOG_SUFFIX}"
 
     def write(self, source: str, event: str, **fields: object) -> None:
-        """Add an event of now to the log of a source."""
+        """Append an event with the current time to the log of a source."""
         if source not in self._files:
             self._files[source] = open(self.path_of(source), "ab")  # noqa: SIM115  # open until `close`
         line = orjson.dumps({"at": time.time(), "event": event, **fields})
         self._files[source].write(line + b"\n")
 
     def close(self) -> None:
-        """Write all to disk."""
+        """Flush and close all files."""
         for file in self._files.values():
             file.close()
 
 
 def read_logs(directory: Path) -> dict[str, list[dict[str, Any]]]:
-    """The events of every log in the directory, by source; a line that is no JSON event is kept as `unreadable`."""
+    """Return the events of every log in the directory, by source.
+
+    A line that is not a JSON event becomes an event `unreadable`.
+    """
     return {path.stem: _read_log(path) for path in sorted(directory.glob(f"*{LOG_SUFFIX}"))}
 
 
 def _read_log(path: Path) -> list[dict[str, Any]]:
-    """The events of one log; an unreadable line has the time of the one before it."""
+    """Return the events of one log; an unreadable line gets the time of the previous event."""
     events = []
     last_at = 0.0
     for line in path.read_bytes().splitlines():
@@ -58,7 +61,7 @@
 
 
 def _parse_object(line: bytes) -> dict[str, Any]:
-    """The JSON object of a line; empty if it is none."""
+    """Return the JSON object in a line; empty if the line holds none."""
     try:
         value = orjson.loads(line)
     except orjson.JSONDecodeError:
--- a/mapleline/faults/modes.py
+++ b/mapleline/faults/modes.py
@@ -1,4 +1,4 @@
-"""The faults that a schedule can name: of a link, of a process, and of a killed ingress's newest record."""
+"""Modes of the faults in a schedule: of links, of processes, and of the newest record of a killed ingress."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LinkMode(StrEnum):
-    """What a link does to what it relays; see docs/fleet.md."""
+    """Effect of a fault on the bytes that a link relays; see docs/fleet.md."""
 
     DELAY = "delay"
     LOSS = "loss"
@@ -19,7 +19,7 @@
 
 
 class ProcessMode(StrEnum):
-    """What happens to a process; see docs/fleet.md."""
+    """Effect of a fault on a process; see docs/fleet.md."""
 
     STALL = "stall"
     KILL = "kill"
@@ -31,7 +31,7 @@
 
 
 class RecordState(StrEnum):
-    """What becomes of the newest record of a killed ingress in the fleet's store."""
+    """State in which a fault leaves the newest record of a killed ingress in the fleet's store."""
 
     WHOLE = "whole"
     TORN = "torn"
@@ -39,7 +39,7 @@
     FOREIGN = "foreign"
 
 
-#: The names as plain strings, for the messages about a wrong one.
+#: The names as plain strings, for validation errors.
 LINK_MODE_NAMES = tuple(mode.value for mode in LinkMode)
 PROCESS_MODE_NAMES = tuple(mode.value for mode in ProcessMode)
 RECORD_STATE_NAMES = tuple(state.value for state in RecordState)
--- a/mapleline/faults/proxy/fault.py
+++ b/mapleline/faults/proxy/fault.py
@@ -44,7 +44,7 @@
         return self.mode in UNANSWERED_MODES
 
     def blocks(self, is_upward: bool) -> bool:
-        """Whether bytes of that direction wait; upward is from the client to the server."""
+        """Return whether bytes of that direction wait; upward is from the client to the server."""
         if self.mode == LinkMode.CUT_UP:
             return is_upward
         if self.mode == LinkMode.CUT_DOWN:
--- a/mapleline/faults/proxy/link.py
+++ b/mapleline/faults/proxy/link.py
@@ -90,11 +90,11 @@
             connection.flush()
 
     def blocks(self, is_upward: bool) -> bool:
-        """Whether bytes of that direction wait; upward is from the client to the server."""
+        """Return whether bytes of that direction wait; upward is from the client to the server."""
         return self.fault is not None and self.fault.blocks(is_upward)
 
     def is_unreachable(self) -> bool:
-        """Whether no new connection comes up."""
+        """Return whether no new connection comes up."""
         return self.fault is not None and self.fault.is_unreachable
 
     def due_time(self, size_bytes: int, previous_due: float) -> float:
--- a/mapleline/faults/proxy/relay.py
+++ b/mapleline/faults/proxy/relay.py
@@ -71,7 +71,7 @@
         self._chunks.clear()
 
     def has_request(self) -> bool:
-        """Whether a request waits."""
+        """Return whether a request waits."""
         return any(REQUEST_MARK in chunk.data for chunk in self._chunks)
 
     def _report_unanswered(self, data: bytes) -> None:
@@ -106,7 +106,7 @@
         self._link.reactor.connectTCP(LOOPBACK, self._link.target_port, factory, timeout=CONNECT_TIMEOUT_S)
 
     def handle_connected(self, server_transport: StreamTransport) -> None:
-        """The target's side is up: what waits for it may go."""
+        """Attach the connected server side and send the chunks that wait for it."""
         if self._is_over:
             server_transport.abortConnection()
             return
@@ -115,7 +115,7 @@
         self.upward.flush()
 
     def handle_refused(self) -> None:
-        """The target does not listen: the client's side is reset."""
+        """Reset the client side because the target refused the connection."""
         if self._link.on_unanswered_request is not None and self.upward.has_request():
             self._link.on_unanswered_request()
         self.abort()
@@ -215,5 +215,5 @@
         return ServerSide(self._connection)
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:
-        """The target does not listen."""
+        """Report that the target refused the connection."""
         self._connection.handle_refused()
--- a/mapleline/faults/reactor.py
+++ b/mapleline/faults/reactor.py
@@ -1,4 +1,4 @@
-"""Structural types for what the rig uses of Twisted, whose own interfaces are not typed."""
+"""Structural types for the parts of Twisted that the rig uses; Twisted's own interfaces are not typed."""
 
 from __future__ import annotations
 
--- a/mapleline/faults/schedule.py
+++ b/mapleline/faults/schedule.py
@@ -1,7 +1,7 @@
-"""A schedule: the fleet's sizes, its load, and the faults with their offsets (pure records).
+"""Data classes of a schedule: the fleet's sizes, its load, and the faults with their offsets.
 
-The field names of `FleetSettings` and `ScheduledFault` are the keys of the file (`lasts` is written `for`); the
-file is read by `schedule_file`.
+The field names of `FleetSettings` and `ScheduledFault` are the keys of the file, except that the key of `lasts` is
+`for`.  `schedule_file` reads the file.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """What is started: sizes, the load and how long it lasts."""
+    """Sizes of the fleet, and the rate and duration of its load."""
 
     ingresses: int = schema.whole(5, "ingress processes", 1, 64)
     seconds: float = schema.number(10.0, "seconds of load", 0.5, 600)
@@ -51,11 +51,12 @@
 class ScheduledFault:
     """One fault: it begins `at` seconds after the load starts and ends `lasts` seconds later (0: never).
 
-    One of an ingress may wait for what the fleet has come to, which takes longer on a busy machine: it begins not
-    before `in_flight` requests are in work for the ingress, or `at` seconds after the ingress logged `after`.
+    A fault of an ingress may have a precondition, because a busy machine takes longer to reach a given state.  With
+    `in_flight`, the fault begins no earlier than `at`, once that many requests are in flight for the ingress.  With
+    `after`, it begins `at` seconds after the ingress has logged that event.
 
-    A `kill` that ends starts the process again; `replace` moves the ingresses to a new, empty counter, one
-    after another over `jitter_ms`.
+    At the end of a `kill`, the process is started again.  A `replace` moves the ingresses one after another, over
+    `jitter_ms` milliseconds, to a new, empty counter.
     """
 
     name: str = ""
@@ -76,31 +77,31 @@
     record: str = schema.word(
         "whole", "kill, restart: what becomes of the newest record in the store", RECORD_STATE_NAMES
     )
-    seed: int = 0  # drawn from the fleet's seed and the order of the faults
+    seed: int = 0  # derived from the fleet's seed and the order of the faults in the file
 
     @property
     def ends_at(self) -> float | None:
-        """Seconds from the start of the load until it ends; None if it does not."""
+        """End of the fault in seconds from the start of the load; None if it never ends."""
         return self.at + self.lasts if self.lasts > 0 else None
 
     @property
     def is_of_link(self) -> bool:
-        """Whether its mode is that of a link, else of a process."""
+        """Whether the mode applies to links; otherwise it applies to processes."""
         return self.mode in LINK_MODE_NAMES
 
     @property
     def has_precondition(self) -> bool:
-        """Whether it waits for something of its process, beside the time."""
+        """Whether the fault waits for a state of its process, besides the time."""
         return self.in_flight > 0 or self.after != ""
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """All that a play of a fleet needs.
+    """All parameters of one run of a fleet.
 
     Attributes:
         fleet: The `fleet` block.
-        faults: The faults in order of their `at`.
+        faults: The faults, sorted by `at`.
         program_settings: The ingresses' own settings, from blocks named as in their settings file.
     """
 
@@ -109,7 +110,7 @@
     program_settings: own.Own = field(default_factory=own.Own)
 
     def targets(self) -> list[str]:
-        """The name of every process and link that the fleet has."""
+        """Return the name of every process and link that the fleet has."""
         ingresses = [f"ingress-{number}" for number in range(self.fleet.ingresses)]
         zones = [f"zone-{zone}" for zone in self.fleet.zones]
         links = [f"load>{ingress}" for ingress in ingresses]
--- a/mapleline/faults/schedule_file.py
+++ b/mapleline/faults/schedule_file.py
@@ -1,4 +1,4 @@
-"""Reads a schedule from HCL and checks it (pure but for `load`); errors name the key.
+"""Reads and validates schedules in HCL; errors name the key.  Only `load` does I/O.
 
     fleet {
       ingresses = 5
@@ -25,12 +25,12 @@
     }
     fault "killed-busy" {
       at = 5
-      in_flight = 40           # once so many are in work for it, and no sooner than `at`
+      in_flight = 40           # begins once 40 requests are in flight for it, not before `at`
       process = "ingress-0"
       mode = "kill"
     }
     fault "its-successor" {
-      at = 0.5                 # seconds after its process logged `after`
+      at = 0.5                 # seconds after the process has logged `after`
       after = "taking over"
       process = "ingress-1"
       mode = "kill"
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _FaultBlock:
-    """A fault as read, and the line of its block."""
+    """A fault and the line of its block in the file."""
 
     line: int
     fault: ScheduledFault
@@ -69,7 +69,7 @@
 
 
 def read(text: str) -> tuple[Schedule, list[SettingsError]]:
-    """The schedule and every error of the file, by line."""
+    """Return the schedule and all errors in the text, sorted by line."""
     try:
         top = parse(text)
     except SettingsError as error:
@@ -99,7 +99,7 @@
 
 
 def load(path: str) -> tuple[Schedule, list[SettingsError]]:
-    """Read a file.
+    """Read a schedule file; return the schedule and all errors, as `read` does.
 
     Raises:
         OSError: The file cannot be read.
@@ -109,7 +109,7 @@
 
 
 def _read_fleet(block: Block, errors: list[SettingsError]) -> FleetSettings:
-    """The `fleet` block; what is wrong is added to `errors` and keeps its default."""
+    """Return the `fleet` block; each invalid value adds to `errors` and is replaced by its default."""
     zones = block.values.pop("zones", None)
     fleet = schema.read(FleetSettings, block, "fleet", errors)
     if zones is None:
@@ -121,7 +121,7 @@
 
 
 def _are_distinct_names(value: object) -> bool:
-    """Whether it is a list of one or more different alphanumeric names."""
+    """Return whether `value` is a non-empty list of distinct alphanumeric names."""
     if not isinstance(value, list) or not value:
         return False
     if not all(isinstance(name, str) and name.isalnum() for name in value):
@@ -130,7 +130,7 @@
 
 
 def _read_fault(block: Block, errors: list[SettingsError]) -> ScheduledFault:
-    """A `fault` block; what is wrong is added to `errors` and keeps its default."""
+    """Return a `fault` block; each invalid value adds to `errors` and is replaced by its default."""
     duration = block.values.pop("for", None)
     fault = schema.read(ScheduledFault, block, block.key, errors)
     fault = replace(fault, name=block.labels[0])
@@ -148,14 +148,14 @@
 
 
 def _seeded_faults(blocks: list[_FaultBlock], fleet_seed: int) -> tuple[ScheduledFault, ...]:
-    """The faults by `at`, each with a seed drawn in the order of the file."""
+    """Return the faults sorted by `at`; their seeds are drawn in the order of the file."""
     generator = random.Random(fleet_seed)
     faults = [replace(block.fault, seed=generator.getrandbits(SEED_BITS)) for block in blocks]
     return tuple(sorted(faults, key=lambda fault: fault.at))
 
 
 def _check_faults(blocks: list[_FaultBlock], targets: set[str]) -> list[SettingsError]:
-    """The first error of each fault; `targets` are the fleet's processes and links."""
+    """Return the first error of each fault; `targets` holds the names of the fleet's processes and links."""
     errors = []
     for block in blocks:
         error = _target_error(block, targets) or _mode_error(block)
@@ -165,7 +165,7 @@
 
 
 def _target_error(block: _FaultBlock, targets: set[str]) -> SettingsError | None:
-    """What is wrong with the link or process that a fault names."""
+    """Return the error in the link or process that a fault names, or None."""
     fault = block.fault
     if bool(fault.link) == bool(fault.process):
         return SettingsError(block.line, block.key, "name either a link or a process")
@@ -185,7 +185,7 @@
 
 
 def _mode_error(block: _FaultBlock) -> SettingsError | None:
-    """What is wrong with a fault's mode or precondition, given that its target exists."""
+    """Return the error in a fault's mode or precondition, or None; the fault's target exists."""
     fault = block.fault
     is_of_ingress = fault.process.startswith("ingress-")
     if fault.mode in INGRESS_MODES and not is_of_ingress:
--- a/mapleline/faults/zone_settings.py
+++ b/mapleline/faults/zone_settings.py
@@ -1,4 +1,4 @@
-"""What the controller gives the process of a zone's servers on its command line, as JSON."""
+"""Settings of the process of a zone's servers, which it gets as JSON on its command line."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneSettings:
-    """One zone's servers.
+    """Settings of one zone's servers.
 
     Attributes:
         zone: The zone's name.
-        servers: How many servers the process is.
-        record: The path of the record of their runs, to which lines are added.
-        work_s: Seconds that a request is in work.
-        slots: Requests in work at one server at most; beyond that it refuses.
-        capacity_per_s: Requests a second that a warm server bears; 0: any number.
-        cold_share: The share of that which a server bears when it has just started.
-        warm_up_s: Seconds from there to the whole.
-        overload_factor: A server falls over at so many times what it bears,
-        overload_window_s: measured over so many seconds,
-        down_s: and is down for so many seconds.
-        is_cold: Whether the servers have just started; else they are warm.
+        servers: Number of servers in the process.
+        record: Path of the record of runs, to which lines are appended.
+        work_s: Service time of a request, in seconds.
+        slots: Limit of concurrent requests at one server, which refuses further ones.
+        capacity_per_s: Capacity of a warm server in requests per second; 0 for no limit.
+        cold_share: Share of this capacity that a server has right after its start.
+        warm_up_s: Seconds from the start of a cold server to its full capacity.
+        overload_factor: A server falls over if arrivals exceed its capacity by this factor.
+        overload_window_s: Window over which arrivals are counted, in seconds.
+        down_s: Seconds for which a server is down after it fell over.
+        is_cold: Whether the servers start cold; otherwise they start warm.
     """
 
     zone: str
@@ -40,10 +40,10 @@
     is_cold: bool
 
     def to_json(self) -> str:
-        """The command line's argument."""
+        """Return the settings as a command line argument."""
         return orjson.dumps(asdict(self)).decode()
 
     @classmethod
     def from_json(cls, text: str) -> ZoneSettings:
-        """The settings of a command line's argument."""
+        """Return the settings from a command line argument."""
         return cls(**orjson.loads(text))
