--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -1,10 +1,11 @@
-"""How evenly connections lie over four processes, by the way they are accepted.
+"""Benchmark of the distribution of connections over four processes, by the method of accepting them.
 
     python benchmarks/connections.py [--runs N]
 
-Opens 8 and 512 connections, one every 2 ms as fronts do in the morning, and prints for each way the share
-that the busiest of four processes got over an even share (1 is even), median and worst of the runs.
-`reuseport`: a listener each.  `exclusive`: one inherited listener under EPOLLEXCLUSIVE.  `supervisor`: ours.
+Opens 8 and 512 connections, one every 2 ms, as client proxies do in the morning.  For each method it prints the share
+of the busiest process divided by an even share (1 is even), as median and worst of the runs.
+`reuseport`: one listener per process.  `exclusive`: one inherited listener with EPOLLEXCLUSIVE.  `supervisor`: the
+program's own supervisor.
 """
 
 import argparse
@@ -22,38 +23,38 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from mapleline.lab import cores  # noqa: E402
 
-PROCESSES, PAUSE_S = 4, 0.002
+PROCESS_COUNT, CONNECT_INTERVAL_S = 4, 0.002
 
 
-def accept_for_ever(listener: socket.socket, exclusive: bool, pipe: int) -> None:
-    """A process that accepts what it is woken for, and writes its own letter for each."""
+def accept_forever(listener: socket.socket, is_exclusive: bool, pipe: int) -> None:
+    """Accept connections on each wake-up, and write one byte to `pipe` per connection."""
     listener.setblocking(False)
-    poll, kept = select.epoll(), []
-    poll.register(listener, select.EPOLLIN | (select.EPOLLEXCLUSIVE if exclusive else 0))
+    poll, connections = select.epoll(), []
+    poll.register(listener, select.EPOLLIN | (select.EPOLLEXCLUSIVE if is_exclusive else 0))
     while True:
         poll.poll()
         while True:
             try:
-                kept.append(listener.accept()[0])
+                connections.append(listener.accept()[0])
             except BlockingIOError:
                 break
-            os.write(pipe, b"%x" % (os.getpid() % PROCESSES))
+            os.write(pipe, b"%x" % (os.getpid() % PROCESS_COUNT))
 
 
-def by_kernel(way: str, connections: int) -> list[int]:
-    """Connections by process."""
-    options = {"backlog": 512, "reuse_port": way == "reuseport"}
+def count_with_kernel(method: str, connection_count: int) -> list[int]:
+    """Return the number of connections per process, distributed by the kernel."""
+    options = {"backlog": 512, "reuse_port": method == "reuseport"}
     shared = socket.create_server(("127.0.0.1", 0), **options)
     address = shared.getsockname()
-    listeners = [shared] * PROCESSES
-    if way == "reuseport":
-        listeners = [shared, *(socket.create_server(address, **options) for _ in range(PROCESSES - 1))]
+    listeners = [shared] * PROCESS_COUNT
+    if method == "reuseport":
+        listeners = [shared, *(socket.create_server(address, **options) for _ in range(PROCESS_COUNT - 1))]
     pipes, pids = [], []
     for listener in listeners:
         read, write = os.pipe()
         pid = os.fork()
         if not pid:
-            accept_for_ever(listener, way == "exclusive", write)
+            accept_forever(listener, method == "exclusive", write)
         os.close(write)
         pipes.append(read)
         pids.append(pid)
@@ -61,7 +62,7 @@
         listener.close()
     time.sleep(0.2)
     try:
-        clients = dial(address, connections)
+        clients = open_connections(address, connection_count)
         time.sleep(0.3)
         return [len(os.read(pipe, 4096)) if select.select([pipe], [], [], 0)[0] else 0 for pipe in pipes]
     finally:
@@ -73,29 +74,30 @@
             os.close(pipe)
 
 
-def dial(address: tuple[str, int], connections: int) -> list[socket.socket]:
+def open_connections(address: tuple[str, int], connection_count: int) -> list[socket.socket]:
+    """Open connections one after another, `CONNECT_INTERVAL_S` apart."""
     clients = []
-    for _ in range(connections):
+    for _ in range(connection_count):
         clients.append(socket.create_connection(address))
-        time.sleep(PAUSE_S)
+        time.sleep(CONNECT_INTERVAL_S)
     return clients
 
 
-def by_supervisor(connections: int) -> list[int]:
-    """What each worker says it has taken, from its counters in the log at the end."""
-    nobody = "127.0.0.1:1"
+def count_with_supervisor(connection_count: int) -> list[int]:
+    """Return the number of connections per worker, from the workers' counters in the log at exit."""
+    unused_address = "127.0.0.1:1"
     config = {
         "name": "n",
         "listen": "127.0.0.1:0",
-        "discovery": nobody,
-        "counter": nobody,
+        "discovery": unused_address,
+        "counter": unused_address,
         "seed": "1",
         "limits": {"sockets": 4096},
         "settings": cores.SETTINGS,
     }
     with tempfile.TemporaryFile() as log:
-        with cores.ingress(PROCESSES, set(os.sched_getaffinity(0)), config, log) as (address, _):
-            clients = dial(tuple(address), connections)
+        with cores.ingress(PROCESS_COUNT, set(os.sched_getaffinity(0)), config, log) as (address, _):
+            clients = open_connections(tuple(address), connection_count)
             time.sleep(0.3)
         for client in clients:
             client.close()
@@ -105,20 +107,21 @@
 
 
 def main() -> None:
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    """Measure every method and print the results."""
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--runs", type=int, default=5)
     runs = parser.parse_args().runs
-    for way in ("reuseport", "exclusive", "supervisor"):
-        for connections in (8, 512):
-            found = []
+    for method in ("reuseport", "exclusive", "supervisor"):
+        for total in (8, 512):
+            ratios = []
             for _ in range(runs):
-                lie = by_supervisor(connections) if way == "supervisor" else by_kernel(way, connections)
-                if sum(lie) != connections:
-                    sys.exit(f"{way}: {sum(lie)} of {connections} connections were accepted")
-                found.append(max(lie) * PROCESSES / connections)
+                counts = count_with_supervisor(total) if method == "supervisor" else count_with_kernel(method, total)
+                if sum(counts) != total:
+                    sys.exit(f"{method}: {sum(counts)} of {total} connections were accepted")
+                ratios.append(max(counts) * PROCESS_COUNT / total)
             print(
-                f"{way:10}  {connections:3} connections  median {statistics.median(found):.2f}  worst {max(found):.2f}",
+                f"{method:10}  {total:3} connections  median {statistics.median(ratios):.2f}  worst {max(ratios):.2f}",
                 flush=True,
             )
 
