--- a/mapleline/engine/__init__.py
+++ b/mapleline/engine/__init__.py
@@ -1,4 +1,4 @@
-"""Drives the decision module: open requests, their attempts, counter calls and timers, without any I/O of its own."""
+"""Drives the decision module: keeps open requests, attempts, counter calls and timers, and does no I/O itself."""
 
 from .engine import Engine
 from .records import Attempt, CounterCall, OpenRequest
--- a/mapleline/engine/answers.py
+++ b/mapleline/engine/answers.py
@@ -1,6 +1,6 @@
 """The final answers that a request can have.
 
-Plain classes: as dataclasses they would take a third of the time in which this package is imported.
+They are plain classes, since dataclasses would take a third of the import time of this package.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class AnswerKind(Enum):
-    """The kinds of answers; the values stand in the write-ahead log (net/handoff.py) and in the log."""
+    """The kinds of answers; their values are written to the write-ahead log (net/handoff.py) and to the log."""
 
     SERVED = "served"
     STREAMED = "begun"
@@ -34,12 +34,12 @@
         self.response = response
 
     def deliver(self, answerer: Answerer) -> None:
-        """Give it to the client."""
+        """Send the answer to the client."""
         answerer.send_answer(self.response)
 
 
 class Streamed:
-    """A server's answer that has begun and that is passed on as it arrives."""
+    """A server's answer that is relayed as it arrives."""
 
     __slots__ = ("response", "source")
     kind = AnswerKind.STREAMED
@@ -51,7 +51,7 @@
         self.source = source
 
     def deliver(self, answerer: Answerer) -> None:
-        """Give its beginning to the client."""
+        """Send the start of the answer to the client."""
         answerer.begin_answer(self.response, self.source)
 
 
@@ -68,12 +68,12 @@
         self.is_over_quota = is_over_quota
 
     def deliver(self, answerer: Answerer) -> None:
-        """Give it to the client."""
+        """Send the rejection to the client."""
         answerer.reject(self.retry_after_ns, self.is_over_quota)
 
 
 class Failed:
-    """Nothing is known of the request's effect."""
+    """The request failed; it may or may not have been executed."""
 
     __slots__ = ("is_overdue",)
     kind = AnswerKind.FAILED
@@ -84,7 +84,7 @@
         self.is_overdue = is_overdue
 
     def deliver(self, answerer: Answerer) -> None:
-        """Give it to the client."""
+        """Send the failure to the client."""
         answerer.fail(self.is_overdue)
 
 
--- a/mapleline/engine/counter_calls.py
+++ b/mapleline/engine/counter_calls.py
@@ -15,12 +15,12 @@
 class CounterCalls:
     """The calls in flight of each counter.
 
-    The module knows the calls of one counter by their order alone.  Drivers may report out of order: while the
-    counter moves, its new address can answer sooner than the old one.
+    The decision module identifies the calls of one counter by their order alone, but drivers may report out of order:
+    after the counter moves to another address, the new address can answer before the old one.
     """
 
     def __init__(self) -> None:
-        """Start without calls."""
+        """Start with no calls in flight."""
         self._by_name: dict[int, deque[CounterCall]] = {}
 
     def __len__(self) -> int:
@@ -32,7 +32,7 @@
         self._by_name.setdefault(call.name, deque()).append(call)
 
     def release(self, name: int) -> Iterator[Counted]:
-        """Remove the oldest calls of a counter as far as they are finished, and yield their outcomes."""
+        """Remove the finished calls at the head of a counter's queue, and yield their outcomes in order."""
         calls = self._by_name[name]
         while calls and (outcome := calls[0].outcome) is not None:
             calls.popleft()
--- a/mapleline/engine/drivers.py
+++ b/mapleline/engine/drivers.py
@@ -1,4 +1,4 @@
-"""What the engine needs of its surroundings: the decision module, clients, servers, the counter and the clock."""
+"""The interfaces that the engine depends on: the decision module, clients, servers, the counter and the clock."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class DecisionModule(Protocol):
-    """Decides what becomes of requests (mapleline/policy).
+    """Decides how each request is handled (mapleline/policy).
 
     Attributes:
-        settings: its settings.
-        actions: the actions decided so far for the event in hand.
-        budgets: this ingress's shares of the fleet's budgets; None where each ingress stands alone.
-        zones: the fleet's decisions on zones; None where zones are not watched.
-        tiers: sets of zones, the preferred set first.
+        settings: Its settings.
+        actions: The actions decided so far for the event that is being handled.
+        budgets: This ingress's shares of the fleet's budgets; None if budgets are not shared over the fleet.
+        zones: The fleet's decisions on zones; None if zones are not monitored.
+        tiers: Sets of zone numbers, the preferred set first.
     """
 
     settings: Start
@@ -31,21 +31,21 @@
     tiers: list[frozenset[int]]
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
-        """Take one event and return the actions that follow from it, in order."""
+        """Handle one event and return the resulting actions, in order."""
 
 
 class AnswerSource(Protocol):
-    """Where the rest of a streamed answer comes from."""
+    """The sender of the rest of a streamed answer's body."""
 
     def pause(self) -> None:
         """Send nothing more until `resume`."""
 
     def resume(self) -> None:
-        """Go on sending."""
+        """Continue to send."""
 
 
 class Answerer(Protocol):
-    """Gives a client its final answer.
+    """Sends a client its final answer.
 
     The engine calls exactly one of `send_answer`, `begin_answer`, `reject`, `fail` and `drop`, once.
     """
@@ -54,68 +54,68 @@
         """Send a complete answer."""
 
     def begin_answer(self, response: Response, source: AnswerSource) -> None:
-        """Begin an answer; the driver that has it passes its body to `part` and then calls `ended`."""
+        """Begin a streamed answer; its driver passes the body to `part` and calls `ended` after it."""
 
     def part(self, data: bytes) -> None:
-        """Send a part of the body of an answer that has begun."""
+        """Send a part of the body of a streamed answer."""
 
     def ended(self, whole: bool) -> None:
-        """End an answer that has begun; `whole` if its last byte has been passed on."""
+        """End a streamed answer; `whole` if its last byte has been passed to `part`."""
 
     def reject(self, retry_after_ns: int, is_over_quota: bool) -> None:
-        """Say that the request was not executed and may be sent again."""
+        """Answer that the request was not executed and may be sent again."""
 
     def fail(self, is_overdue: bool) -> None:
-        """Say that the request failed."""
+        """Answer that the request failed."""
 
     def drop(self) -> None:
         """Send nothing: another ingress has taken the request over."""
 
 
 class Upstreams(Protocol):
-    """Carries attempts to servers; each ends in one `Engine.handle_attempt_end`, unless it was cancelled."""
+    """Sends attempts to servers; each attempt ends in one `Engine.handle_attempt_end`, unless it was cancelled."""
 
     def send(self, attempt: Attempt, timeout_ns: int) -> None:
-        """Send an attempt, which has `timeout_ns` from now."""
+        """Send an attempt, which must end within `timeout_ns` from now."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop an attempt; nothing more is reported of it."""
+        """Cancel an attempt; its end is not reported."""
 
     def close_idle(self, server: int) -> None:
         """Close the idle connections to a server."""
 
 
 class QuotaCounter(Protocol):
-    """Carries calls to the quota counter; each ends in one `Engine.handle_counter_result` or in `expire`."""
+    """Makes calls to the quota counter; each ends in one `Engine.handle_counter_result` or in `expire`."""
 
     def add(self, call: CounterCall) -> None:
         """Make the call."""
 
     def expire(self, call: CounterCall) -> None:
-        """Take note that the call's time has run out."""
+        """Handle the timeout of a call: its result is no longer needed."""
 
 
 class Alarm(Protocol):
-    """Calls `Engine.handle_alarm` at a time."""
+    """Calls `Engine.handle_alarm` at a set time."""
 
     def set(self, at_ns: int) -> None:
-        """Set the time; it replaces the one set before."""
+        """Set the time, in place of the previous one."""
 
 
 class RequestJournal(Protocol):
-    """Keeps requests in flight on record, so that another ingress can take them over (net/handoff.py)."""
+    """Records the requests in flight, so that another ingress can take them over (net/handoff.py)."""
 
     def record_accepted(self, request: OpenRequest, arrival: Arrival) -> None:
         """Record a new request; may set `arrival.is_counted`."""
 
     def record_sending(self, attempt: Attempt) -> bool:
-        """Record an attempt before it is sent; False if it must not be, since another ingress has the request."""
+        """Record an attempt before it is sent; False if it must not be sent, since another ingress has the request."""
 
     def record_not_executed(self, attempt: Attempt) -> None:
         """Record that an attempt was certainly not executed."""
 
     def record_answer(self, request: OpenRequest, answer: Answer) -> bool:
-        """Record an answer before it is given; False if it must not be, since another ingress has the request."""
+        """Record an answer before it is sent; False if it must not be sent, since another ingress has the request."""
 
     def record_disconnect(self, request: OpenRequest) -> None:
-        """Record that the client of an unanswered request has gone."""
+        """Record that the client of an unanswered request has disconnected."""
--- a/mapleline/engine/engine.py
+++ b/mapleline/engine/engine.py
@@ -1,7 +1,7 @@
 """Open requests and their attempts, between the decision module and the drivers.
 
-The engine knows no socket, no HTTP and no reactor.  Whoever puts a protocol in front of it passes an `Arrival`
-with something to send and someone to answer; drivers for the servers, the counter and the clock do what it asks
+The engine is independent of sockets, HTTP and the reactor.  A protocol front passes it an `Arrival`, the payload to
+send upstream and an answerer for the client; drivers for the servers, the counter and the clock carry out its calls
 and report to its `handle_...` methods.
 """
 
@@ -30,37 +30,37 @@
     from .module_driver import ActionHandler
     from .records import Expiring
 
-REQUEST_IDS = 1 << 32  # ids of requests are below this and begin again at 0
-NO_REQUEST = -1  # the id of no request
-TIMER_RETRY_NS = 1_000_000_000  # a timer whose handling raised goes off again after this
-BODY_LIMIT_NS = 3_600_000_000_000  # for a body to arrive; its driver sets closer bounds
-COUNTER_TIMEOUT_NS = 1_000_000_000  # where the settings name none
+REQUEST_IDS = 1 << 32  # request ids are below this and wrap to 0
+NO_REQUEST = -1  # never the id of a request
+TIMER_RETRY_NS = 1_000_000_000  # a timer whose handler raised expires again after this time
+BODY_LIMIT_NS = 3_600_000_000_000  # for a request body to arrive; its driver sets tighter limits
+COUNTER_TIMEOUT_NS = 1_000_000_000  # used if the settings give no `counter_timeout_ns`
 
-#: Counter keys by result, made once so that no string is built for a request.
+#: Keys of `COUNTS` by result, built once so that no string is formatted per request.
 ATTEMPT_COUNTERS = {result: f"attempt.{result.name.lower()}" for result in Result}
 COUNTER_CALL_COUNTERS = {result: f"counter.{result.name.lower()}" for result in Result}
 
 
 class Engine:
-    """Owns the open requests, and sees to it that each has exactly one final answer.
+    """Owns the open requests, and ensures that each gets exactly one final answer.
 
     Attributes:
-        requests: the unanswered requests, by id.
-        upstreams: carries attempts; set by `connect`.
-        counter: carries counter calls; set by `connect`.
-        journal: keeps requests in flight on record, where that is switched on.
+        requests: The unanswered requests, by id.
+        upstreams: Sends attempts; set by `connect`.
+        counter: Makes counter calls; set by `connect`.
+        journal: Records the requests in flight; None if handoff is disabled.
     """
 
     upstreams: Upstreams
     counter: QuotaCounter
 
     def __init__(self, module: DecisionModule, clock: Callable[[], int]) -> None:
-        """Drive a decision module; `clock` returns its time, ns."""
+        """Drive a decision module; `clock` returns its time in nanoseconds."""
         self._module = module
         self._clock = clock
         self._settings = module.settings
         self.requests: dict[int, OpenRequest] = {}
-        self._answered: dict[int, OpenRequest] = {}  # those with attempts in flight
+        self._answered: dict[int, OpenRequest] = {}  # answered requests that still have attempts in flight
         self._last_id = 0
         self._counter_calls = CounterCalls()
         self._timers = TimerQueue()
@@ -77,7 +77,7 @@
         self._timers.alarm = alarm
 
     def now(self) -> int:
-        """Return the decision module's time, ns."""
+        """Return the decision module's time in nanoseconds."""
         return self._clock()
 
     @property
@@ -88,7 +88,7 @@
     def set_fleet(
         self, budgets: BudgetShares, zones: ZoneEjection | None = None, tiers: Iterable[frozenset[int]] = ()
     ) -> None:
-        """Give the decision module the fleet's budgets, its decisions on zones and the tiers of zones."""
+        """Pass the fleet's budgets, its decisions on zones and the tiers of zones to the decision module."""
         self._module.budgets = budgets
         self._module.zones = zones
         self._module.tiers = list(tiers)
@@ -96,11 +96,11 @@
     # -- reports of the drivers ------------------------------------------------------------------------------------
 
     def accept(self, arrival: interface.Arrival, payload: TranslatedRequest, answerer: Answerer) -> OpenRequest:
-        """Accept a request; from here on exactly one method of `answerer` is called, once.
+        """Accept a request; from then on exactly one method of `answerer` is called, once.
 
         Args:
-            arrival: What the decision module needs to know; its `request` is set here.
-            payload: What is sent upstream.
+            arrival: The event for the decision module; its `request` is set here.
+            payload: The request to send upstream.
             answerer: Receives the final answer.
         """
         self._last_id = (self._last_id + 1) % REQUEST_IDS
@@ -117,7 +117,7 @@
         return request
 
     def handle_body_end(self, request: OpenRequest, ttl_ns: int) -> None:
-        """Handle the last byte of a body that was still arriving; the request has `ttl_ns` from now."""
+        """Handle the arrival of a request body's last byte; the request's deadline is `ttl_ns` from now."""
         if not request.is_answered:
             request.deadline_ns = self._clock() + ttl_ns
             self._timers.add(request.deadline_ns, request)
@@ -139,10 +139,10 @@
     def handle_answer_start(self, attempt: Attempt, response: Response, source: AnswerSource) -> bool:
         """Handle the start of a streamed answer, which is the request's final one.
 
-        The answerer takes the rest from `source`; `handle_attempt_end` follows with the last byte.
+        The answerer gets the rest from `source`; `handle_attempt_end` is called after the last byte.
 
         Returns:
-            False if there is nobody to give the answer to.
+            False if the attempt or the request is over, so that the answer must not be sent.
         """
         request = attempt.request
         if attempt.is_finished or request.is_answered:
@@ -160,7 +160,7 @@
         Args:
             attempt: The attempt.
             result: How it ended.
-            response: The server's answer, where there is one that was not streamed.
+            response: The server's answer, if it has one and it was not streamed.
         """
         if attempt.is_finished:
             return
@@ -175,13 +175,13 @@
         elif self.journal is not None:
             self.journal.record_not_executed(attempt)
         if result == Result.OK and not request.is_answered:
-            self._answer(request, Served(response))  # type: ignore[arg-type]  # an OK that is not streamed has one
+            self._answer(request, Served(response))  # type: ignore[arg-type]  # a result OK without streaming has a response
         self._notify_outcome(attempt, result)
 
     def handle_counter_result(self, call: CounterCall, result: Result, total: float = 0.0) -> None:
-        """Handle the end of a counter call; `total` is the counter's value after it."""
+        """Handle the end of a counter call; `total` is the counter's value after the call."""
         if call.is_finished:
-            COUNTS["counter.answered_late"] += 1  # the module has been notified of a time-out in its place
+            COUNTS["counter.answered_late"] += 1  # the module has been notified of a timeout instead
             return
         COUNTS[COUNTER_CALL_COUNTERS[result]] += 1
         call.outcome = interface.Counted(call.name, result, total, self._clock() - call.created_ns)
@@ -197,7 +197,7 @@
         self._module_driver.notify(interface.ZoneTurn(zone, is_ejected))
 
     def handle_alarm(self) -> None:
-        """Handle all timers whose time has come, in the order of their times."""
+        """Handle all timers that are due, in the order of their times."""
         self._timers.clear_alarm()
         now_ns = self._clock()
         try:
@@ -207,7 +207,7 @@
             self._timers.arm()
 
     def abandon_all(self) -> None:
-        """Drop everything open, since another ingress has taken it over: nothing more is sent or answered."""
+        """Drop all open requests, since another ingress has taken them over: nothing more is sent or answered."""
         for request in [*self.requests.values(), *self._answered.values()]:
             if not request.is_answered:
                 request.is_answered = True
@@ -217,7 +217,7 @@
                 self._module_driver.notify(interface.Left(request.id))
             self._end_attempts(request, Result.CANCELLED)
 
-    # -- what runs out of time -------------------------------------------------------------------------------------
+    # -- timeouts --------------------------------------------------------------------------------------------------
 
     def _expire(self, timer: Expiring) -> None:
         if isinstance(timer, ModuleTimer):
@@ -237,7 +237,7 @@
     def _expire_request(self, request: OpenRequest) -> None:
         """Fail a request that the decision module has not answered by its deadline."""
         if request.is_streaming or request.deadline_ns > self._clock():
-            return  # its answer is on its way, or its body has arrived since and its time has begun anew
+            return  # the answer is being streamed, or the body has arrived since and the deadline has moved
         if not request.is_answered:
             COUNTS["request.overdue"] += 1
             self._answer(request, Failed(is_overdue=True))
@@ -247,7 +247,7 @@
     # -- requests and attempts -------------------------------------------------------------------------------------
 
     def _answer(self, request: OpenRequest, answer: Answer) -> None:
-        """Give the final answer; the request is over also if it cannot be delivered."""
+        """Send the final answer; the request is over even if the answer cannot be delivered."""
         invariant(not request.is_answered, "request.answered_twice")
         if self.journal is not None and not self.journal.record_answer(request, answer):
             return
@@ -256,12 +256,12 @@
         COUNTS[answer.counter] += 1
         try:
             answer.deliver(request.answerer)
-        except Exception:  # the module must hear of the attempt's end all the same
+        except Exception:  # the module must be notified of the attempt's end all the same
             COUNTS["engine.answer_failed"] += 1
             self._exceptions.write("answer failed", answer.kind.value)
 
     def _close(self, request: OpenRequest) -> None:
-        """Move an answered request out of the open ones."""
+        """Remove an answered request from the unanswered ones."""
         self.requests.pop(request.id, None)
         if request.attempts:
             self._answered[request.id] = request
@@ -301,8 +301,8 @@
     def _recover(self, event: interface.Event) -> list[interface.Action]:
         """Return the actions for an event whose handling raised.
 
-        What the module had decided by then counts.  A request that it was handling and that has no attempt in
-        flight fails now rather than at its deadline; a timer goes off again.
+        The actions that the module had decided by then are carried out.  If the event belongs to a request without an
+        attempt in flight, that request fails now rather than at its deadline; a timer is set again.
         """
         actions = list(self._module.actions)
         if isinstance(event, interface.Timer):
@@ -338,7 +338,7 @@
         )
 
     def _skip_attempt(self, action: interface.Send, request: OpenRequest | None) -> None:
-        """Report an attempt that cannot be sent any more as moot."""
+        """Report an attempt that can no longer be sent as moot."""
         number = request.attempts_sent if request is not None else 0
         COUNTS[ATTEMPT_COUNTERS[Result.MOOT]] += 1
         outcome = interface.Outcome(
@@ -396,7 +396,7 @@
 
 
 def _may_be_repeated(request: OpenRequest) -> bool:
-    """Whether the client may send the request again without a risk that it is executed twice."""
+    """Return whether the client may repeat the request without a risk that it is executed twice."""
     request_class = request.request_class
     if request_class.effect == interface.Effect.SAFE:
         return True
--- a/mapleline/engine/module_driver.py
+++ b/mapleline/engine/module_driver.py
@@ -1,6 +1,6 @@
-"""Passes events to the decision module, one at a time, and has its actions carried out.
+"""Passes events to the decision module, one at a time, and carries out its actions.
 
-An exception, of the module or of an action, is counted and reported; the events after it are handled.
+An exception in the module or in an action is counted and logged, and the events after it are handled.
 """
 
 from __future__ import annotations
@@ -20,26 +20,31 @@
     #: Carries out the actions of one type.
     ActionHandler = Callable[[Any], None]
 
-MAX_REPORTS = 20  # of a process; beyond that exceptions are only counted
-INNERMOST_FRAMES = -4  # the frames of a traceback that are written
+MAX_REPORTS = 20  # tracebacks logged per process; further exceptions are only counted
+INNERMOST_FRAMES = -4  # a negative limit of `format_exc` keeps the last frames
 
 
 class ExceptionReports:
-    """Writes the first exceptions of a process to the log."""
+    """Logs the first `MAX_REPORTS` exceptions of a process."""
 
     def __init__(self) -> None:
-        """Start with none written."""
+        """Start with no exception logged."""
         self._reports = 0
 
-    def write(self, event: str, at: str) -> None:
-        """Log the exception being handled; `event` is the log's event and `at` what was being worked on."""
+    def write(self, event: str, subject: str) -> None:
+        """Log the exception being handled.
+
+        Args:
+            event: The name of the log event.
+            subject: The event, action or answer whose handling raised.
+        """
         self._reports += 1
         if self._reports <= MAX_REPORTS:
-            log(event, at=at, trace=traceback.format_exc(limit=INNERMOST_FRAMES))
+            log(event, at=subject, trace=traceback.format_exc(limit=INNERMOST_FRAMES))
 
 
 class ModuleDriver:
-    """The queue of events; an event that occurs while another is handled waits for its turn."""
+    """The queue of events; an event that occurs while another is being handled is queued."""
 
     def __init__(
         self,
@@ -54,10 +59,10 @@
 
         Args:
             module: The decision module.
-            clock: Returns its time, ns.
-            action_handlers: What carries out an action, by the action's type.
+            clock: Returns its time in nanoseconds.
+            action_handlers: The function that carries out an action, by the action's type.
             recover: Returns the actions for an event whose handling raised.
-            on_idle: Called when all events so far are handled.
+            on_idle: Called when all queued events have been handled.
             exceptions: Where exceptions are reported.
         """
         self._module = module
@@ -70,7 +75,7 @@
         self._is_handling = False
 
     def notify(self, event: Event) -> None:
-        """Pass an event to the module: now, or after those that came before."""
+        """Pass an event to the module, after the events that are queued or being handled."""
         self._queue.append(event)
         if self._is_handling:
             return
@@ -86,7 +91,7 @@
     def _decide(self, event: Event) -> list[Action]:
         try:
             return self._module.handle(self._clock(), event)
-        except Exception:  # a fault of the module must not end the ingress
+        except Exception:  # a bug in the module must not stop the ingress
             COUNTS["module.raised"] += 1
             self._exceptions.write("module raised", type(event).__name__)
             return self._recover(event)
@@ -94,6 +99,6 @@
     def _carry_out(self, action: Action) -> None:
         try:
             self._action_handlers[type(action)](action)
-        except Exception:  # the actions after it still count; the request's deadline stands
+        except Exception:  # the next actions are still carried out; the request's deadline stays
             COUNTS["engine.action_failed"] += 1
             self._exceptions.write("action failed", type(action).__name__)
--- a/mapleline/engine/records.py
+++ b/mapleline/engine/records.py
@@ -1,6 +1,6 @@
-"""What the engine keeps of each open request, attempt, counter call and timer of the decision module.
+"""The engine's records of open requests, attempts, counter calls and timers of the decision module.
 
-Each has `is_finished`: its entry in the timer queue is void from then on.
+Each has `is_finished`; the timer queue ignores the entries of finished records.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request that is owed its final answer, or that still has attempts in flight.
+    """A request that has no final answer yet, or that still has attempts in flight.
 
     Attributes:
-        id: its number, unique among the open ones.
-        request_class: its class in the settings.
-        payload: what is sent upstream; the engine never looks into it.
-        answerer: receives the final answer.
-        deadline_ns: when it fails if there is no answer.
-        attempts_sent: how many attempts have been made, which is also the next attempt's number.
-        may_have_run: whether some server may have executed it.
-        is_answered: whether its final answer has been given, or nobody waits for one.
-        is_streaming: its answer is on its way to the client; no deadline cuts it off.
-        is_body_released: set by the driver: a part of the body has been sent and freed, so no further attempt
+        id: Its number, unique among the open requests.
+        request_class: Its class in the settings.
+        payload: The request to send upstream; the engine does not read it.
+        answerer: Receives the final answer.
+        deadline_ns: The time at which the request fails if it has no answer.
+        attempts_sent: How many attempts have been made, which is also the next attempt's number.
+        may_have_run: Whether some server may have executed it.
+        is_answered: Whether its final answer has been sent, or no answer is needed any more.
+        is_streaming: Whether its answer is being streamed to the client; the deadline no longer applies.
+        is_body_released: Set by the driver: a part of the body has been sent and freed, so no further attempt
             can send it.
-        attempts: the attempts in flight, by number.
+        attempts: The attempts in flight, by number.
     """
 
     id: int
@@ -47,7 +47,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether it is answered and no attempt is in flight."""
+        """Whether the request is answered and no attempt is in flight."""
         return self.is_answered and not self.attempts
 
 
@@ -56,14 +56,14 @@
     """One copy of a request, sent to one server.
 
     Attributes:
-        request: the request it belongs to.
-        number: counts the request's attempts from 0.
-        server: the server's number.
-        sent_ns: when it was sent; the driver sets it anew when the last byte of a streamed body has gone out.
-        payload: what is sent upstream.
-        is_finished: whether its outcome is known.
-        connection: the driver's own; the engine never looks at it.
-        time_to_first_byte_ns: from `sent_ns` to the start of a streamed answer; 0 without one.
+        request: The request that it belongs to.
+        number: Its number, counted from 0 for each request.
+        server: The server's number.
+        sent_ns: When it was sent; the driver updates it when the last byte of a streamed body has been sent.
+        payload: The request to send upstream.
+        is_finished: Whether its outcome is known.
+        connection: The driver's connection; the engine does not use it.
+        time_to_first_byte_ns: The time from `sent_ns` to the start of a streamed answer; 0 without one.
     """
 
     request: OpenRequest
@@ -81,12 +81,12 @@
     """One call to the quota counter.
 
     Attributes:
-        name: the counter to add to.
-        amount: how much to add.
-        ttl_ns: how long the counter keeps its value after this call.
-        created_ns: when the module asked for it.
-        is_written: set by the driver; before that the call cannot have added anything.
-        outcome: how it ended, once that is known.
+        name: The counter to add to.
+        amount: How many units to add.
+        ttl_ns: How long the counter keeps its value after this call.
+        created_ns: When the decision module requested the call.
+        is_written: Set by the driver when it writes the call; before that the call cannot have added anything.
+        outcome: How the call ended; None while it is in flight.
     """
 
     name: int
@@ -98,7 +98,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether its outcome is known."""
+        """Whether the call's outcome is known."""
         return self.outcome is not None
 
 
@@ -107,8 +107,8 @@
     """A timer that the decision module has set.
 
     Attributes:
-        token: identifies the timer to the module.
-        request: where there is one, the timer is void once this request is answered.
+        token: Identifies the timer to the module.
+        request: If given, the timer is ignored once this request is answered.
     """
 
     token: int
@@ -116,9 +116,9 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether nobody waits for it any more."""
+        """Whether the timer can be ignored, since its request is answered."""
         return self.request is not None and self.request.is_answered
 
 
-#: What can run out of time.
+#: The records that a timer can be set for.
 Expiring = ModuleTimer | OpenRequest | Attempt | CounterCall
--- a/mapleline/engine/timers.py
+++ b/mapleline/engine/timers.py
@@ -1,4 +1,4 @@
-"""All timers of the engine in one heap, behind one alarm of the reactor."""
+"""A heap of all timers of the engine, which needs one alarm of the reactor only."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class TimerQueue:
-    """Timers in the order of their time, those of one time in the order in which they were added.
+    """Timers ordered by time; timers of the same time keep the order in which they were added.
 
-    A timer is never removed early: one that is finished stays until it reaches the top, and costs no turn of the
-    reactor there.
+    A timer is not removed early: a finished one stays until it reaches the top of the heap, where it is dropped
+    without an alarm.
     """
 
     alarm: Alarm
@@ -28,12 +28,12 @@
         self._alarm_at_ns = NOT_SET
 
     def add(self, at_ns: int, timer: Expiring) -> None:
-        """Add a timer for a time; `arm` makes it count."""
+        """Add a timer for a time; it takes effect with the next call of `arm`."""
         self._added += 1
         heapq.heappush(self._heap, (at_ns, self._added, timer))
 
     def arm(self) -> None:
-        """Set the alarm for the first unfinished timer, unless it goes off by then already."""
+        """Set the alarm for the first unfinished timer, unless it is set for that time or an earlier one."""
         heap = self._heap
         while heap and heap[0][2].is_finished:
             heapq.heappop(heap)
@@ -45,11 +45,11 @@
             self.alarm.set(first_ns)
 
     def clear_alarm(self) -> None:
-        """Take note that the alarm has gone off."""
+        """Record that the alarm has gone off."""
         self._alarm_at_ns = NOT_SET
 
     def pop_due(self, now_ns: int) -> Expiring | None:
-        """Remove and return the first unfinished timer whose time has come, if there is one."""
+        """Remove and return the first unfinished timer that is due, or None."""
         heap = self._heap
         while heap and heap[0][0] <= now_ns:
             timer = heapq.heappop(heap)[2]
--- a/mapleline/telemetry.py
+++ b/mapleline/telemetry.py
@@ -1,4 +1,4 @@
-"""The log (one JSON line per event), the counters and the checks of invariants."""
+"""The log (one JSON line per event), the event counters and the invariant checks."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
     from structlog.typing import WrappedLogger
 
-    #: Turns one event into a line of the log; structlog calls it a processor.
+    #: Formats one event as a line of the log; structlog calls it a processor.
     Formatter = Callable[[WrappedLogger, str, MutableMapping[str, Any]], bytes]
 
-#: Events by name since the start.  `log_counters` writes them on SIGUSR1 and at exit.
+#: The number of events since the start, by name.  `log_counters` writes them on SIGUSR1 and at exit.
 COUNTS: Counter[str] = Counter()
 
 
@@ -27,7 +27,7 @@
         """Write one event with its fields."""
 
 
-#: Made by `configure_log`, or with its defaults by the first `log`.
+#: Set by `configure_log`, or by the first `log` with the default format.
 _logger: EventLogger | None = None
 
 
@@ -39,7 +39,7 @@
 
 
 def _text_formatter() -> Formatter:
-    """Return a formatter for terminals: the same fields, readable."""
+    """Return a formatter that writes the same fields in a readable form for terminals."""
     import structlog
 
     render = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
@@ -59,7 +59,7 @@
         **bound: Fields added to every line.
     """
     global _logger
-    import structlog  # late: with orjson half of the imports of a start, and the balancer logs without them
+    import structlog  # imported late: with orjson it is half of the import time, and the balancer does not need it
 
     is_text = form == "text" or (form == "auto" and sys.stderr.isatty())
     structlog.configure(
@@ -73,8 +73,8 @@
 def log(event: str, **fields: object) -> None:
     """Write one event.
 
-    Not for the path of a request: a line costs more than a request may.  A line that cannot be written is counted
-    as `log.lost`, and the process goes on serving.
+    It must not be called per request: writing a line takes more time than a request may.  A line that cannot be written
+    is counted as `log.lost`, and the process continues to serve.
     """
     if _logger is None:
         configure_log()
@@ -86,13 +86,13 @@
 
 
 def log_counters(why: str) -> None:
-    """Write all counters as one event; `why` names the occasion."""
+    """Write all counters as one event; `why` says what caused it, such as `exit`."""
     log("counters", why=why, counts=dict(sorted(COUNTS.items())))
 
 
-def invariant(holds: object, what: str) -> None:
-    """Check what must hold: asserted in debug builds, counted as `broken.<what>` under `python -O`."""
+def invariant(holds: object, name: str) -> None:
+    """Check an invariant: asserted in debug builds, counted as `broken.<name>` under `python -O`."""
     if __debug__:
-        assert holds, what
+        assert holds, name
     elif not holds:
-        COUNTS["broken." + what] += 1
+        COUNTS["broken." + name] += 1
--- a/tests/engine_rig.py
+++ b/tests/engine_rig.py
@@ -1,4 +1,4 @@
-"""An engine with a scripted decision module and drivers that only note what they are asked for."""
+"""A test rig: an engine with a scripted decision module and drivers that only record their calls."""
 
 from helpers import S, settings
 
@@ -10,13 +10,13 @@
 
 
 class ScriptedModule:
-    """Stands for the decision module: answers each type of event as scripted, and keeps the events.
+    """A stub of the decision module: reacts to each type of event as scripted, and records the events.
 
     Attributes:
-        settings: the settings.
-        events: the events so far.
-        reactions: by type of event, a function from an event to its actions; an exception among them is raised.
-        actions: the actions decided for the event in hand.
+        settings: The settings.
+        events: The events so far.
+        reactions: By type of event, a function from an event to its actions; an exception among them is raised.
+        actions: The actions decided for the event that is being handled.
     """
 
     def __init__(self, **changes):
@@ -43,19 +43,19 @@
 
 
 class EngineRig:
-    """An engine; the rig is its upstreams, its counter, its alarm and each request's answerer.
+    """An engine whose upstreams, counter, alarm and answerers are all this object.
 
     Attributes:
-        now_ns: the time.
-        notes: what the drivers and the answerer were asked for, in order.
-        attempts: the attempts sent.
-        counter_calls: the counter calls made.
-        alarm_at_ns: the time of the alarm.
+        now_ns: The time.
+        calls: The calls to the drivers and the answerer, in order.
+        attempts: The attempts sent.
+        counter_calls: The counter calls made.
+        alarm_at_ns: The time of the alarm.
     """
 
     def __init__(self, **changes):
         self.now_ns = START_NS
-        self.notes = []
+        self.calls = []
         self.attempts = []
         self.counter_calls = []
         self.alarm_at_ns = None
@@ -64,12 +64,12 @@
         self.engine.connect(upstreams=self, counter=self, alarm=self)
         self.module.reactions[interface.Arrival] = lambda event: [interface.Send(event.request, 1)]
 
-    def accept(self, cls=0, coming=False):
-        arrival = interface.Arrival(0, cls, 0, 5, REQUEST_TTL_NS, is_body_pending=coming)
+    def accept(self, class_id=0, is_body_pending=False):
+        arrival = interface.Arrival(0, class_id, 0, 5, REQUEST_TTL_NS, is_body_pending=is_body_pending)
         return self.engine.accept(arrival, "payload", self)
 
     def advance(self, after_ns):
-        """Let time pass and the alarm go off."""
+        """Let time pass, then trigger the alarm."""
         self.now_ns += after_ns
         self.engine.handle_alarm()
 
@@ -79,7 +79,7 @@
         self.attempts.append(attempt)
 
     def cancel(self, attempt):
-        self.notes.append("cancel")
+        self.calls.append("cancel")
 
     # QuotaCounter
 
@@ -87,7 +87,7 @@
         self.counter_calls.append(call)
 
     def expire(self, call):
-        self.notes.append("expire")
+        self.calls.append("expire")
 
     # Alarm
 
@@ -97,13 +97,13 @@
     # Answerer
 
     def send_answer(self, response):
-        self.notes.append(("answer", response))
+        self.calls.append(("answer", response))
 
     def begin_answer(self, response, source):
-        self.notes.append(("begin answer", response, source))
+        self.calls.append(("begin answer", response, source))
 
     def reject(self, retry_after_ns, is_over_quota):
-        self.notes.append(("reject", retry_after_ns, is_over_quota))
+        self.calls.append(("reject", retry_after_ns, is_over_quota))
 
     def fail(self, is_overdue):
-        self.notes.append(("fail", is_overdue))
+        self.calls.append(("fail", is_overdue))
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine without sockets: each request has one answer, whatever the module, a driver or the clock does."""
+"""The engine without sockets: each request gets one answer, even if the module or a driver raises or time runs out."""
 
 import pytest
 from engine_rig import REQUEST_TTL_NS, START_NS, EngineRig
@@ -21,19 +21,19 @@
     Whole,
 )
 
-UNSAFE = 1  # the class of requests that must not run twice
+UNSAFE = 1  # the number of the class whose requests must not be executed twice
 
 
 def test_the_first_success_answers_and_ends_the_request():
     rig = EngineRig()
     rig.accept()
     rig.engine.handle_attempt_end(rig.attempts[0], Result.OK, "body")
-    rig.engine.handle_attempt_end(rig.attempts[0], Result.RESET)  # a second report of the driver is ignored
-    assert rig.notes == [("answer", "body")]
+    rig.engine.handle_attempt_end(rig.attempts[0], Result.RESET)  # a second report of the same attempt is ignored
+    assert rig.calls == [("answer", "body")]
     assert rig.module.event_types() == [Arrival, Outcome]
     assert rig.module.events[1].is_final
     rig.advance(3 * S)
-    assert rig.notes == [("answer", "body")]
+    assert rig.calls == [("answer", "body")]
     assert not rig.engine.requests
 
 
@@ -41,21 +41,21 @@
     rig = EngineRig()
     rig.accept()
     rig.advance(REQUEST_TTL_NS - 1)
-    assert rig.notes == []
+    assert rig.calls == []
     rig.advance(1)
-    assert rig.notes == [("fail", True), "cancel"]
+    assert rig.calls == [("fail", True), "cancel"]
     assert rig.module.event_types() == [Arrival, Left, Outcome]
 
 
 @pytest.mark.parametrize("is_sent", [False, True], ids=["before it sent", "after it sent"])
 def test_a_module_that_raises_still_gives_one_answer(is_sent):
-    """Its actions up to the exception count; with no attempt in flight the request fails at once."""
+    """The actions up to the exception are carried out; with no attempt in flight the request fails at once."""
     rig = EngineRig()
     rig.module.reactions[Arrival] = lambda event: [Send(event.request, 1)] * is_sent + [ZeroDivisionError()]
     rig.accept()
-    assert rig.notes == ([] if is_sent else [("fail", False)])
+    assert rig.calls == ([] if is_sent else [("fail", False)])
     rig.advance(3 * S)
-    assert [note for note in rig.notes if note != "cancel"] == [("fail", is_sent)]
+    assert [call for call in rig.calls if call != "cancel"] == [("fail", is_sent)]
 
 
 def test_a_timer_whose_handling_raised_goes_off_again():
@@ -74,11 +74,11 @@
     rig.send = None
     rig.module.reactions[Arrival] = lambda event: [Send(event.request, 1), Fail(event.request)]
     rig.accept()
-    assert ("fail", False) in rig.notes
+    assert ("fail", False) in rig.calls
 
 
-def test_the_module_hears_of_an_answer_that_could_not_be_delivered():
-    """Otherwise it would count the attempt as in flight for ever."""
+def test_the_module_is_notified_of_an_answer_that_could_not_be_delivered():
+    """Without the event the module would count the attempt as in flight for ever."""
     rig = EngineRig()
     rig.send_answer = None
     rig.accept()
@@ -98,14 +98,14 @@
 
 
 @pytest.mark.skipif(not __debug__, reason="release builds count it")
-def test_rejecting_what_may_have_run_breaks_an_invariant():
+def test_rejecting_a_request_that_may_have_run_breaks_an_invariant():
     rig = EngineRig()
     rig.module.reactions[Outcome] = lambda event: [Refuse(event.request)]
-    rig.accept(cls=UNSAFE)
+    rig.accept(class_id=UNSAFE)
     rig.engine.handle_attempt_end(rig.attempts[0], Result.ERROR)
-    assert not any(note[0] == "reject" for note in rig.notes)
+    assert not any(call[0] == "reject" for call in rig.calls)
     rig.advance(3 * S)
-    assert rig.notes == [("fail", True)]
+    assert rig.calls == [("fail", True)]
 
 
 def test_attempts_beyond_the_limit_are_moot():
@@ -115,7 +115,7 @@
     rig.engine.handle_attempt_end(rig.attempts[0], Result.NO_CONNECTION)
     assert len(rig.attempts) == 1
     assert rig.module.events[-1].result == Result.MOOT
-    assert rig.engine.requests == {request.id: request}  # still owed its answer
+    assert rig.engine.requests == {request.id: request}  # still without a final answer
 
 
 def test_an_attempt_ends_at_its_own_timeout():
@@ -123,13 +123,13 @@
     rig.module.reactions[Arrival] = lambda event: [Send(event.request, 1, 50 * MS)]
     rig.accept()
     rig.advance(50 * MS)
-    assert rig.notes == ["cancel"]
+    assert rig.calls == ["cancel"]
     assert rig.module.events[-1].result == Result.TIMEOUT
 
 
 @pytest.mark.parametrize(("is_written", "result"), [(False, Result.NO_CONNECTION), (True, Result.TIMEOUT)])
 def test_a_counter_call_times_out_once(is_written, result):
-    """Only a call that was never written is reported as never added; the late answer is dropped."""
+    """Only a call that was never written is reported as not executed; a late answer is dropped."""
     rig = EngineRig(counter_timeout_ns=30 * MS)
     rig.module.reactions[Arrival] = lambda event: [Count(9, 1.0, S)]
     rig.accept()
@@ -138,11 +138,11 @@
     rig.advance(30 * MS)
     rig.engine.handle_counter_result(call, Result.OK, 5.0)
     assert [event.result for event in rig.module.events_of(Counted)] == [result]
-    assert rig.notes == ["expire"]
+    assert rig.calls == ["expire"]
 
 
 def test_finished_requests_and_calls_set_no_alarm():
-    """Half of all wake-ups on the calm day were for timers of calls and requests answered long before."""
+    """Under light load half of all wake-ups were caused by timers of requests and calls that had already ended."""
     rig = EngineRig(counter_timeout_ns=30 * MS)
     rig.module.reactions[Arrival] = lambda event: [
         SetTimer(S, 8, event.request),
@@ -159,7 +159,7 @@
 
 
 def test_results_of_one_counter_reach_the_module_in_the_order_of_the_calls():
-    """After a move of the counter its new address can answer before the old one."""
+    """After the counter moves, its new address can answer before the old one."""
     rig = EngineRig()
     rig.module.reactions[Arrival] = lambda event: [Count(event.request % 2, 1.0, S)]
     for _ in range(4):
@@ -171,7 +171,7 @@
     rig.engine.handle_counter_result(first, Result.TIMEOUT)
     results = [(event.name, event.result, event.total, event.duration_ns) for event in rig.module.events_of(Counted)]
     assert results == [(0, Result.OK, 5.0, 0), (1, Result.TIMEOUT, 0.0, MS), (1, Result.OK, 9.0, 0)]
-    assert len(rig.engine._counter_calls) == 1  # that of the call in flight; finished ones leave nothing behind
+    assert len(rig.engine._counter_calls) == 1  # entries of finished calls are removed
 
 
 def test_a_streamed_answer_is_final_and_has_no_deadline():
@@ -183,12 +183,12 @@
     assert not rig.engine.requests
     assert rig.module.event_types() == [Arrival, Begun]
     rig.advance(9 * S)
-    assert rig.notes == [("begin answer", "head", "source")]
+    assert rig.calls == [("begin answer", "head", "source")]
     rig.engine.handle_attempt_end(attempt, Result.OK)
     (outcome,) = rig.module.events_of(Outcome)
     assert outcome.is_final
-    assert outcome.duration_ns == 100 * MS  # the server is judged by its first byte
-    assert rig.notes == [("begin answer", "head", "source")]
+    assert outcome.duration_ns == 100 * MS  # the time to the first byte
+    assert rig.calls == [("begin answer", "head", "source")]
     assert not rig.engine.handle_answer_start(attempt, "head", "source")
 
 
@@ -197,10 +197,10 @@
     request = rig.accept()
     rig.engine.handle_answer_start(rig.attempts[0], "head", "source")
     rig.engine.handle_disconnect(request)
-    assert rig.notes[1:] == ["cancel"]
+    assert rig.calls[1:] == ["cancel"]
     assert rig.module.events[-1].result == Result.CANCELLED
     rig.engine.handle_disconnect(request)
-    assert rig.notes[1:] == ["cancel"]
+    assert rig.calls[1:] == ["cancel"]
 
 
 def test_no_answer_starts_after_a_disconnect():
@@ -208,25 +208,25 @@
     request = rig.accept()
     rig.engine.handle_disconnect(request)
     assert not rig.engine.handle_answer_start(rig.attempts[0], "head", "source")
-    assert rig.notes == []
+    assert rig.calls == []
 
 
 def test_the_time_of_a_request_counts_from_the_last_byte_of_its_body():
     rig = EngineRig()
-    request = rig.accept(coming=True)
+    request = rig.accept(is_body_pending=True)
     rig.advance(50 * S)
-    assert rig.notes == []
+    assert rig.calls == []
     rig.engine.handle_body_end(request, REQUEST_TTL_NS)
     assert rig.module.event_types() == [Arrival, Whole]
     rig.advance(REQUEST_TTL_NS - 1)
-    assert rig.notes == []
+    assert rig.calls == []
     rig.advance(1)
-    assert rig.notes == [("fail", True), "cancel"]
+    assert rig.calls == [("fail", True), "cancel"]
 
 
 def test_a_request_whose_body_is_released_is_not_sent_again():
     rig = EngineRig()
-    request = rig.accept(coming=True)
+    request = rig.accept(is_body_pending=True)
     rig.module.reactions[Outcome] = lambda event: [] if event.result == Result.MOOT else [Send(event.request, 2)]
     request.is_body_released = True
     rig.engine.handle_attempt_end(rig.attempts[0], Result.NO_CONNECTION)
