--- a/mapleline/net/claims.py
+++ b/mapleline/net/claims.py
@@ -1,10 +1,11 @@
 """Claims one of the fleet's budgets on the counter, epoch by epoch (a driver of `mapleline.budgets`).
 
-A member adds its demand of the epoch that has ended to the fleet's demand for the next, reads that sum back, and claims
-its share of the budget.  A claim without an answer grants nothing.  Rules and bounds: docs/design/fleet.md.
+A member adds its demand in the epoch that has ended to the fleet's demand for the next epoch, reads that sum, and
+claims its share of the budget.  A claim without an answer grants nothing.  Rules and bounds are in
+docs/design/fleet.md.
 
-Log events: `budget claimed`, `budget claim failed`, and `budget held` when a grant comes into use; its `until` is the
-end of the lease on the log's clock, and the fault rig's checker sums these.
+Log events: `budget claimed`, `budget claim failed`, and `budget held` when a grant comes into use.  The field `until`
+of `budget held` is the end of the lease on the log's clock; the checker of the fault rig sums these events.
 """
 
 from __future__ import annotations
@@ -23,31 +24,31 @@
 
     from .fleet_member import FleetMember
 
-EPOCHS_KEPT = 4  #: claims of epochs this far back are forgotten
-AMOUNT_DIGITS = 3  #: decimals of an amount on the counter
-CLAIM_AHEAD_SHARE = 0.5  #: of an epoch after which the next one is claimed
-LEAST_DEMAND = 1.0  #: added to each demand, so that an idle member claims something
+EPOCHS_KEPT = 4  #: claims are forgotten after this many epochs
+AMOUNT_DIGITS = 3  #: decimal places of amounts on the counter
+CLAIM_AHEAD_SHARE = 0.5  #: the next epoch is claimed after this share of the current one
+BASE_DEMAND = 1.0  #: units added to each demand, so that an idle member claims something
 NANOSECONDS = 1e9
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A claim under way.
+    """A claim in flight.
 
     Attributes:
-        epoch: the epoch that it is for.
-        want: units claimed.
-        fleet_demand: the sum of the members' demands; None where it could not be read.
+        epoch: The epoch that it is for.
+        units: The units claimed.
+        fleet_demand: The sum of the members' demands; None if it could not be read.
     """
 
     epoch: int
-    want: float
+    units: float
     fleet_demand: float | None
 
 
 @dataclass(frozen=True, slots=True)
 class GrantedInterval:
-    """What a claim was granted of [0, 1), the whole budget: from `low`, `share` wide."""
+    """The part of the budget that a claim was granted: [low, low + share) of the whole budget, [0, 1)."""
 
     low: float
     share: float
@@ -57,12 +58,12 @@
     """One member's claims of one budget, in proportion to its demand."""
 
     def __init__(self, member: FleetMember, budget_name: str, requested: Callable[[], float]) -> None:
-        """Start with no claim.
+        """Start with no claims.
 
         Args:
-            member: this member, whose counter the claims are made on.
-            budget_name: the budget's name in the counter's keys and in the log.
-            requested: returns a running total; the demand of an epoch is what it grew by.
+            member: This member; claims are made through its counter client.
+            budget_name: The budget's name in the counter's keys and in the log.
+            requested: Returns a running total of requested units; an epoch's demand is its increase in that epoch.
         """
         settings = member.settings
         self._member = member
@@ -76,12 +77,12 @@
         self._requested_at_epoch_start = requested()
 
     def update(self, now_s: float) -> None:
-        """Make the claims that are due; called several times an epoch, with the member's own clock."""
+        """Make the claims that are due; called several times an epoch with the time on the member's own clock."""
         lease_s = self._budget.lease_s
         epoch = epoch_of(now_s, lease_s)
         if epoch != self._demand_epoch:
             self._send_demand(epoch)
-        if epoch not in self._claimed_epochs:  # at the start, or where the claim ahead was never made
+        if epoch not in self._claimed_epochs:  # at the start, or if the epoch was not claimed ahead
             self._claim(epoch)
         is_time_for_next = now_s - epoch * lease_s >= lease_s * CLAIM_AHEAD_SHARE
         if is_time_for_next and epoch + 1 not in self._claimed_epochs:
@@ -89,9 +90,9 @@
         self._use_grant(now_s)
 
     def _send_demand(self, epoch: int) -> None:
-        """Take the demand of the epoch that has ended, and add it to the fleet's demand for the next."""
+        """Compute the demand in the epoch that has ended, and add it to the fleet's demand for the next."""
         requested = self._requested()
-        self._demand = requested - self._requested_at_epoch_start + LEAST_DEMAND
+        self._demand = requested - self._requested_at_epoch_start + BASE_DEMAND
         self._demand_epoch = epoch
         self._requested_at_epoch_start = requested
         amount = round(self._demand, AMOUNT_DIGITS)
@@ -116,21 +117,23 @@
     def _claim_share(self, epoch: int, fleet_demand: float | None) -> None:
         size = self._budget.claim_size(self._demand, fleet_demand, self._member.view.members)
         claim = Claim(epoch, round(size, AMOUNT_DIGITS), fleet_demand)
-        self._member.counter.add(self._claim_key(epoch), claim.want).addCallbacks(
+        self._member.counter.add(self._claim_key(epoch), claim.units).addCallbacks(
             lambda total: self._on_claimed(claim, total),
             lambda failure: self._on_claim_failed(claim, failure),
         )
 
     def _on_claimed(self, claim: Claim, total: float) -> None:
         budget = self._budget
-        grant = budget.record_claim(claim.epoch, claim.want, total)
-        self._granted[claim.epoch] = GrantedInterval((total - claim.want) / budget.whole, grant / budget.whole)
+        grant = budget.record_claim(claim.epoch, claim.units, total)
+        self._granted[claim.epoch] = GrantedInterval(
+            (total - claim.units) / budget.units_per_epoch, grant / budget.units_per_epoch
+        )
         COUNTS["budget.claimed"] += 1
         log(
             "budget claimed",
             budget=budget.name,
             epoch=claim.epoch,
-            want=claim.want,
+            want=claim.units,
             part=grant,
             total=total,
             demand=self._demand,
@@ -143,7 +146,7 @@
         log("budget claim failed", budget=self._budget.name, epoch=claim.epoch, why=failure.getErrorMessage())
 
     def _use_grant(self, now_s: float) -> None:
-        """Bring the current epoch's grant into use once its lease has begun, and log it."""
+        """Use the current epoch's grant once its lease has begun, and log that."""
         budget = self._budget
         epoch = epoch_of(now_s, budget.lease_s)
         grant = budget.usable(now_s)
@@ -154,18 +157,18 @@
         log(
             "budget held",
             budget=budget.name,
-            whole=budget.whole,
+            whole=budget.units_per_epoch,
             part=grant,
             epoch=epoch,
             until=time.time() + (lease_end_s - now_s),
         )
 
     def _hold_interval(self, epoch: int, now_s: float) -> float:
-        """Give the shares the epoch's interval; return the lease's end in seconds of the member's own clock."""
+        """Set the epoch's interval in the shares; return the lease's end in seconds of the member's own clock."""
         start_s, end_s = self._budget.lease_window(epoch)
         interval = self._granted.pop(epoch)
         self._granted = {known: granted for known, granted in self._granted.items() if known > epoch}
-        offset_s = time.time() - now_s  # to the decision module's clock, which no setting moves
+        offset_s = time.time() - now_s  # to the decision module's clock, which has no `clock_offset_s`
         since_ns = int((start_s + offset_s) * NANOSECONDS)
         until_ns = int((end_s + offset_s) * NANOSECONDS)
         self._member.shares.hold(interval.low, interval.low + interval.share, since_ns, until_ns, self._budget.name)
--- a/mapleline/net/fleet.py
+++ b/mapleline/net/fleet.py
@@ -1,4 +1,4 @@
-"""Starts the parts of the fleet that our own settings enable, for one ingress (a driver)."""
+"""Starts the fleet features that our own settings enable for one ingress (a driver)."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 def join_fleet(ingress: Ingress, own: Own) -> FleetMember | None:
-    """Start what is enabled.
+    """Start the enabled features: handoff, budgets and the monitoring of zones.
 
     Returns:
-        This ingress as a member that sends heartbeats; None without budgets.
+        This ingress as a member that sends heartbeats; None if budgets are disabled.
 
     Raises:
-        ConfigError: our own settings do not fit the platform's.
+        ConfigError: Our own settings do not match the platform's.
     """
     if own.handoff.enabled:
         _start_handoff(ingress, own)
@@ -28,7 +28,7 @@
 
 
 def _start_handoff(ingress: Ingress, own: Own) -> None:
-    """Have the engine log its requests, and take over those of lost ingresses."""
+    """Log the engine's requests, and take over those of failed ingresses."""
     from ..handoff.store import MEMBER_NAME
     from .handoff import Handoff
     from .log_adoption import RequestNames
@@ -48,7 +48,7 @@
 
 
 def _start_member(ingress: Ingress, own: Own) -> FleetMember:
-    """Send heartbeats, claim budgets, and eject zones with the fleet where that is enabled."""
+    """Start heartbeats and budget claims, and the fleet-wide ejection of zones if that is enabled."""
     start = ingress.config.start
     spill_share = own.zones.spill_share if own.zones.enabled else 0.0
     position = RosterPosition(start.ingress, start.ingresses)
--- a/mapleline/net/fleet_counter.py
+++ b/mapleline/net/fleet_counter.py
@@ -1,8 +1,8 @@
-"""Calls of one fleet member on the shared counter: heartbeats, demands, claims and reports (a Twisted driver).
+"""The calls of one fleet member to the shared counter: heartbeats, demands, claims and reports (a Twisted driver).
 
-All calls go over one connection of its own, written one behind another; answers come in their order.  A call that has
-no answer within the time limit fails.  Its amount may have been added all the same: callers treat that part as lost
-and never count it twice (docs/design/fleet.md).
+All calls are pipelined on one connection of their own, so that answers arrive in the order of the calls.  A call that
+has no answer within the time limit fails.  Its amount may have been added all the same: callers treat that amount as
+lost and never add it again (docs/design/fleet.md).
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
     from ..settings.platform import Address
     from .event_loop import DelayedCall, EventLoop
 
-CONNECT_SHARE = 0.5  #: of a call's time limit that making the connection may take
-LEAST_CONNECT_S = 0.1  #: seconds; however short the limit is, a connection gets as much
+CONNECT_SHARE = 0.5  #: the share of a call's time limit that connecting may take
+MIN_CONNECT_S = 0.1  #: the least time for connecting, however short the call's time limit is
 
 
 class CounterAnswerError(ValueError):
-    """An answer that holds no total."""
+    """An answer that contains no total."""
 
 
 def count_lost_call(failure: Failure) -> None:
-    """Count a call without an answer that needs no retry: the next one of its kind counts again."""
+    """Count a call without an answer; it needs no retry, since the next call of its kind replaces it."""
     COUNTS["budget.beat_lost"] += 1
 
 
@@ -40,7 +40,7 @@
     """Return the total in an answer.
 
     Raises:
-        CounterAnswerError: there is none.
+        CounterAnswerError: The answer contains no total.
     """
     total = read_total(response)
     if total is None:
@@ -53,10 +53,10 @@
     """A call whose result is awaited.
 
     Attributes:
-        target: the request's target.
-        host_line: the request's Host header line.
-        result: fires with the total, or with why there is none.
-        timer: fails the call at its time limit.
+        target: The target of the HTTP request.
+        host_line: The Host header line of the HTTP request.
+        result: Fires with the total, or with the reason why there is none.
+        timer: Fails the call at its time limit.
     """
 
     target: bytes
@@ -65,20 +65,20 @@
     timer: DelayedCall
 
     def send(self, connection: AgentStream) -> None:
-        """Send the call, unless its time is over."""
+        """Send the call, unless it has timed out."""
         if self.result.called:
             return
         answer = connection.call(self.target, self.host_line, b"POST").addCallback(_total_of)
         answer.addCallbacks(self.succeed, self.fail)
 
     def succeed(self, total: float) -> None:
-        """Pass on the total."""
+        """Fire the result with the total."""
         self._stop_timer()
         if not self.result.called:
             self.result.callback(total)
 
     def fail(self, reason: Failure) -> None:
-        """Pass on why there is no total."""
+        """Fire the result with the reason why there is no total."""
         self._stop_timer()
         if not self.result.called:
             self.result.errback(reason)
@@ -92,20 +92,20 @@
     """The client of the shared counter.
 
     Attributes:
-        address: of the counter; calls made after a change name the new one.
+        address: The counter's host and port; a change applies to later calls.
     """
 
     def __init__(
         self, reactor: EventLoop, buffers: BufferPool, address: Address, timeout_s: float, key_lifetime_ms: int
     ) -> None:
-        """Connect with the first call.
+        """Make no connection yet; the first call connects.
 
         Args:
-            reactor: the event loop.
-            buffers: where answers are read into.
-            address: host and port.
-            timeout_s: the time limit of a call, in seconds.
-            key_lifetime_ms: for which the counter keeps a number after the last call, in milliseconds.
+            reactor: The event loop.
+            buffers: The buffers that answers are read into.
+            address: The counter's host and port.
+            timeout_s: The time limit of a call, in seconds.
+            key_lifetime_ms: How long the counter keeps a number after the last call for it, in milliseconds.
         """
         self.address = address
         self._reactor = reactor
@@ -116,7 +116,7 @@
         self._waiting: list[_PendingCall] = []
 
     def add(self, key: str, amount: float) -> Deferred[float]:
-        """Add to a number; the result is its total after that, or fails at the time limit at the latest."""
+        """Add an amount to a number; return its new total, as a Deferred that fails at the time limit at the latest."""
         result: Deferred[float] = Deferred()
         timer = self._reactor.callLater(self._timeout_s, self._on_timeout, result)
         host, port = self.address
@@ -131,11 +131,11 @@
         COUNTS["budget.call_late"] += 1
         result.errback(TimeoutError("no answer in a heartbeat period"))
         if self._connection is not None and self._connection.transport is not None:
-            self._connection.transport.abortConnection()  # later answers on it are not read
+            self._connection.transport.abortConnection()  # answers to the calls behind it are not read
         self._connection = None
 
     def _send(self, call: _PendingCall) -> None:
-        """Send a call on the open connection, or make one first; calls made meanwhile wait for it."""
+        """Send a call on the open connection, or connect first; calls made meanwhile wait for the connection."""
         connection = self._connection
         if connection is not None and connection.connected and connection.machine.reusable:
             call.send(connection)
@@ -145,7 +145,7 @@
             self._connect()
 
     def _connect(self) -> None:
-        timeout_s = max(LEAST_CONNECT_S, self._timeout_s * CONNECT_SHARE)
+        timeout_s = max(MIN_CONNECT_S, self._timeout_s * CONNECT_SHARE)
         connecting = dial(self._reactor, self.address, lambda: AgentStream(self._buffers), timeout_s)
         connecting.addCallbacks(self._on_connected, self._on_connect_failed)
 
--- a/mapleline/net/fleet_member.py
+++ b/mapleline/net/fleet_member.py
@@ -1,9 +1,9 @@
 """One ingress as a member of the fleet: its heartbeats, its claims and its shares of the budgets (a Twisted driver).
 
-The pure parts are `mapleline.membership` and `mapleline.budgets`; docs/design/fleet.md has the rules.
+The pure parts are `mapleline.membership` and `mapleline.budgets`; the rules are in docs/design/fleet.md.
 
-Log events: `budget spent` (what an epoch that is over took of each budget), `budgets reload failed`, `clock offset`;
-`claims` has the others.
+Log events: `budget spent` (the units taken of each budget in an epoch that has ended), `budgets reload failed`,
+`clock offset`; the others are in `claims`.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
     from ..settings.platform import Address
     from .event_loop import EventLoop
 
-UPDATES_PER_PERIOD = 4
+UPDATES_PER_PERIOD = 4  #: calls of `update` in each heartbeat period
 PERIODS_KEPT = 8  #: heartbeats of periods this far back are forgotten
-KEY_LIFETIME_MULTIPLE = 3  #: of the longer of lease and period: a number is read in the period or epoch after its own
-MOST_KEY_LIFETIME_MS = 60_000  #: milliseconds; the longest that the platform's counter keeps a number
-INCARNATION_MODULUS = 1_000_000  #: the counter's amounts have seven significant digits
+KEY_LIFETIME_MULTIPLE = 3  #: of the longer of lease and period; a number is read up to one period or epoch later
+MAX_KEY_LIFETIME_MS = 60_000  #: the longest time for which the platform's counter keeps a number
+INCARNATION_MODULUS = 1_000_000  #: keeps incarnations exact: the counter's amounts have seven significant digits
 MILLISECONDS = 1000
 NANOSECONDS = 1e9
 
 
 class PeriodWatcher(Protocol):
-    """Does its part of each heartbeat period."""
+    """Is updated several times in each heartbeat period."""
 
     def update(self, period: int) -> None:
-        """Do what is due; called several times in a period."""
+        """Do the work that is due; called `UPDATES_PER_PERIOD` times in a period."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,14 +51,14 @@
 
 
 class FleetMember:
-    """Heartbeats and claims of one ingress.
+    """The heartbeats and budget claims of one ingress.
 
     Attributes:
-        settings: of the budgets, with the heartbeat period lengthened to suit the fleet's size.
-        view: what this member knows of the others.
-        shares: what it may use of each budget.
-        counter: its client of the shared counter.
-        watchers: asked several times in each heartbeat period.
+        settings: The settings of the budgets, with the heartbeat period lengthened for the fleet's size.
+        view: This member's view of the others.
+        shares: This member's shares of the budgets.
+        counter: Its client of the shared counter.
+        watchers: Objects that are updated in each heartbeat period.
     """
 
     def __init__(
@@ -70,15 +70,16 @@
         position: RosterPosition,
         spill_share: float = 0.0,
     ) -> None:
-        """Make the parts; nothing is sent before `start`.
+        """Create the member; nothing is sent before `start`.
 
         Args:
-            reactor: the event loop.
-            settings: of the budgets.
-            buffers: where the counter's answers are read into.
-            counter_address: host and port of the shared counter.
-            position: this member's place in the roster.
-            spill_share: of `settings.server_per_s`: what a zone takes for others; 0: not divided.
+            reactor: The event loop.
+            settings: The settings of the budgets.
+            buffers: The buffers that the counter's answers are read into.
+            counter_address: The host and port of the shared counter.
+            position: This member's place in the roster.
+            spill_share: The share of `settings.server_per_s` that a zone's servers accept from other zones; no spill
+                budget at 0.
         """
         settings = replace(settings, beat_s=settings.beat(position.members))
         self.settings = settings
@@ -90,15 +91,15 @@
         self._heartbeat_periods: set[int] = set()
         self._loop: LoopingCall | None = None
         self._claims = [BudgetClaims(self, "fleet", lambda: COUNTS["request.accepted"])]
-        if spill_share > 0:  # divided by what spills: a member that spills is seldom one with the most requests
+        if spill_share > 0:  # claimed apart: members that spill seldom have the most requests
             self._claims.append(BudgetClaims(self, "spill", lambda: self.shares.requested.get("spill", 0)))
 
     def now(self) -> float:
-        """Return Unix seconds on this ingress's own clock: the machine's and the offset its settings give."""
+        """Return this member's clock in Unix seconds: the machine's clock plus the offset in the settings."""
         return time.time() + self.settings.clock_offset_s
 
     def reload_settings(self, path: str) -> None:
-        """Read our own HCL again (SIGHUP); of the budgets only the clock's offset changes while running."""
+        """Reload our own HCL settings (SIGHUP); of the budget settings only the clock offset changes at run time."""
         from ..settings import own
 
         try:
@@ -115,14 +116,14 @@
             log("clock offset", offset_s=offset_s)
 
     def start(self) -> None:
-        """Begin to send heartbeats and to claim."""
+        """Begin to send heartbeats and to claim budgets."""
         from twisted.internet import task
 
         self._loop = task.LoopingCall(self.update)
         self._loop.start(self.settings.beat_s / UPDATES_PER_PERIOD, now=True)
 
     def update(self) -> None:
-        """Do what is due in this heartbeat period and this epoch."""
+        """Do the work that is due in this heartbeat period and this epoch."""
         now_s = self.now()
         period = period_of(now_s, self.settings.beat_s)
         if period not in self._heartbeat_periods:
@@ -145,7 +146,7 @@
         self.shares.ended.clear()
 
     def _send_heartbeat(self, period: int) -> None:
-        """Count this member in the period, read the count of the one before, and leave its own heartbeat."""
+        """Count this member in this period, read the previous period's count, and add this member's own heartbeat."""
         self._heartbeat_periods.add(period)
         self._heartbeat_periods.discard(period - PERIODS_KEPT)
         fleet = self.settings.fleet
@@ -175,6 +176,6 @@
 
 
 def _key_lifetime_ms(settings: Budgets) -> int:
-    """Return for how long the counter keeps a number after the last call, in milliseconds."""
+    """Return how long the counter is to keep a number after the last call for it, in milliseconds."""
     longest_s = max(settings.lease_s, settings.beat_s)
-    return min(MOST_KEY_LIFETIME_MS, int(KEY_LIFETIME_MULTIPLE * longest_s * MILLISECONDS))
+    return min(MAX_KEY_LIFETIME_MS, int(KEY_LIFETIME_MULTIPLE * longest_s * MILLISECONDS))
--- a/mapleline/net/handoff.py
+++ b/mapleline/net/handoff.py
@@ -1,10 +1,10 @@
 """Logs one ingress's requests in flight and holds its lease, so that another can take them over (a driver).
 
-The engine asks `Handoff` before it sends or answers, and the HTTP front asks `FleetIds` before it takes a request.
-`LogAdopter` takes over the logs of members whose lease has expired.  Rules: docs/design/handoff.md; for operators:
-docs/handoff.md.
+The engine calls `Handoff` before it sends or answers, and the HTTP front calls `FleetIds` before it accepts a request.
+`LogAdopter` takes over the logs of members whose lease has expired.  The rules are in docs/design/handoff.md, the
+operators' page is docs/handoff.md.
 
-Log events: `handoff begun` (an epoch of this process), `lease lost`; `log_adoption` has the others.
+Log events: `handoff begun` (an epoch of this process has begun), `lease lost`; the others are in `log_adoption`.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
     from ..settings.own import Handoff as HandoffSettings
     from .event_loop import EventLoop
 
-UPDATE_S = 0.1  #: seconds between two looks at the lease and at what is due
-RENEWALS_PER_LEASE = 3  #: two renewals may be late before the lease is lost
+UPDATE_S = 0.1  #: the interval at which the lease is checked and due work is done
+RENEWALS_PER_LEASE = 3  #: two renewals may be missed before the lease is lost
 BYTES_PER_KB = 1024
 MILLISECONDS = 1000
 
@@ -53,28 +53,28 @@
     """One ingress's log, lease and outcomes.
 
     Attributes:
-        store: the fleet's store.
-        name: this member's name.
-        epoch: the incarnation that its log and its lease belong to.
-        ids: the ids that it owns.
-        in_flight: what its log says.
-        adopter: what it takes over.
+        store: The fleet's store.
+        name: This member's name.
+        epoch: The incarnation that its log and its lease belong to.
+        ids: The ids that it owns.
+        in_flight: The requests in flight, as its log records them.
+        adopter: Takes over the logs of other members.
     """
 
     def __init__(
         self, reactor: EventLoop, settings: HandoffSettings, engine: Engine, name: str, names: RequestNames
     ) -> None:
-        """Begin a new epoch, and take over the logs of this member's earlier ones.
+        """Begin a new epoch, and take over the logs of this member's earlier epochs.
 
         Args:
-            reactor: the event loop.
-            settings: of the handoff.
-            engine: whose requests are logged.
-            name: this member's name.
-            names: of the request classes and plans.
+            reactor: The event loop.
+            settings: The settings of handoff.
+            engine: The engine whose requests are logged.
+            name: This member's name.
+            names: The names of the request classes and plans.
 
         Raises:
-            OSError: the store cannot be used.
+            OSError: The store cannot be used.
         """
         self.store = Store(settings.dir)
         self.name = name
@@ -85,20 +85,20 @@
         self._settings = settings
         self._names = names
         self._leases = LeaseTable(settings.margin_s)
-        self._synced_at = 0.0
+        self._synced_at_s = 0.0
         self._loop: LoopingCall | None = None
         self.epoch = max(self.store.log_epochs(name), default=0)
         self._begin_epoch(InFlightTable())
         self._take_over_earlier_epochs()
 
     def _take_over_earlier_epochs(self) -> None:
-        """Take over what this member's processes before a restart left behind."""
+        """Take over the logs that earlier processes of this member left behind."""
         for epoch, is_taken in sorted(self.store.log_epochs(self.name).items()):
             if epoch < self.epoch and not is_taken:
                 self.adopter.take_over(log_name(self.name, epoch))
 
     def start(self) -> None:
-        """Begin to renew the lease, and watch for members that lose theirs."""
+        """Begin to renew the lease, and to check for members whose lease has expired."""
         from twisted.internet import task
 
         self._loop = task.LoopingCall(self.update)
@@ -109,22 +109,22 @@
 
     @property
     def log_name(self) -> str:
-        """The name of this epoch's log, which is the owner of its ids in the store."""
+        """The name of this epoch's log, which the store records as the owner of its ids."""
         return log_name(self.name, self.epoch)
 
     def append_record(self, record: Record, is_deferred: bool = False) -> None:
         """Apply a record and log it.
 
         Args:
-            record: the record.
-            is_deferred: whether it may wait for the next one, or the next update; a request whose deferred record is
-                lost may be executed again.
+            record: The record.
+            is_deferred: Whether it may be written with the next record or at the next update; if a deferred record is
+                lost, its request may be executed again.
         """
         self.in_flight.apply(record)
         self._log.write(record, is_deferred)
 
     def _begin_epoch(self, table: InFlightTable) -> None:
-        """Open the log of a new epoch, beginning with what is carried over, and write its lease."""
+        """Open the log of a new epoch, which starts with the requests in `table`, and write its lease."""
         self._log = self._create_log(table)
         self.in_flight = table
         self.renew_lease(time.time())
@@ -136,34 +136,35 @@
             try:
                 return WriteAheadLog(self.store.folder, self.name, self.epoch, table.snapshot())
             except FileExistsError:
-                continue  # another process of this name has that epoch
+                continue  # another process with this name has that epoch
 
     def _carry_over(self) -> None:
-        """Go on in a new epoch, whose log becomes the owner of the ids in flight and of the takeovers."""
+        """Continue in a new epoch, whose log becomes the owner of the ids in flight and of the takeovers."""
         for request in self.in_flight.requests.values():
-            request.accepted["from"] = self.log_name  # until its id is moved, a successor finds the owner by this
+            request.accepted["from"] = self.log_name  # a successor accepts this owner of an id that is not moved yet
         self._begin_epoch(self.in_flight)
         for record_id in self.in_flight.requests:
             self.store.move_id(bytes_of(record_id), self.log_name)
         for taken_log in self.in_flight.takeovers:
             self.store.inherit_claim(taken_log, self.log_name)
 
-    def renew_lease(self, now: float) -> None:
-        """Renew the lease from now on (Unix seconds)."""
-        self._renewed_at = now
-        self._lease_until = now + self._settings.lease_s
+    def renew_lease(self, now_s: float) -> None:
+        """Renew the lease from `now_s` (Unix seconds)."""
+        self._renewed_at_s = now_s
+        self._lease_until_s = now_s + self._settings.lease_s
         self.store.write_lease(self._lease())
 
     def _lease(self) -> Lease:
-        return Lease(self.name, self.epoch, self._lease_until)
+        return Lease(self.name, self.epoch, self._lease_until_s)
 
     def holds_lease(self) -> bool:
-        """Return whether this process still owns what it has in flight; asked before each send and answer.
+        """Return whether this process still owns its requests in flight; called before each send and answer.
 
-        After a stall longer than the lease it goes on in a new epoch: with all it has in flight, unless another
-        member has claimed that (the claim is the fence); then with nothing, and False is returned.
+        After a stall longer than the lease the process continues in a new epoch.  It claims its own old log, which
+        fences it: if the claim succeeds, it keeps all its requests in flight.  If another member has claimed the log,
+        it drops them, and False is returned.
         """
-        if time.time() < self._lease_until:
+        if time.time() < self._lease_until_s:
             return True
         stalled_log = self._log
         is_owner = self.store.claim_log(self.log_name, f"{self.name} itself")
@@ -186,18 +187,18 @@
     # -- events of the engine (`Engine.journal`) ---------------------------------------------------------------
 
     def record_accepted(self, request: OpenRequest, arrival: Arrival) -> None:
-        """Log a request that the engine takes in; one that is logged was taken over."""
-        wish = request.payload
-        if self.ids.take_charged(wish.id):
+        """Log a request that the engine accepts, unless it was taken over and so is logged already."""
+        translated = request.payload
+        if self.ids.take_charged(translated.id):
             arrival.is_counted = True
-        if text_of(wish.id) in self.in_flight.requests or not self.holds_lease():
+        if text_of(translated.id) in self.in_flight.requests or not self.holds_lease():
             return
         class_name = self._names.classes[arrival.class_id]
         plan_name = self._names.plans[arrival.plan]
-        self.append_record(accepted_record(wish, arrival, class_name, plan_name, time.time()))
+        self.append_record(accepted_record(translated, arrival, class_name, plan_name, time.time()))
 
     def record_sending(self, attempt: Attempt) -> bool:
-        """Log an attempt before it goes out; return whether it may."""
+        """Log an attempt before it is sent; return whether it may be sent."""
         if not self.holds_lease():
             return False
         self.append_record(sent_record(attempt.payload.id, attempt.number, time.time()))
@@ -209,11 +210,11 @@
             self.append_record(not_executed_record(attempt.payload.id, attempt.number))
 
     def record_answer(self, request: OpenRequest, answer: Answer) -> bool:
-        """Log the final answer before the client gets it; return whether it may.
+        """Log the final answer before it is sent to the client; return whether it may be sent.
 
         Args:
-            request: the request.
-            answer: what it is answered.
+            request: The request.
+            answer: Its answer.
         """
         if not self.holds_lease():
             return False
@@ -225,7 +226,7 @@
         return True
 
     def record_disconnect(self, request: OpenRequest) -> None:
-        """Keep that the outcome is unknown where the client has gone and the request must not be executed twice."""
+        """Publish an unknown outcome if the client has disconnected and the request must not be executed twice."""
         request_id = request.payload.id
         if request.request_class.effect != Effect.SAFE and request.attempts_sent and self.holds_lease():
             self.ids.retain(request_id)
@@ -234,13 +235,13 @@
     # -- outcomes ----------------------------------------------------------------------------------------------
 
     def publish(self, request_id: bytes, outcome: Outcome) -> None:
-        """Keep an outcome for the client that comes with that id."""
+        """Keep an outcome for a client that repeats the request with its id."""
         COUNTS["handoff.published"] += 1
         self.store.publish(request_id, outcome)
         self._log_forgotten(request_id)
 
     def forget(self, request_id: bytes) -> None:
-        """Release the id of a request of which nothing is to be kept."""
+        """Release the id of a request without keeping an outcome."""
         self._log_forgotten(request_id)
         self.store.release_id(request_id)
 
@@ -249,7 +250,7 @@
             self.append_record(forgotten_record(request_id), is_deferred=True)
 
     def known_outcome(self, request_id: bytes) -> tuple[int, bytes, bytes] | None:
-        """Return status, body and header lines for a client that comes with an id whose outcome is known."""
+        """Return the status, body and header lines of the outcome kept for an id, or None."""
         outcome = self.store.outcome(request_id)
         if outcome is None or outcome.get("paid"):
             return None
@@ -259,39 +260,39 @@
     # -- several times a second --------------------------------------------------------------------------------
 
     def update(self) -> None:
-        """Do what is due; nothing in a turn in which the lease was lost to another member."""
-        now = time.time()
+        """Do the work that is due, or nothing if the lease was lost to another member."""
+        now_s = time.time()
         if not self.holds_lease():
             return
-        for request_id in self.ids.take_released(now - UPDATE_S):
+        for request_id in self.ids.take_released(now_s - UPDATE_S):
             self.forget(request_id)
         self._log.flush()
         self.adopter.adopt_next(max(1, int(self._settings.pace_per_s * UPDATE_S)))
-        self._sync_log(now)
+        self._sync_log(now_s)
         if self._log.grown_bytes > self._settings.snapshot_kb * BYTES_PER_KB:
             self._log.replace_with_snapshot(self.in_flight.snapshot())
-        if now - self._renewed_at >= self._settings.lease_s / RENEWALS_PER_LEASE:
-            self.renew_lease(now)
-            self.take_over_expired(now)
-            self.store.forget_outcomes(now - self._settings.keep_s)
+        if now_s - self._renewed_at_s >= self._settings.lease_s / RENEWALS_PER_LEASE:
+            self.renew_lease(now_s)
+            self.take_over_expired(now_s)
+            self.store.forget_outcomes(now_s - self._settings.keep_s)
 
-    def _sync_log(self, now: float) -> None:
-        """Have a thread sync the log with the disk, where the settings ask for it and it is time."""
+    def _sync_log(self, now_s: float) -> None:
+        """Sync the log to disk in a thread, every `sync_ms` milliseconds if that setting is not 0."""
         sync_ms = self._settings.sync_ms
-        if sync_ms and now - self._synced_at >= sync_ms / MILLISECONDS:
-            self._synced_at = now
+        if sync_ms and now_s - self._synced_at_s >= sync_ms / MILLISECONDS:
+            self._synced_at_s = now_s
             self._reactor.callInThread(self._log.sync)
 
-    def take_over_expired(self, now: float) -> None:
-        """Take over from the members whose lease has expired and whose successor this one is."""
+    def take_over_expired(self, now_s: float) -> None:
+        """Take over the logs of the members whose lease has expired and whose successor is this member."""
         self._leases.replace_all(self.store.leases())
-        for lease in self._leases.expired(now):
-            if lease.name != self.name and self._leases.successor_of(lease.name, now) == self.name:
+        for lease in self._leases.expired(now_s):
+            if lease.name != self.name and self._leases.successor_of(lease.name, now_s) == self.name:
                 self.adopter.take_over(log_name(lease.name, lease.epoch))
                 self.store.drop_lease(lease)
 
     def close(self) -> None:
-        """End the epoch with the process: with nothing in flight there is nothing to take over."""
+        """End the epoch at shutdown; with nothing in flight, remove the log and the lease: no takeover is needed."""
         for request_id in self.ids.take_all_released():
             self.forget(request_id)
         self._log.flush()
--- a/mapleline/net/handoff_records.py
+++ b/mapleline/net/handoff_records.py
@@ -1,7 +1,7 @@
-"""The records of the write-ahead log and the outcomes in the store, in their JSON forms (pure).
+"""Builds the records of the write-ahead log and the outcomes in the store, as JSON objects (pure).
 
-`mapleline.handoff.in_flight` reads the records; their keys and letters are the form on the disk.  Bytes are kept as
-Latin-1 text, which has a character for each byte.
+`mapleline.handoff.in_flight` reads the records; their keys and letters are the format on disk.  Bytes are stored as
+Latin-1 text, which has one character for each byte.
 """
 
 from __future__ import annotations
@@ -20,40 +20,43 @@
 
 LATIN_1 = "latin-1"
 
-#: The request may have been executed, and must not be twice; or its answer is too long to keep.
+#: The outcome of a request that may have been executed and must not be executed twice, or whose answer is too long to
+#: keep.
 UNKNOWN_OUTCOME: Outcome = {"status": 502, "lines": "X-Outcome: unknown\r\n", "body": ""}
-#: The request was refused; a client that comes again with its id has its units charged already.
+#: The outcome of a refused request: its units have been charged, so a client's retry with the same id is not charged.
 REFUSED_OUTCOME: Outcome = {"paid": True}
 
 
 def text_of(data: bytes) -> str:
-    """Return bytes as the text that stands for them in a record."""
+    """Return the text that represents bytes in a record."""
     return data.decode(LATIN_1)
 
 
 def bytes_of(text: str) -> bytes:
-    """Return the bytes that a record's text stands for."""
+    """Return the bytes that a record's text represents."""
     return text.encode(LATIN_1)
 
 
 def accepted_record(
-    translated: TranslatedRequest, arrival: Arrival, class_name: str, plan_name: str, at: float
+    translated: TranslatedRequest, arrival: Arrival, class_name: str, plan_name: str, accepted_at_s: float
 ) -> Record:
-    """Return all that is needed to send a request; without its body, where that is long or still coming.
+    """Return the record of an accepted request, with all that is needed to send it.
+
+    The body is left out if it is streamed or longer than `MAX_BUFFERED_BODY_BYTES`.
 
     Args:
-        translated: the request as it came.
-        arrival: the same for the decision module.
-        class_name: of its class; numbers may differ between ingresses.
-        plan_name: of its customer's plan.
-        at: when it was accepted, in Unix seconds.
+        translated: The request as received.
+        arrival: The event that describes it to the decision module.
+        class_name: The name of its class; the numbers of classes may differ between ingresses.
+        plan_name: The name of its customer's plan.
+        accepted_at_s: When it was accepted, in Unix seconds.
     """
     request = translated.request
     has_body = not request.is_streamed and len(request.body) <= MAX_BUFFERED_BODY_BYTES
     return {
         "op": Op.ACCEPTED.value,
         "id": text_of(translated.id),
-        "at": at,
+        "at": accepted_at_s,
         "cls": class_name,
         "plan": plan_name,
         "customer": arrival.customer,
@@ -69,9 +72,9 @@
     }
 
 
-def sent_record(request_id: bytes, attempt_number: int, at: float) -> Record:
-    """Return the record of an attempt that goes out, at a time in Unix seconds."""
-    return {"op": Op.SENT.value, "id": text_of(request_id), "n": attempt_number, "at": at}
+def sent_record(request_id: bytes, attempt_number: int, sent_at_s: float) -> Record:
+    """Return the record of an attempt that is about to be sent; `sent_at_s` is in Unix seconds."""
+    return {"op": Op.SENT.value, "id": text_of(request_id), "n": attempt_number, "at": sent_at_s}
 
 
 def not_executed_record(request_id: bytes, attempt_number: int) -> Record:
@@ -79,24 +82,24 @@
     return {"op": Op.NOT_EXECUTED.value, "id": text_of(request_id), "n": attempt_number}
 
 
-def done_record(request_id: bytes, how: str) -> Record:
-    """Return the record of a final answer; `how` is the answerer's method, such as "served"."""
-    return {"op": Op.DONE.value, "id": text_of(request_id), "how": how}
+def done_record(request_id: bytes, answer_kind: str) -> Record:
+    """Return the record of a final answer; `answer_kind` is a value of `AnswerKind`, such as "served"."""
+    return {"op": Op.DONE.value, "id": text_of(request_id), "how": answer_kind}
 
 
 def forgotten_record(request_id: bytes) -> Record:
-    """Return the record of a request of which nothing more can come."""
+    """Return the record of a request that needs no further handling."""
     return {"op": Op.FORGOTTEN.value, "id": text_of(request_id)}
 
 
-def takeover_begun_record(log: str) -> Record:
+def takeover_begun_record(log_name: str) -> Record:
     """Return the record of a takeover that begins."""
-    return {"op": Op.TAKEOVER_BEGUN.value, "log": log}
+    return {"op": Op.TAKEOVER_BEGUN.value, "log": log_name}
 
 
-def takeover_ended_record(log: str) -> Record:
-    """Return the record of a takeover that is over."""
-    return {"op": Op.TAKEOVER_ENDED.value, "log": log}
+def takeover_ended_record(log_name: str) -> Record:
+    """Return the record of a takeover that has ended."""
+    return {"op": Op.TAKEOVER_ENDED.value, "log": log_name}
 
 
 def answer_outcome(answer: Response) -> Outcome:
@@ -107,5 +110,5 @@
 
 
 def logged_outcome(done: Record) -> Outcome:
-    """Return the outcome that the record of a final answer holds: the body alone is logged."""
+    """Return the outcome in the record of a final answer, which has the body but no headers."""
     return {"status": 200, "lines": "", "body": done.get("body", "")}
--- a/mapleline/net/log_adoption.py
+++ b/mapleline/net/log_adoption.py
@@ -1,7 +1,7 @@
-"""Takes over the logs of lost ingresses: reads them, and adopts their requests one by one (a driver).
+"""Takes over the logs of failed ingresses: reads them, and adopts their requests one by one (a driver).
 
-A log is claimed in the store first, so that one ingress adopts it.  Adoption is paced by the caller (`adopt_next`).
-Rules: docs/design/handoff.md.  Log events: `taking over`, `taken over`, `foreign log`.
+A log is claimed in the store first, so that only one ingress adopts it.  The caller of `adopt_next` sets the pace of
+adoption.  The rules are in docs/design/handoff.md.  Log events: `taking over`, `taken over`, `foreign log`.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestNames:
-    """The names of request classes and of plans, by number: records hold names, which all ingresses share."""
+    """The names of request classes and plans, by number; records use names, since numbers differ between ingresses."""
 
     classes: list[str]
     plans: list[str]
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Adoption:
-    """A step of a takeover: a request of a log to adopt; None: the log's end."""
+    """A step of a takeover: adopt a request of a log, or finish the log if `request` is None."""
 
     log_name: str
     request: InFlightRequest | None
 
 
 class TakeoverAnswerer:
-    """Answers a request that was taken over: its client is gone, and the outcome is kept for whoever asks."""
+    """Answers a request that was taken over: its client is disconnected, so the outcome is kept in the store."""
 
     def __init__(self, handoff: Handoff, request_id: bytes) -> None:
         """Publish the outcome of one request."""
@@ -63,38 +63,38 @@
         self._handoff.publish(self._request_id, answer_outcome(response))
 
     def begin_answer(self, response: object, source: object) -> None:
-        """Keep that the outcome is unknown: the request was executed, and its answer is too long to keep."""
+        """Publish an unknown outcome: the request was executed, but its answer is too long to keep."""
         self._handoff.publish(self._request_id, UNKNOWN_OUTCOME)
 
     def part(self, data: bytes) -> None:
-        """Drop a part of a long answer."""
+        """Drop a part of a streamed answer."""
 
     def ended(self, whole: bool) -> None:
-        """Do nothing at the end of a long answer."""
+        """Do nothing at the end of a streamed answer."""
 
     def reject(self, retry_after_ns: int, is_over_quota: bool) -> None:
-        """Keep that it was refused: a client that comes again with the id makes a new attempt, charged already."""
+        """Publish the refusal: a client may repeat the request with its id, and its units are not charged again."""
         COUNTS["handoff.refused"] += 1
         self._handoff.publish(self._request_id, REFUSED_OUTCOME)
 
     def fail(self, is_overdue: bool) -> None:
-        """Keep that the outcome is unknown."""
+        """Publish an unknown outcome."""
         self._handoff.publish(self._request_id, UNKNOWN_OUTCOME)
 
     def drop(self) -> None:
-        """Do nothing: another ingress has taken it over in turn."""
+        """Do nothing: another ingress has taken the request over from this one."""
 
 
 class LogAdopter:
-    """The takeovers of one ingress."""
+    """Carries out the takeovers of one ingress."""
 
     def __init__(self, handoff: Handoff, engine: Engine, names: RequestNames) -> None:
         """Start with nothing to adopt.
 
         Args:
-            handoff: this ingress's log, store and outcomes.
-            engine: sends what is to be sent.
-            names: of the classes and plans that the engine knows.
+            handoff: This ingress's log, store and outcomes.
+            engine: Sends the adopted requests.
+            names: The names of the classes and plans that the engine knows.
         """
         self._handoff = handoff
         self._store = handoff.store
@@ -108,12 +108,12 @@
         return not self._queue
 
     def clear(self) -> None:
-        """Drop what was to be adopted: another ingress has taken it over."""
+        """Drop the requests still to be adopted: another ingress has taken them over."""
         self._queue.clear()
 
     def take_over(self, log_name: str) -> None:
-        """Claim a log and queue what it holds; nothing if another ingress has claimed it."""
-        # Recorded before the claim, so that whoever reads this ingress's log can finish the takeover.
+        """Claim a log and queue its requests, unless another ingress has claimed it."""
+        # Recorded before the claim, so that a successor that reads this ingress's log can finish the takeover.
         self._handoff.append_record(takeover_begun_record(log_name))
         if self._store.claim_log(log_name, self._handoff.log_name):
             self._queue_requests(log_name)
@@ -121,11 +121,11 @@
             self._handoff.append_record(takeover_ended_record(log_name))
 
     def _queue_requests(self, log_name: str) -> None:
-        """Queue the requests of a log, then those of the logs that its owner had not finished to adopt."""
+        """Queue the requests of a log, then those of the logs that its owner had not finished adopting."""
         try:
             table = InFlightTable().replay(self._store.read_log(log_name))
-        except ValueError as error:  # foreign, or a name without an epoch
-            self._give_up_foreign_log(log_name, error)
+        except ValueError as error:  # not a log of ours, or a name without an epoch
+            self._abandon_foreign_log(log_name, error)
             return
         log(
             "taking over",
@@ -137,19 +137,19 @@
         COUNTS["handoff.taken_logs"] += 1
         self._queue.extend(Adoption(log_name, request) for request in table.requests.values())
         self._queue.append(Adoption(log_name, None))
-        for older in table.takeovers:
-            self._continue_takeover(older, log_name)
+        for unfinished_log in table.takeovers:
+            self._continue_takeover(unfinished_log, log_name)
 
-    def _continue_takeover(self, older: str, owner: str) -> None:
-        """Finish a takeover that the owner of a lost log had begun; it may not have come to claim it."""
-        if self._store.claimed_by(older) != owner:
-            self.take_over(older)
+    def _continue_takeover(self, log_name: str, failed_owner: str) -> None:
+        """Finish a takeover that a failed owner had begun; it may have failed before it claimed the log."""
+        if self._store.claimed_by(log_name) != failed_owner:
+            self.take_over(log_name)
             return
-        self._handoff.append_record(takeover_begun_record(older))
-        self._store.inherit_claim(older, self._handoff.log_name)
-        self._queue_requests(older)
+        self._handoff.append_record(takeover_begun_record(log_name))
+        self._store.inherit_claim(log_name, self._handoff.log_name)
+        self._queue_requests(log_name)
 
-    def _give_up_foreign_log(self, log_name: str, error: ValueError) -> None:
+    def _abandon_foreign_log(self, log_name: str, error: ValueError) -> None:
         """Publish unknown outcomes for a log that cannot be read: any of its requests may have been executed."""
         unknown = self._store.publish_for_all_ids(log_name, UNKNOWN_OUTCOME)
         COUNTS["handoff.unknown"] += unknown
@@ -157,7 +157,7 @@
         self._handoff.append_record(takeover_ended_record(log_name))
 
     def adopt_next(self, limit: int) -> None:
-        """Take the next steps of the takeovers, at most `limit`."""
+        """Do the next steps of the takeovers, at most `limit` of them."""
         for _ in range(limit):
             if not self._queue:
                 break
@@ -174,11 +174,11 @@
         log("taken over", log=log_name, by=self._handoff.log_name, orphans=released)
 
     def _adopt(self, log_name: str, request: InFlightRequest) -> None:
-        """Make a request this ingress's own, then do what its record and its class allow."""
+        """Make this ingress the owner of a request, then send, publish or drop it as its record and class allow."""
         record = request.accepted
         request_id = bytes_of(record["id"])
         if self._store.owner_of_id(request_id) not in (log_name, record.get("from", log_name)):
-            return  # answered, or adopted by another
+            return  # it was answered, or another ingress has adopted it
         state = {"out": sorted(request.unresolved), "first": request.first_sent, "from": log_name}
         self._handoff.append_record({**record, **state})
         self._store.move_id(request_id, self._handoff.log_name)
@@ -197,13 +197,13 @@
             self._handoff.publish(request_id, UNKNOWN_OUTCOME)
 
     def _class_of(self, record: Record) -> RequestClass | None:
-        """Return the class of a recorded request; None where this ingress does not know it, or its plan."""
+        """Return the class of a recorded request; None if this ingress does not know its class or its plan."""
         if record["cls"] not in self._names.classes or record["plan"] not in self._names.plans:
             return None
         return self._engine.classes[self._names.classes.index(record["cls"])]
 
     def _publish_done(self, request_id: bytes, request: InFlightRequest) -> None:
-        """Publish the outcome of a request that had its final answer; nothing of one that was never executed."""
+        """Publish the outcome of a request that has its final answer; forget it if it was never executed."""
         done = request.done or {}
         if done.get("how") == "served":
             self._handoff.publish(request_id, logged_outcome(done))
@@ -213,7 +213,7 @@
             self._handoff.forget(request_id)
 
     def _send(self, request_id: bytes, record: Record, request_class: RequestClass) -> None:
-        """Give a request to the engine as if it had come here, with its units charged already."""
+        """Pass a request to the engine like one received here, with its units marked as charged."""
         arrival = Arrival(
             request=0,
             class_id=self._names.classes.index(record["cls"]),
--- a/mapleline/net/zones.py
+++ b/mapleline/net/zones.py
@@ -1,7 +1,7 @@
-"""Reports on zones and their count over the fleet, each period, and probes (a Twisted driver of `mapleline.zones`).
+"""Reports failed zones, counts the fleet's reports each period, and probes zones (a driver of `mapleline.zones`).
 
-Log events: `zone left`, `zone back`, each with the count of reports and of the members alive that decided it.  Rules:
-docs/design/zones.md.
+Log events: `zone left` (ejected) and `zone back` (readmitted), each with the number of reports and of members alive
+that decided it.  The rules are in docs/design/zones.md.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
     from .fleet_member import FleetMember
 
 PROBE_REQUEST = b"GET /health/live HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n"
-PROBE_PERIODS = 2  #: heartbeat periods after which a probe is given up; connecting may take one of them
+PROBE_PERIODS = 2  #: the time limit of a probe in heartbeat periods; connecting may take one of them
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class ZoneServer:
-    """A server on the endpoint list: its number, its zone's number and where it listens."""
+    """A server on the endpoint list: its number, its zone's number and its address."""
 
     number: int
     zone: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentReport:
-    """This member's report that a zone failed in a period."""
+    """A report of this member that a zone failed in a heartbeat period."""
 
     zone: int
     period: int
@@ -49,10 +49,10 @@
 class HealthProbe(Protocol):
     """One health check; any answer shows that the zone can be reached."""
 
-    transport: Any  # Twisted's TCP transport, beyond what ITransport has
+    transport: Any  # Twisted's TCP transport, which has more methods than ITransport
 
     def __init__(self, on_answer: Callable[[], None]) -> None:
-        """Call `on_answer` with the first bytes that come."""
+        """Call `on_answer` when the first bytes arrive."""
         self._on_answer = on_answer
         self._is_answered = False
 
@@ -61,7 +61,7 @@
         self.transport.write(PROBE_REQUEST)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take any bytes for an answer."""
+        """Count any bytes as an answer."""
         if not self._is_answered:
             self._is_answered = True
             self._on_answer()
@@ -69,7 +69,7 @@
 
 
 class HealthProbeFactory(ClientFactory):
-    """Makes the protocol of one probe."""
+    """Creates the protocol of one probe."""
 
     noisy = False
 
@@ -83,7 +83,7 @@
 
 
 class ZoneMonitor:
-    """Reports failed zones to the fleet, and has the engine follow the fleet's decisions."""
+    """Reports failed zones to the fleet, and passes the fleet's decisions to the engine."""
 
     def __init__(
         self,
@@ -94,15 +94,15 @@
         zone_names: list[str],
         servers: Callable[[], list[ZoneServer]],
     ) -> None:
-        """Start with no report.
+        """Start with no reports.
 
         Args:
-            reactor: the event loop.
-            member: this member, whose counter the reports are made on.
-            ejection: the health of the zones.
-            engine: learns of each zone that is ejected or readmitted; its clock is used.
-            zone_names: the zones' names, by number.
-            servers: returns the endpoint list.
+            reactor: The event loop.
+            member: This member; reports are made through its counter client.
+            ejection: The health of the zones.
+            engine: Is notified of each zone that is ejected or readmitted; its clock is used.
+            zone_names: The zones' names, by number.
+            servers: Returns the endpoint list.
         """
         self._reactor = reactor
         self._member = member
@@ -111,11 +111,11 @@
         self._zone_names = zone_names
         self._servers = servers
         self._sent_reports: set[SentReport] = set()
-        self._newest_period = 0  # the period whose predecessor was read last
-        self._probe_turn = member.view.own_index  # members begin their rounds of the servers at different ones
+        self._newest_period = 0  # the reports of the period before it have been read
+        self._probe_turn = member.view.own_index  # so that each member starts its round-robin at another server
 
     def update(self, period: int) -> None:
-        """Report, probe, and once a period read the reports of the period before."""
+        """Send reports and probes, and once a period read the reports of the previous period."""
         now_ns = self._engine.now()
         self._report_failed_zones(period, now_ns)
         for zone in self._ejection.probes(now_ns):
@@ -161,7 +161,7 @@
         self._engine.handle_zone_change(zone, is_ejected)
 
     def _probe(self, zone: int) -> None:
-        """Probe the next server of a zone; nothing where it has none."""
+        """Probe the next server of a zone, if it has any."""
         servers = sorted(server for server in self._servers() if server.zone == zone)
         if not servers:
             return
