--- a/mapleline/faults/fleet/fault_player.py
+++ b/mapleline/faults/fleet/fault_player.py
@@ -17,9 +17,8 @@
 from .record_damage import damage_newest_record
 
 PRECONDITION_INTERVAL_S = 0.02
-PRECONDITION_CHECKS = (
-    2  # consecutive checks; answers that waited unread while this process wasn't scheduled are read between them
-)
+#: Consecutive checks that must succeed; between them this process reads answers that arrived while it was not running.
+PRECONDITION_CHECKS = 2
 
 
 class FaultPlayer:
@@ -120,9 +119,8 @@
     def _begin_leave(self, fault: ScheduledFault) -> None:
         process = self._process(fault)
         process.is_end_expected = True
-        self._parties.members.discard(
-            process.name
-        )  # it answers readiness probes with 503 at once, so the load must go elsewhere
+        # The ingress answers readiness probes with 503 at once, so the load must go elsewhere.
+        self._parties.members.discard(process.name)
         process.signal(signal.SIGTERM)
 
     def _begin_clock(self, fault: ScheduledFault) -> None:
