--- a/mapleline/balancer/control/api.py
+++ b/mapleline/balancer/control/api.py
@@ -213,7 +213,7 @@
         context = self._context
         replicas = [
             member.ip
-            for member in context.membership.alive(context.now(), MemberFlags.CAN_PROPOSE)
+            for member in context.membership.live_members(context.now(), MemberFlags.CAN_PROPOSE)
             if member.ip != context.local_ip
         ]
         control_addr = context.settings.listen_addresses.control_addr
--- a/mapleline/balancer/control/bootstrap_policy.py
+++ b/mapleline/balancer/control/bootstrap_policy.py
@@ -39,7 +39,7 @@
         """
         local_ip = self._context.local_ip
         settings = self._context.settings
-        members = self._context.membership.alive(now, MemberFlags.HAS_DISK)
+        members = self._context.membership.live_members(now, MemberFlags.HAS_DISK)
         if len(members) != self._disk_count:
             self._disk_count = len(members)
             self._disk_count_since = now
@@ -58,7 +58,7 @@
     def initial_voters(self, now: float) -> list[Replica]:
         """Return the voters of the first state."""
         voters = []
-        for member in self._context.membership.alive(now, MemberFlags.HAS_DISK):
+        for member in self._context.membership.live_members(now, MemberFlags.HAS_DISK):
             if member.ip == self._context.local_ip:
                 voters.append(Replica(member.ip, self._replica.disk_id, member.zone))
             elif member.ip in self._reports:
--- a/mapleline/balancer/control/control_plane.py
+++ b/mapleline/balancer/control/control_plane.py
@@ -126,7 +126,7 @@
 
     def remove_replica(self, ip: int, timeout_s: float) -> Deferred[CommandResult]:
         """Remove a replica whose machine is permanently lost; refused while the machine is alive."""
-        alive_ips = {member.ip for member in self.context.membership.alive(self.context.now())}
+        alive_ips = {member.ip for member in self.context.membership.live_members(self.context.now())}
         if ip in self.committed.voter_ips() and ip in alive_ips:
             return succeed(CommandResult(CommandStatus.CONFLICT, "it is there: stop it first"))
         return self.submit_command(RemoveReplica(ip), None, timeout_s)
--- a/mapleline/balancer/control/lease_prober.py
+++ b/mapleline/balancer/control/lease_prober.py
@@ -170,11 +170,11 @@
         membership = self._context.membership
         targets = set(self._committed.voter_ips())
         if self._replica.store is not None or not targets:
-            targets |= {member.ip for member in membership.alive(now, MemberFlags.HAS_DISK)}
+            targets |= {member.ip for member in membership.live_members(now, MemberFlags.HAS_DISK)}
         if self._is_stale(now):
             relays = [
                 member.ip
-                for member in membership.alive(now)
+                for member in membership.live_members(now)
                 if not member.has_disk and member.ip != self._context.local_ip
             ]
             targets |= set(self._context.rng.sample(relays, min(MAX_RELAYS, len(relays))))
--- a/mapleline/balancer/control/replica_monitor.py
+++ b/mapleline/balancer/control/replica_monitor.py
@@ -90,7 +90,7 @@
         voters = set(self._committed.voter_ips())
         eligible = [
             member
-            for member in self._context.membership.alive(now, MemberFlags.HAS_DISK)
+            for member in self._context.membership.live_members(now, MemberFlags.HAS_DISK)
             if member.ip in voters and self._is_eligible(member)
         ]
         not_leaving = [member for member in eligible if not member.is_leaving]
@@ -120,7 +120,7 @@
         voters = {(voter.ip, voter.disk_id) for voter in state.voters}
         learners = {
             member.ip
-            for member in self._context.membership.alive(now, MemberFlags.HAS_DISK)
+            for member in self._context.membership.live_members(now, MemberFlags.HAS_DISK)
             if member.ip != self._context.local_ip
             and not member.is_leaving
             and (member.ip, self._report(member.ip).disk_id) not in voters
@@ -138,7 +138,7 @@
         if not self.is_coordinator(now) or now - self.current_as_of() > MAX_REPORT_AGE_S:
             return None
         voters = {voter.ip: voter for voter in state.voters}
-        ips = voters.keys() | {member.ip for member in self._context.membership.alive(now, MemberFlags.HAS_DISK)}
+        ips = voters.keys() | {member.ip for member in self._context.membership.live_members(now, MemberFlags.HAS_DISK)}
         statuses = [self._status(ip, voters.get(ip), state, now) for ip in sorted(ips)]
         return next_voters(state, statuses, self.tolerance, self._lost_after_s)
 
@@ -204,7 +204,7 @@
         """Return each replica's role and progress, as shown by `GET /status`."""
         now = self._context.now()
         state = self._committed.state
-        alive = {member.ip: member for member in self._context.membership.alive(now, MemberFlags.HAS_DISK)}
+        alive = {member.ip: member for member in self._context.membership.live_members(now, MemberFlags.HAS_DISK)}
         voters = {voter.ip: voter for voter in (state.all_voters() if state is not None else ())}
         return [self._status_row(ip, voters.get(ip), alive.get(ip)) for ip in sorted(voters.keys() | alive.keys())]
 
--- a/mapleline/balancer/control/state_fetcher.py
+++ b/mapleline/balancer/control/state_fetcher.py
@@ -122,7 +122,7 @@
         return FetchedState(state, body, endpoints.body, endpoints.age_ms)
 
     def _has_other_replica(self, now: float) -> bool:
-        replicas = self._context.membership.alive(now, MemberFlags.HAS_DISK)
+        replicas = self._context.membership.live_members(now, MemberFlags.HAS_DISK)
         return any(member.ip != self._context.local_ip for member in replicas)
 
     def _send_fetch(self, ip: int, wants_state: bool, wants_endpoints: bool) -> Deferred[Reply]:
--- a/mapleline/balancer/discovery/directory.py
+++ b/mapleline/balancer/discovery/directory.py
@@ -72,7 +72,7 @@
         client_conn.reply(200, self._encode_answer(found, port), JSON_HEADER)
 
     def _ready_members(self) -> list[Member]:
-        ready = self.membership.alive(self.clock.seconds(), MemberFlags.READY)
+        ready = self.membership.live_members(self.clock.seconds(), MemberFlags.READY)
         return [member for member in ready if not member.is_leaving]
 
     def _nearest(self, members: list[Member], zone: str, region: str) -> list[Member]:
--- a/mapleline/balancer/discovery/endpoint_poller.py
+++ b/mapleline/balancer/discovery/endpoint_poller.py
@@ -89,7 +89,7 @@
         return now - self._context.started_at
 
     def _candidates(self, now: float) -> list[Member]:
-        return [member for member in self._context.membership.alive(now) if not member.is_leaving]
+        return [member for member in self._context.membership.live_members(now) if not member.is_leaving]
 
     def _is_leader_missing(self, now: float) -> bool:
         return self._leadership.leader_ip not in {member.ip for member in self._candidates(now)}
--- a/mapleline/balancer/heartbeats.py
+++ b/mapleline/balancer/heartbeats.py
@@ -75,7 +75,7 @@
         now = self._context.now()
         self._sequence += 1
         self.refresh_own_row(now)
-        live_count = len(self._membership.alive(now))
+        live_count = len(self._membership.live_members(now))
         heartbeat = self.make_heartbeat()
         is_remote_due = self._sequence % HEARTBEATS_PER_REMOTE_ONE == 0
         for ip in self._membership.heartbeat_targets(now, self._local_zones, self._sequence, is_remote_due):
@@ -100,7 +100,7 @@
         now = self._context.now()
         self.refresh_own_row(now)
         heartbeat = self.make_heartbeat()
-        for member in self._membership.alive(now):
+        for member in self._membership.live_members(now):
             if member.ip != self._membership.local_member.ip:
                 self._context.send(member.ip, heartbeat)
 
@@ -110,9 +110,9 @@
         Each node is assigned to its nearest replica, so that it fetches the state over a short link.
         """
         now = self._context.now()
-        replicas = self._membership.alive(now, MemberFlags.HAS_DISK)
+        replicas = self._membership.live_members(now, MemberFlags.HAS_DISK)
         heartbeat = self.make_heartbeat()
-        for member in self._membership.alive(now):
+        for member in self._membership.live_members(now):
             if not member.has_disk and self._nearest_replica(member, replicas) == self._membership.local_member.ip:
                 self._context.send(member.ip, heartbeat)
 
--- a/mapleline/balancer/load_reporter.py
+++ b/mapleline/balancer/load_reporter.py
@@ -33,6 +33,6 @@
             return
         report = LoadReport(load.in_flight, load.failure_tenths, self._fence.next_sequence())
         membership = self._context.membership
-        for member in membership.alive(self._context.now()):
+        for member in membership.live_members(self._context.now()):
             if member.ip != membership.local_member.ip and self._topology.is_local(member):
                 self._context.send(member.ip, report)
--- a/mapleline/balancer/membership/table.py
+++ b/mapleline/balancer/membership/table.py
@@ -173,7 +173,7 @@
 
     # -- queries -------------------------------------------------------------------------------------------
 
-    def alive(self, now: float, flags: int = 0) -> list[Member]:
+    def live_members(self, now: float, flags: int = 0) -> list[Member]:
         """Return the live members that have all of these flags; this ingress may be one of them."""
         required = int(flags)
         timeout_s = self.failure_timeout_s
@@ -199,14 +199,14 @@
             for member in self.members.values()
             if now - member.last_heartbeat <= FORGET_AFTER_S and not member.is_leaving
         )
-        live = max(1, len(self.alive(now)))  # after a freeze not even the own heartbeat is fresh
+        live = max(1, len(self.live_members(now)))  # after a freeze not even the own heartbeat is fresh
         return known / live if 2 * live <= known else 1.0
 
     def heartbeat_targets(
         self, now: float, region_zones: set[int], heartbeat_number: int, include_other_regions: bool
     ) -> list[int]:
         """Return the addresses of this heartbeat's recipients (`heartbeat_ring`); zones are given by their index."""
-        live = self.alive(now)
+        live = self.live_members(now)
         region = [member for member in live if member.zone in region_zones]
         elsewhere = []
         if include_other_regions:
--- a/mapleline/balancer/node.py
+++ b/mapleline/balancer/node.py
@@ -285,7 +285,7 @@
             "node": self.settings.node_name,
             "ready": self.is_ready(),
             "formed": is_formed,
-            "ingresses": len(self.membership.alive(self.context.now())),
+            "ingresses": len(self.membership.live_members(self.context.now())),
             "servers": len(self.endpoints.instances),
             "list": {"holder": ip_from_int(self.leadership.leader_ip), "term": self.leadership.term},
             "counts": self.proxy.counters,
--- a/mapleline/balancer/proxy/slow_start.py
+++ b/mapleline/balancer/proxy/slow_start.py
@@ -112,7 +112,7 @@
 
     def _ready_nodes(self, now: float) -> tuple[dict[str, list[int]], list[int]]:
         """Return the addresses of the ready nodes, first by zone and then of all zones."""
-        members = self._membership.alive(now, MemberFlags.READY)
+        members = self._membership.live_members(now, MemberFlags.READY)
         ips_by_zone = {
             zone: [member.ip for member in members if member.zone == index]
             for index, zone in enumerate(sorted(self._settings.zones))
--- a/mapleline/balancer/quota/client.py
+++ b/mapleline/balancer/quota/client.py
@@ -47,14 +47,14 @@
     """A consultation that has not been answered yet.
 
     Attributes:
-        ask: The request to decide on, with its callback.
+        request: The request to decide on, with its callback.
         increment: The message that replicas are sent.
         replicas: The addresses of the tenant's replicas, the nearest first.
         asked: The replicas that were sent the increment.
         timers: The timers of the hedge and of the timeout.
     """
 
-    ask: QuotaConsultation
+    request: QuotaConsultation
     increment: CounterIncrement
     replicas: list[int]
     asked: set[int] = field(default_factory=set)
@@ -111,18 +111,19 @@
         self.log = ConsultationLog()
         self.replica.start()
 
-    def consult(self, ask: QuotaConsultation) -> None:
+    def consult(self, request: QuotaConsultation) -> None:
         """Begin a consultation for one request.
 
-        `ask.on_answer` is called exactly once, possibly before this method returns; it is called with None on failure.
+        `request.on_answer` is called exactly once, possibly before this method returns; it is called with None on
+        failure.
         """
-        home_regions = tuple(sorted(ask.home_regions))
-        replicas = self.placement.replicas_of(ask.tenant_limit.name, home_regions)
+        home_regions = tuple(sorted(request.home_regions))
+        replicas = self.placement.replicas_of(request.tenant_limit.name, home_regions)
         replicas.sort(key=self.placement.distance)
         if not replicas:
-            ask.on_answer(None)
+            request.on_answer(None)
             return
-        consultation = self._new_consultation(ask, home_regions, replicas)
+        consultation = self._new_consultation(request, home_regions, replicas)
         nonce = consultation.increment.nonce
         self.pending[nonce] = consultation
         self._send_increment(consultation, replicas[0])
@@ -151,9 +152,9 @@
             self._send_datagram(ip, message)
 
     def _new_consultation(
-        self, ask: QuotaConsultation, home_regions: tuple[str, ...], replicas: list[int]
+        self, request: QuotaConsultation, home_regions: tuple[str, ...], replicas: list[int]
     ) -> PendingConsultation:
-        tenant_limit = ask.tenant_limit
+        tenant_limit = request.tenant_limit
         self.nonce = (self.nonce + 1) & NONCE_MASK
         increment = CounterIncrement(
             nonce=self.nonce,
@@ -164,7 +165,7 @@
             window_limit=tenant_limit.limit,
             window_slots=tenant_limit.window_slots,
         )
-        return PendingConsultation(ask, increment, replicas)
+        return PendingConsultation(request, increment, replicas)
 
     def _send_increment(self, consultation: PendingConsultation, ip: int) -> None:
         consultation.asked.add(ip)
@@ -196,7 +197,7 @@
         self.placement.suspects.record_answer(ip)
         consultation = self.pending.get(value.nonce)
         if consultation is not None and ip in consultation.asked:
-            self._complete(consultation, self._usage(consultation.ask.tenant_limit, value), ip)
+            self._complete(consultation, self._usage(consultation.request.tenant_limit, value), ip)
 
     def _usage(self, tenant_limit: TenantLimit, value: CounterValue) -> WindowUsage:
         """Return a tenant's usage according to a replica's answer."""
@@ -220,7 +221,7 @@
         for timer in consultation.timers:
             if timer.active():
                 timer.cancel()
-        is_admitted = consultation.ask.on_answer(usage)
+        is_admitted = consultation.request.on_answer(usage)
         self._log_outcome(consultation, usage, is_admitted)
         counting_replicas = {answered_by} if is_admitted else set()
         if consultation.asked <= counting_replicas:
@@ -236,4 +237,6 @@
         outcome = ConsultationOutcome.ADMITTED if is_admitted else ConsultationOutcome.REJECTED
         if usage is None:
             outcome = ConsultationOutcome.UNANSWERED
-        self.log.record(consultation.ask.tenant_limit, consultation.increment.sender_slot, consultation.asked, outcome)
+        self.log.record(
+            consultation.request.tenant_limit, consultation.increment.sender_slot, consultation.asked, outcome
+        )
--- a/mapleline/balancer/quota/placement.py
+++ b/mapleline/balancer/quota/placement.py
@@ -251,7 +251,7 @@
         self._refreshed_at, self._suspicion_changes_seen = now, self.suspects.changes
         alive = tuple(
             Candidate(member.ip, member.zone, self._region(member.zone), member.has_disk)
-            for member in self.membership.alive(now)
+            for member in self.membership.live_members(now)
             if not member.is_leaving
         )
         views = self._views_with_suspects
--- a/mapleline/cli/commands.py
+++ b/mapleline/cli/commands.py
@@ -60,7 +60,7 @@
 
     if config is not None:
         os.environ["EDGE_CONFIG"] = str(config)
-    program_settings = own.Own()
+    program_settings = own.ProgramSettings()
     if settings is not None:
         try:
             program_settings, faults = own.load(str(settings))
--- a/mapleline/cores/server_list_publisher.py
+++ b/mapleline/cores/server_list_publisher.py
@@ -106,7 +106,7 @@
     def _entry(self, server: Server) -> ServerEntry:
         host, port = "", 0
         if server.state != ServerState.GONE:
-            host, port = self._directory.places[server.server].address
+            host, port = self._directory.processes[server.server].address
         return ServerEntry(
             number=server.server,
             state=server.state,
--- a/mapleline/cores/supervisor.py
+++ b/mapleline/cores/supervisor.py
@@ -46,7 +46,7 @@
 if TYPE_CHECKING:
     from twisted.python.failure import Failure
 
-    from ..settings.own import Cores, Own
+    from ..settings.own import Cores, ProgramSettings
     from .reactor import Reactor
 
 NS_PER_MS = 1_000_000
@@ -88,7 +88,9 @@
     A worker that exits is restarted with an exponential backoff; see `RestartPolicy`.
     """
 
-    def __init__(self, reactor: Reactor, config: Config, raw_config: object, own: Own, workers: int) -> None:
+    def __init__(
+        self, reactor: Reactor, config: Config, raw_config: object, own: ProgramSettings, workers: int
+    ) -> None:
         """Create the shared memory and the components.
 
         Args:
@@ -355,7 +357,7 @@
                 self._reactor.stop()
 
 
-def main(own: Own, workers: int) -> int:
+def main(own: ProgramSettings, workers: int) -> int:
     """Serve with several workers; returns the exit code."""
     block_reload_signal()
     try:
--- a/mapleline/cores/worker.py
+++ b/mapleline/cores/worker.py
@@ -19,7 +19,7 @@
 from ..ingress import SHUTDOWN_DELAY_S, Ingress, freeze_gc, observe_twisted_failures
 from ..lifecycle import Phase
 from ..net.reactor import install
-from ..net.upstream import Place
+from ..net.upstream import ServerProcess
 from ..policy import interface
 from ..policy.brain import Brain
 from ..settings.platform import read_config
@@ -162,7 +162,7 @@
 
     def _handle_server_list(self, update: ServerListUpdate) -> None:
         if update.is_complete:
-            self.directory.places = {}
+            self.directory.processes = {}
         servers = [self._apply_server(entry) for entry in update.servers]
         self.apply_server_list(interface.ServerNews(_kind_of_update(update), servers))
         self._channel.send(AcknowledgeServerList(update.revision))
@@ -170,9 +170,9 @@
     def _apply_server(self, entry: ServerEntry) -> interface.Server:
         """Update the server's address; returns the entry in the form of the decision module."""
         if entry.state == interface.ServerState.GONE:
-            self.directory.places.pop(entry.number, None)
+            self.directory.processes.pop(entry.number, None)
         else:
-            self.directory.places[entry.number] = Place((entry.host, entry.port), entry.started_ns)
+            self.directory.processes[entry.number] = ServerProcess((entry.host, entry.port), entry.started_ns)
         return interface.Server(
             entry.number, entry.state, entry.started_ns, entry.weight, entry.kind, entry.zone, entry.cell
         )
--- a/mapleline/faults/fleet/ingress_files.py
+++ b/mapleline/faults/fleet/ingress_files.py
@@ -15,7 +15,7 @@
 class IngressFiles:
     """Writes the files of a fleet's ingresses, beside their logs."""
 
-    def __init__(self, directory: Path, program_settings: own.Own) -> None:
+    def __init__(self, directory: Path, program_settings: own.ProgramSettings) -> None:
         """Initialise with the schedule's `program_settings`, which apply to every ingress."""
         self._directory = directory
         self._program_settings = program_settings
--- a/mapleline/faults/schedule.py
+++ b/mapleline/faults/schedule.py
@@ -107,7 +107,7 @@
 
     fleet: FleetSettings
     faults: tuple[ScheduledFault, ...] = field(default_factory=tuple)
-    program_settings: own.Own = field(default_factory=own.Own)
+    program_settings: own.ProgramSettings = field(default_factory=own.ProgramSettings)
 
     def targets(self) -> list[str]:
         """Return the name of every process and link that the fleet has."""
--- a/mapleline/faults/schedule_file.py
+++ b/mapleline/faults/schedule_file.py
@@ -47,8 +47,7 @@
 from dataclasses import dataclass, replace
 
 from ..settings import own, schema
-from ..settings.hcl import Block, Value, parse
-from ..settings.hcl import Fault as SettingsError
+from ..settings.hcl import Block, SettingsError, Value, parse
 from .modes import ProcessMode
 from .schedule import FleetSettings, Schedule, ScheduledFault
 
@@ -90,7 +89,7 @@
         else:
             reason = f'expected `fleet {{ }}`, `fault "NAME" {{ }}` or one of {", ".join(own.BLOCKS)}'
             errors.append(SettingsError(block.line, block.key, reason))
-    program_settings, program_errors = own.of(program_blocks)
+    program_settings, program_errors = own.settings_of_blocks(program_blocks)
     errors += program_errors
     schedule = Schedule(fleet, program_settings=program_settings)
     errors += _check_faults(fault_blocks, set(schedule.targets()))
--- a/mapleline/ingress.py
+++ b/mapleline/ingress.py
@@ -33,7 +33,7 @@
 
 if TYPE_CHECKING:
     from .net.fleet_member import FleetMember
-    from .settings.own import Own
+    from .settings.own import ProgramSettings
 
 SHUTDOWN_DELAY_S = 0.75  # after SIGTERM, clients still connect and are served
 PARTIAL_REQUEST_TIMEOUT_S = 2.0  # after that delay, for requests partly received
@@ -89,7 +89,7 @@
         brain: Brain | None = None,
         clock_start_ns: int | None = None,
         counter_connections: int = CONNECTIONS,
-        own: Own | None = None,
+        own: ProgramSettings | None = None,
         settings_file: str | None = None,
     ) -> None:
         """Build the components.
@@ -168,7 +168,7 @@
         The addresses go first, because the decision module may send as soon as it has the update.
         """
         COUNTS["discovery.lines"] += len(update.servers)
-        self.upstreams.update(self.directory.places)
+        self.upstreams.update(self.directory.processes)
         for server in update.servers:
             if server.state == interface.ServerState.DRAINING:  # it gets no new requests
                 self.upstreams.close_idle(server.server)
@@ -228,7 +228,7 @@
         ports = {"listen": self.client_listener.port, "management": self.management.port}
         bound = {key: port.getHost() for key, port in ports.items() if port is not None}
         addresses = {key: f"{at.host}:{at.port}" for key, at in bound.items()}
-        log("serving", name=self.config.name, servers=len(self.directory.places), **addresses)
+        log("serving", name=self.config.name, servers=len(self.directory.processes), **addresses)
 
     def _listen(self, key: str, address: Address, factory: Any, port_class: type[Port] = Port) -> Port:
         host, number = address
@@ -274,7 +274,7 @@
             in_use = self.own_descriptors + len(self.client_listener.streams) + self.upstreams.connection_count
             others = [total - reserve if claim is None else claim for claim in self.slots.others()]
             is_leaving = self.lifecycle.phase is Phase.SHUTTING_DOWN
-            use = DescriptorUse(total, reserve, in_use, self.slots.is_elder, is_leaving)
+            use = DescriptorUse(total, reserve, in_use, self.slots.is_oldest, is_leaving)
             claimed = descriptor_claim(use, others)
             try:
                 self.slots.publish(claimed)
@@ -401,7 +401,7 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
 
 
-def main(own: Own | None = None, settings_file: str | None = None) -> int:
+def main(own: ProgramSettings | None = None, settings_file: str | None = None) -> int:
     """Read `EDGE_CONFIG` and serve in one process.
 
     Args:
--- a/mapleline/net/discovery.py
+++ b/mapleline/net/discovery.py
@@ -20,7 +20,7 @@
 from .backoff import Backoff
 from .dial import dial
 from .streams import Stream
-from .upstream import Place
+from .upstream import ServerProcess
 
 WATCH_TIMEOUT_MS = 20_000  # the agent answers a watch after this time at the latest
 CONNECT_TIMEOUT_S = 1.0
@@ -40,9 +40,9 @@
     """The server list as last received.
 
     Attributes:
-        places: the address and start time of each server's process, by the server's number.
+        processes: the address and start time of each server's process, by the server's number.
         zones: the zone of each server, by number.
-        ids: the CRC-32 of each server's uid, by number; the same on every ingress, unlike the number.
+        uid_hashes: the CRC-32 of each server's uid, by number; the same on every ingress, unlike the number.
         rev: the list's revision.
     """
 
@@ -52,9 +52,9 @@
         self._kinds = {name: number for number, name in enumerate(kinds)}
         self._numbers: dict[str, int] = {}
         self._last_number = 0
-        self.places: dict[int, Place] = {}
+        self.processes: dict[int, ServerProcess] = {}
         self.zones: dict[int, int] = {}
-        self.ids: dict[int, int] = {}
+        self.uid_hashes: dict[int, int] = {}
         self.rev = 0
 
     def read(self, raw: object, cached: bool = False) -> interface.ServerNews:
@@ -78,13 +78,13 @@
         servers = [server for entry in raw["targets"] if (server := self._read_entry(entry)) is not None]
         if is_complete:
             listed = {server.server for server in servers}
-            self.places = {number: place for number, place in self.places.items() if number in listed}
+            self.processes = {number: place for number, place in self.processes.items() if number in listed}
         for server in servers:
             if server.state == interface.ServerState.GONE:
-                self.places.pop(server.server, None)
-        self._numbers = {uid: number for uid, number in self._numbers.items() if number in self.places}
-        for table in (self.zones, self.ids):
-            for number in table.keys() - self.places.keys():
+                self.processes.pop(server.server, None)
+        self._numbers = {uid: number for uid, number in self._numbers.items() if number in self.processes}
+        for table in (self.zones, self.uid_hashes):
+            for number in table.keys() - self.processes.keys():
                 del table[number]
         self.rev = revision
         kind = interface.News.CACHED if cached else interface.News.FULL if is_complete else interface.News.CHANGES
@@ -107,8 +107,8 @@
             self._last_number += 1
             self._numbers[uid] = self._last_number
         number = self._numbers[uid]
-        self.places[number] = Place(address, started_ns)
-        self.zones[number], self.ids[number] = zone, crc32(uid.encode())
+        self.processes[number] = ServerProcess(address, started_ns)
+        self.zones[number], self.uid_hashes[number] = zone, crc32(uid.encode())
         return interface.Server(number, state, started_ns, weight, kind, zone, cell)
 
 
@@ -117,29 +117,29 @@
 
     def __init__(self, pool: BufferPool) -> None:
         """Start without calls; answers are read into buffers of `pool`."""
-        self.machine = ClientConnection(pool)
+        self.http1 = ClientConnection(pool)
 
     def call(self, target: bytes, host_line: bytes, method: bytes = b"GET") -> Deferred[Response]:
         """Send a request; returns a Deferred that fires with the response, or fails with the reason of the close."""
         result: Deferred[Response] = Deferred()
-        self.machine.add_request(result)
+        self.http1.add_request(result)
         self.send(write_request(method, target, host_line))
         return result
 
     def dataReceived(self, data: bytes) -> None:
         """Take bytes, and report the responses among them."""
-        for result, response in self.machine.receive(data):
+        for result, response in self.http1.receive(data):
             result.callback(response)
-        if self.machine.protocol_error:
+        if self.http1.protocol_error:
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure) -> None:
         """Report the calls without a response."""
         super().connectionLost(reason)
-        for result, response in self.machine.on_closed(reason.check(ConnectionDone) is not None):
+        for result, response in self.http1.on_closed(reason.check(ConnectionDone) is not None):
             result.callback(response)
-        while self.machine.pending:
-            self.machine.pending.popleft().errback(reason)
+        while self.http1.pending:
+            self.http1.pending.popleft().errback(reason)
 
 
 def backoff(start: interface.Start) -> Backoff:
@@ -238,7 +238,7 @@
 
     @inlineCallbacks
     def _request_list(self):  # type: ignore[no-untyped-def]
-        if self.stream is None or not self.stream.connected or not self.stream.machine.reusable:
+        if self.stream is None or not self.stream.connected or not self.stream.http1.reusable:
             self.stream = yield dial(self.reactor, self.address, partial(AgentStream, self.buffers), CONNECT_TIMEOUT_S)
         target, timeout_s = b"/registry/instances", FULL_LIST_TIMEOUT_S
         if not self.needs_full_list:
--- a/mapleline/net/fleet.py
+++ b/mapleline/net/fleet.py
@@ -9,11 +9,11 @@
 
 if TYPE_CHECKING:
     from ..ingress import Ingress
-    from ..settings.own import Own
+    from ..settings.own import ProgramSettings
     from ..zones import ZoneEjection
 
 
-def join_fleet(ingress: Ingress, own: Own) -> FleetMember | None:
+def join_fleet(ingress: Ingress, own: ProgramSettings) -> FleetMember | None:
     """Start the enabled features: handoff, budgets and the monitoring of zones.
 
     Returns:
@@ -27,7 +27,7 @@
     return _start_member(ingress, own) if own.budgets.enabled else None
 
 
-def _start_handoff(ingress: Ingress, own: Own) -> None:
+def _start_handoff(ingress: Ingress, own: ProgramSettings) -> None:
     """Log the engine's requests, and take over those of failed ingresses."""
     from ..handoff.store import MEMBER_NAME
     from .handoff import Handoff
@@ -47,13 +47,13 @@
     ingress.reactor.callWhenRunning(handoff.start)
 
 
-def _start_member(ingress: Ingress, own: Own) -> FleetMember:
+def _start_member(ingress: Ingress, own: ProgramSettings) -> FleetMember:
     """Start heartbeats and budget claims, and the fleet-wide ejection of zones if that is enabled."""
     start = ingress.config.start
     spill_share = own.zones.spill_share if own.zones.enabled else 0.0
     position = RosterPosition(start.ingress, start.ingresses)
     member = FleetMember(ingress.reactor, own.budgets, ingress.buffers, ingress.config.counter, position, spill_share)
-    member.shares.server_ids = ingress.directory.ids
+    member.shares.server_ids = ingress.directory.uid_hashes
     ejection: ZoneEjection | None = None
     tiers: list[frozenset[int]] = []
     if own.zones.enabled and start.zones > 1:
@@ -64,7 +64,7 @@
     return member
 
 
-def _read_tiers(ingress: Ingress, own: Own) -> list[frozenset[int]]:
+def _read_tiers(ingress: Ingress, own: ProgramSettings) -> list[frozenset[int]]:
     from ..zones import TierError, read_tiers
 
     try:
@@ -73,7 +73,7 @@
         raise ConfigError(f"zones.tiers: {error}") from None
 
 
-def _start_zone_monitor(ingress: Ingress, own: Own, member: FleetMember) -> ZoneEjection:
+def _start_zone_monitor(ingress: Ingress, own: ProgramSettings, member: FleetMember) -> ZoneEjection:
     from ..zones import ZoneEjection
     from .zones import ZoneMonitor, ZoneServer
 
@@ -81,7 +81,9 @@
 
     def servers() -> list[ZoneServer]:
         zones = directory.zones
-        return [ZoneServer(number, zones.get(number, 0), place.address) for number, place in directory.places.items()]
+        return [
+            ZoneServer(number, zones.get(number, 0), place.address) for number, place in directory.processes.items()
+        ]
 
     ejection = ZoneEjection(ingress.config.start.zones, own.zones, member.settings.beat_s)
     names = ingress.config.zone_names
--- a/mapleline/net/fleet_counter.py
+++ b/mapleline/net/fleet_counter.py
@@ -137,7 +137,7 @@
     def _send(self, call: _PendingCall) -> None:
         """Send a call on the open connection, or connect first; calls made meanwhile wait for the connection."""
         connection = self._connection
-        if connection is not None and connection.connected and connection.machine.reusable:
+        if connection is not None and connection.connected and connection.http1.reusable:
             call.send(connection)
             return
         self._waiting.append(call)
--- a/mapleline/net/upstream.py
+++ b/mapleline/net/upstream.py
@@ -214,7 +214,7 @@
             self.server.pool.engine.handle_attempt_end(attempt, result)
 
 
-class Place(NamedTuple):
+class ServerProcess(NamedTuple):
     """The address of an agenda server's process, and the time of its start, which tells processes apart."""
 
     address: Address
@@ -233,7 +233,7 @@
         is_retired: whether the process left the list, restarted or moved.
     """
 
-    def __init__(self, pool: UpstreamPool, number: int, place: Place) -> None:
+    def __init__(self, pool: UpstreamPool, number: int, place: ServerProcess) -> None:
         """Start without connections."""
         address = place.address
         self.pool, self.number, self.place = pool, number, place
@@ -358,15 +358,15 @@
         self.is_vetoed: Callable[[int], object] = lambda server: False
         reactor.callLater(SWEEP_INTERVAL_S, self._sweep)
 
-    def update(self, places: dict[int, Place]) -> None:
+    def update(self, processes: dict[int, ServerProcess]) -> None:
         """Apply a changed list; a server no longer on it finishes its attempts and loses its idle connections."""
-        for number, place in places.items():
+        for number, place in processes.items():
             server = self.servers.get(number)
             if server is None or server.place != place:
                 if server is not None:
                     server.retire()
                 self.servers[number] = UpstreamServer(self, number, place)
-        for number in [number for number in self.servers if number not in places]:
+        for number in [number for number in self.servers if number not in processes]:
             self.servers.pop(number).retire()
 
     def send(self, attempt: Attempt, timeout_ns: int) -> None:
--- a/mapleline/net/zones.py
+++ b/mapleline/net/zones.py
@@ -167,9 +167,9 @@
             return
         self._probe_turn += 1
         host, port = servers[self._probe_turn % len(servers)].address
-        factory = HealthProbeFactory(lambda: self._ejection.ended(zone, Result.OK, self._engine.now()))
+        factory = HealthProbeFactory(lambda: self._ejection.record_end(zone, Result.OK, self._engine.now()))
         COUNTS["zones.probes"] += 1
-        self._ejection.sent(zone, self._engine.now())
+        self._ejection.record_sent(zone, self._engine.now())
         period_s = self._member.settings.beat_s
         connector = self._reactor.connectTCP(host, port, factory, timeout=period_s)
         self._reactor.callLater(PROBE_PERIODS * period_s, connector.disconnect)
--- a/mapleline/policy/health.py
+++ b/mapleline/policy/health.py
@@ -50,7 +50,7 @@
     def learn(self, event: api.Outcome, request: Request | None, server: Server) -> None:
         """Judge a server by an outcome: errors, no connection, resets, silence, slow answers."""
         sent = server.attempts.pop((event.request, event.attempt), None)
-        self.zones and self.zones.ended(server.zone, event.result, self.now)
+        self.zones and self.zones.record_end(server.zone, event.result, self.now)
         if event.result == OK:
             server.answered_at, server.failures, server.error_rate, server.lost_capacity = (
                 self.now, 0, server.error_rate * (1 - SUCCESS_GAIN), 0.0)
--- a/mapleline/policy/tries.py
+++ b/mapleline/policy/tries.py
@@ -19,7 +19,7 @@
         request.attempts[n] = best.id
         self.add_in_flight(request, 1)
         best.attempts[(request.event.request, n)] = (self.now, self.usual_ns[request.event.class_id])
-        self.zones and self.zones.sent(best.zone, self.now)
+        self.zones and self.zones.record_sent(best.zone, self.now)
         self.actions.append(api.Send(request.event.request, best.id, 0))
 
     def on_outcome(self, event: api.Outcome) -> None:
--- a/mapleline/settings/hcl.py
+++ b/mapleline/settings/hcl.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 
-class Fault(Exception):
+class SettingsError(Exception):
     """An error in a settings file.
 
     Attributes:
@@ -40,7 +40,7 @@
     line: int
     values: dict[str, Value] = field(default_factory=dict)
     blocks: list[Block] = field(default_factory=list)
-    faults: list[Fault] = field(default_factory=list)
+    faults: list[SettingsError] = field(default_factory=list)
 
     @property
     def key(self) -> str:
@@ -52,7 +52,7 @@
     """Return the file as a block without a name.
 
     Raises:
-        Fault: if the text is not HCL.  Faults of single values are collected in their blocks instead.
+        SettingsError: if the text is not HCL.  Faults of single values are collected in their blocks instead.
     """
     import hcl2  # imported here, as it takes 9 MB of memory that a process without HCL settings saves
     from lark.exceptions import UnexpectedInput
@@ -60,7 +60,7 @@
     try:
         tree = hcl2.parses_to_tree(text)
     except UnexpectedInput as error:
-        raise Fault(max(0, getattr(error, "line", 0)), "", "not HCL: " + _describe(error)) from None
+        raise SettingsError(max(0, getattr(error, "line", 0)), "", "not HCL: " + _describe(error)) from None
     top = Block("", (), 1)
     _read_body(tree.children[0], top, "")
     return top
@@ -78,12 +78,12 @@
             name = str(child.children[0].children[0])
             line, key = child.meta.line, f"{key_prefix}{name}"
             if name in block.values:
-                block.faults.append(Fault(line, key, f"set twice, first on line {block.values[name].line}"))
+                block.faults.append(SettingsError(line, key, f"set twice, first on line {block.values[name].line}"))
                 continue
             try:
                 block.values[name] = Value(_read_constant(child.children[2]), line)
             except ValueError as error:
-                block.faults.append(Fault(line, key, str(error)))
+                block.faults.append(SettingsError(line, key, str(error)))
                 block.values[name] = Value(None, line)  # keeps the key from being reported as missing as well
         elif kind == "block":
             headings = [part for part in child.children if getattr(part, "data", None) in ("identifier", "string")]
--- a/mapleline/settings/own.py
+++ b/mapleline/settings/own.py
@@ -9,7 +9,7 @@
 import orjson
 
 from . import schema
-from .hcl import Block, Fault, parse
+from .hcl import Block, SettingsError, parse
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,7 +136,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
+class ProgramSettings:
     """All settings of the program: one field for each block of the file."""
 
     cores: Cores = field(default_factory=Cores)
@@ -146,74 +146,78 @@
     handoff: Handoff = field(default_factory=Handoff)
 
 
-BLOCKS = {block.name: block.default_factory for block in dataclasses.fields(Own)}
+BLOCKS = {block.name: block.default_factory for block in dataclasses.fields(ProgramSettings)}
 
 
-def read(text: str) -> tuple[Own, list[Fault]]:
+def read(text: str) -> tuple[ProgramSettings, list[SettingsError]]:
     """Return the settings of a file's text, and every fault in the order of lines."""
     try:
         top = parse(text)
-    except Fault as fault:
-        return Own(), [fault]
+    except SettingsError as fault:
+        return ProgramSettings(), [fault]
     faults = list(top.faults)
     for name, value in top.values.items():
         hint = "is a block: write it without '='" if name in BLOCKS else schema.nearest(name, list(BLOCKS))
-        faults.append(Fault(value.line, name, f"no such setting here; {hint}"))
-    settings, block_faults = of(top.blocks)
+        faults.append(SettingsError(value.line, name, f"no such setting here; {hint}"))
+    settings, block_faults = settings_of_blocks(top.blocks)
     return settings, sorted(faults + block_faults, key=lambda fault: fault.line)
 
 
-def of(blocks: list[Block]) -> tuple[Own, list[Fault]]:
+def settings_of_blocks(blocks: list[Block]) -> tuple[ProgramSettings, list[SettingsError]]:
     """Return the settings of these blocks, and their faults in the order of lines."""
-    faults: list[Fault] = []
+    faults: list[SettingsError] = []
     settings_by_block: dict[str, Any] = {}
     first_lines: dict[str, int] = {}
     for block in blocks:
         if block.name not in BLOCKS:
             reason = f"unknown block; {schema.nearest(block.name, list(BLOCKS))}"
-            faults.append(Fault(block.line, block.key, reason))
+            faults.append(SettingsError(block.line, block.key, reason))
         elif block.name in settings_by_block:
-            faults.append(Fault(block.line, block.name, f"stands twice, first on line {first_lines[block.name]}"))
+            faults.append(
+                SettingsError(block.line, block.name, f"stands twice, first on line {first_lines[block.name]}")
+            )
         elif block.labels:
-            faults.append(Fault(block.line, block.key, "this block has no label"))
+            faults.append(SettingsError(block.line, block.key, "this block has no label"))
         else:
             first_lines[block.name] = block.line
             settings_by_block[block.name] = schema.read(BLOCKS[block.name], block, block.name, faults)
     cores = settings_by_block.get("cores")
     if cores is not None and cores.restart_pause_most_ms < cores.restart_pause_ms:
         reason = f"expected at least restart_pause_ms ({cores.restart_pause_ms})"
-        faults.append(Fault(first_lines["cores"], "cores.restart_pause_most_ms", reason))
+        faults.append(SettingsError(first_lines["cores"], "cores.restart_pause_most_ms", reason))
     budgets = settings_by_block.get("budgets")
     fleet_name = budgets.fleet if budgets is not None else "f"
     if not (fleet_name.isalnum() and fleet_name.isascii() and len(fleet_name) <= 16):
-        faults.append(Fault(first_lines["budgets"], "budgets.fleet", "expected 1 to 16 letters or digits"))
+        faults.append(SettingsError(first_lines["budgets"], "budgets.fleet", "expected 1 to 16 letters or digits"))
     if budgets is not None and 2 * budgets.clock_margin_s >= budgets.lease_s:
         reason = f"expected less than half of lease_s ({budgets.lease_s:g})"
-        faults.append(Fault(first_lines["budgets"], "budgets.clock_margin_s", reason))
+        faults.append(SettingsError(first_lines["budgets"], "budgets.clock_margin_s", reason))
     zones = settings_by_block.get("zones")
     if zones is not None and zones.enabled and not (budgets is not None and budgets.enabled):
         reason = "needs budgets.enabled = true: members are counted by its heartbeats"
-        faults.append(Fault(first_lines["zones"], "zones.enabled", reason))
+        faults.append(SettingsError(first_lines["zones"], "zones.enabled", reason))
     if zones is not None and zones.hold_most_s < zones.hold_s:
         reason = f"expected at least hold_s ({zones.hold_s:g})"
-        faults.append(Fault(first_lines["zones"], "zones.hold_most_s", reason))
+        faults.append(SettingsError(first_lines["zones"], "zones.hold_most_s", reason))
     handoff = settings_by_block.get("handoff")
     if handoff is not None and handoff.enabled and not handoff.dir:
-        faults.append(Fault(first_lines["handoff"], "handoff.dir", "missing: the directory that the fleet shares"))
-    return Own(**settings_by_block), sorted(faults, key=lambda fault: fault.line)
+        faults.append(
+            SettingsError(first_lines["handoff"], "handoff.dir", "missing: the directory that the fleet shares")
+        )
+    return ProgramSettings(**settings_by_block), sorted(faults, key=lambda fault: fault.line)
 
 
-def write(settings: Own) -> str:
+def write(settings: ProgramSettings) -> str:
     """Return HCL text that `read` turns into the same settings."""
     output_lines = []
-    for block in dataclasses.fields(Own):
+    for block in dataclasses.fields(ProgramSettings):
         values = dataclasses.asdict(getattr(settings, block.name))
         lines = [f"  {key} = {orjson.dumps(value).decode()}" for key, value in values.items()]
         output_lines += [f"{block.name} {{", *lines, "}", ""]
     return "\n".join(output_lines)
 
 
-def load(path: str) -> tuple[Own, list[Fault]]:
+def load(path: str) -> tuple[ProgramSettings, list[SettingsError]]:
     """Read a file.
 
     Raises:
@@ -223,4 +227,4 @@
         with open(path, encoding="utf-8") as file:
             return read(file.read())
     except UnicodeDecodeError:
-        return Own(), [Fault(0, "", "not UTF-8")]
+        return ProgramSettings(), [SettingsError(0, "", "not UTF-8")]
--- a/mapleline/settings/schema.py
+++ b/mapleline/settings/schema.py
@@ -11,7 +11,7 @@
 import math
 from typing import Any, TypeVar
 
-from .hcl import Block, Fault
+from .hcl import Block, SettingsError
 
 T = TypeVar("T")
 KINDS = {bool: "true or false", int: "a whole number", float: "a number", str: "a text"}
@@ -52,7 +52,7 @@
     return f"did you mean {close[0]!r}?" if close else f"known: {', '.join(sorted(known))}"
 
 
-def read(cls: type[T], block: Block, path: str, faults: list[Fault]) -> T:
+def read(cls: type[T], block: Block, path: str, faults: list[SettingsError]) -> T:
     """Return the settings of one block.
 
     Faults are added to `faults`, and a faulty setting keeps its default.  `path` is the dotted key of the block.
@@ -63,16 +63,18 @@
     for name, value in block.values.items():
         key = f"{path}.{name}" if path else name
         if name not in fields:
-            faults.append(Fault(value.line, key, f"unknown; {nearest(name, list(fields))}"))
+            faults.append(SettingsError(value.line, key, f"unknown; {nearest(name, list(fields))}"))
         elif value.value is not None:
             reason = _check(value.value, fields[name].metadata)
             if reason:
-                faults.append(Fault(value.line, key, reason))
+                faults.append(SettingsError(value.line, key, reason))
             else:
                 values_by_name[name] = fields[name].metadata["kind"](value.value)
     for inner_block in block.blocks:
         faults.append(
-            Fault(inner_block.line, f"{path}.{inner_block.key}" if path else inner_block.key, "no block is known here")
+            SettingsError(
+                inner_block.line, f"{path}.{inner_block.key}" if path else inner_block.key, "no block is known here"
+            )
         )
     return cls(**values_by_name)
 
--- a/mapleline/takeover/descriptors.py
+++ b/mapleline/takeover/descriptors.py
@@ -14,14 +14,14 @@
         limit: The ingress's limit over all its processes.
         reserve: The descriptors that a process needs before it serves a client.
         in_use: The descriptors that this process has open.
-        is_elder: Whether this process is the oldest of those that run.
+        is_oldest: Whether this process is the oldest of those that run.
         is_leaving: Whether this process is shutting down.
     """
 
     limit: int
     reserve: int
     in_use: int
-    is_elder: bool
+    is_oldest: bool
     is_leaving: bool
 
 
@@ -35,6 +35,6 @@
         return max(use.reserve, use.in_use)
     if not others:
         return use.limit - use.reserve  # the reserve is for a process that may start at any time
-    if use.is_elder:
+    if use.is_oldest:
         return max(use.limit // 2, use.in_use)
     return max(use.reserve, use.limit - sum(others))
--- a/mapleline/takeover/slots.py
+++ b/mapleline/takeover/slots.py
@@ -35,7 +35,7 @@
     """This process's slot, and read access to the slots of the others.
 
     Attributes:
-        is_elder: Whether this process is the oldest of those that hold a slot.
+        is_oldest: Whether this process is the oldest of those that hold a slot.
     """
 
     def __init__(self, folder: str, name: str) -> None:
@@ -48,7 +48,7 @@
         self._paths = [os.path.join(folder, f"mapleline-{name}.{number}") for number in range(SLOTS)]
         self._path, self._fd = self._lock_free_slot()
         os.ftruncate(self._fd, 0)  # remove the record of an earlier process
-        self.is_elder = not self.others()
+        self.is_oldest = not self.others()
 
     def _lock_free_slot(self) -> tuple[str, int]:
         for path in self._paths:
@@ -68,7 +68,7 @@
             if path != self._path:
                 found += self._claims_at(path)
         if not found:
-            self.is_elder = True
+            self.is_oldest = True
         return found
 
     @staticmethod
--- a/mapleline/zones/ejection.py
+++ b/mapleline/zones/ejection.py
@@ -83,13 +83,13 @@
 
     # -- evidence ----------------------------------------------------------------------------------------------
 
-    def sent(self, zone: int, now_ns: int) -> None:
+    def record_sent(self, zone: int, now_ns: int) -> None:
         """Record that an attempt or a probe goes to a server of a zone."""
         health = self.zones[zone]
         health.unanswered_since_ns = health.unanswered_since_ns or now_ns
         health.unanswered += 1
 
-    def ended(self, zone: int, result: Result, now_ns: int) -> None:
+    def record_end(self, zone: int, result: Result, now_ns: int) -> None:
         """Record the end of an attempt or a probe; any answer shows that the zone is reachable."""
         health = self.zones[zone]
         if result in ANSWERED:
--- a/tests/balancer/control/consensus_model/mutants.py
+++ b/tests/balancer/control/consensus_model/mutants.py
@@ -130,7 +130,7 @@
     return Original.accept(self, ballot, accepted_state)
 
 
-def _prepare_of_any_founding(self, ballot, known_number):
+def _prepare_of_any_bootstrap(self, ballot, known_number):
     return Original.prepare(self, ballot)
 
 
@@ -272,7 +272,7 @@
     return known_state is not None
 
 
-def _always_founds(self):
+def _always_bootstraps(self):
     return True
 
 
@@ -330,9 +330,9 @@
     ],
     "the record version is the highest accepted number": [Patch(Acceptor, "on_record_saved", _version_by_number)],
     "the durable accepted number never decreases": [Patch(Acceptor, "on_record_saved", _accepted_number_climbs)],
-    "a replica whose disk was emptied takes part in a bootstrap": [Patch(Node, "may_bootstrap", _always_founds)],
+    "a replica whose disk was emptied takes part in a bootstrap": [Patch(Node, "may_bootstrap", _always_bootstraps)],
     "a replica with a chosen state takes part in another bootstrap": [
-        Patch(Acceptor, "prepare", _prepare_of_any_founding)
+        Patch(Acceptor, "prepare", _prepare_of_any_bootstrap)
     ],
 }
 
--- a/tests/balancer/membership/test_table.py
+++ b/tests/balancer/membership/test_table.py
@@ -49,8 +49,9 @@
         second.record_heartbeat(102.0, READY)
         third.record_heartbeat(102.5, READY)
         self.assertTrue(third.merge(102.5, second.encode(102.5)))
-        self.assertEqual([member.ip for member in third.alive(102.5, READY)], [3, 2, 1])
-        self.assertEqual([member.ip for member in third.alive(103.2)], [3, 2])  # three seconds after its heartbeat
+        self.assertEqual([member.ip for member in third.live_members(102.5, READY)], [3, 2, 1])
+        # three seconds after its heartbeat
+        self.assertEqual([member.ip for member in third.live_members(103.2)], [3, 2])
         self.assertEqual(third.unreachable_ips(103.2), [1])
 
     def test_a_retained_member_is_kept_and_another_is_removed(self):
--- a/tests/balancer/transport/test_counter_messages.py
+++ b/tests/balancer/transport/test_counter_messages.py
@@ -107,9 +107,11 @@
         )
         got, tenant_limit = [], mock.Mock(limit=5.0, window_slots=2)
         tenant_limit.name = "t"
-        ask = mock.Mock(tenant_limit=tenant_limit, home_regions=[], on_answer=lambda answer: got.append(answer) or True)
+        request = mock.Mock(
+            tenant_limit=tenant_limit, home_regions=[], on_answer=lambda answer: got.append(answer) or True
+        )
         quota_client.placement.replicas_of = lambda *_: [2]
-        quota_client.consult(ask)
+        quota_client.consult(request)
         for ip, nonce in (
             (3, quota_client.nonce),
             (2, quota_client.nonce - 1),
--- a/tests/balancer/transport/test_fencing_of_nodes.py
+++ b/tests/balancer/transport/test_fencing_of_nodes.py
@@ -85,7 +85,7 @@
             at_once = machine.node.membership.local_member.incarnation > earlier
             world.run(1.5)
             for other in world.machines.values():
-                self.assertIn(machine.ip, {m.ip for m in other.node.membership.alive(world.now)})
+                self.assertIn(machine.ip, {m.ip for m in other.node.membership.live_members(world.now)})
             return at_once
 
         self.assertTrue(is_newest_at_once())
@@ -108,7 +108,7 @@
             admitted = {}
 
             def complete(self, consultation, usage, answered_by=0):
-                on_answer = consultation.ask.on_answer
+                on_answer = consultation.request.on_answer
 
                 def count_admitted(answer):
                     name = consultation.increment.tenant
@@ -116,7 +116,7 @@
                     admitted[name] = admitted.get(name, 0) + bool(is_admitted)
                     return is_admitted
 
-                consultation.ask.on_answer = count_admitted
+                consultation.request.on_answer = count_admitted
                 return complete_consultation(self, consultation, usage, answered_by)
 
             complete_consultation = QuotaClient._complete
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -18,7 +18,7 @@
 from mapleline.ingress import Ingress
 from mapleline.lifecycle import Lifecycle
 from mapleline.net.clients import ClientListener
-from mapleline.net.upstream import Place, UpstreamPool
+from mapleline.net.upstream import ServerProcess, UpstreamPool
 from mapleline.policy import interface as i
 from mapleline.settings.platform import read_config
 
@@ -121,7 +121,7 @@
         self.engine = Engine(self.module, clock)
         upstreams = UpstreamPool(self, self.engine, clock, self.pool, 1.0, 30.0, 100)
         self.engine.connect(upstreams, counter=self, alarm=self)
-        upstreams.update({1: Place(("127.0.0.1", 1), 0)})
+        upstreams.update({1: ServerProcess(("127.0.0.1", 1), 0)})
         translator = Translator(config.start, config.class_names, config.plan_names)
         listener = ClientListener(self, self.engine, translator, self.pool, 100, 100, 0, Lifecycle(), GATHER)
         self.client = Wire(listener.buildProtocol(None))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -74,8 +74,8 @@
 
 
 def test_absent_settings_have_defaults_and_the_shipped_file_lists_them():
-    assert own.read("") == (own.Own(), []) == own.read("cores { workers = null }")
-    assert own.load(str(ROOT / "deploy" / "mapleline.hcl")) == (own.Own(), [])
+    assert own.read("") == (own.ProgramSettings(), []) == own.read("cores { workers = null }")
+    assert own.load(str(ROOT / "deploy" / "mapleline.hcl")) == (own.ProgramSettings(), [])
 
 
 @given(st.integers(1, 16), st.floats(1.05, 10, allow_nan=False), st.sampled_from(["auto", "json", "text"]))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -40,9 +40,9 @@
             continue
         elif action == "look":
             others = [claims[other] for other in claims if other != process]
-            is_elder = started_at[process] == min(started_at.values())
+            is_oldest = started_at[process] == min(started_at.values())
             claims[process] = descriptor_claim(
-                DescriptorUse(LIMIT, RESERVE, in_use[process], is_elder, process in leaving), others
+                DescriptorUse(LIMIT, RESERVE, in_use[process], is_oldest, process in leaving), others
             )
             in_use[process] = min(in_use[process], claims[process])
         elif action == "take":
@@ -71,17 +71,17 @@
 
 def test_slots_show_running_processes_only(tmp_path):
     first = Slots(str(tmp_path), "a")
-    assert first.is_elder and first.others() == []
+    assert first.is_oldest and first.others() == []
     first.publish(100)
     second = Slots(str(tmp_path), "a")
     second.publish(74)
-    assert not second.is_elder and second.others() == [100] and first.others() == [74]
+    assert not second.is_oldest and second.others() == [100] and first.others() == [74]
     assert Slots(str(tmp_path), "b").others() == []  # another ingress
     os.close(second._fd)  # the kernel does so when a process dies
     assert first.others() == []
     third = Slots(str(tmp_path), "a")
     os.close(first._fd)
-    assert third.others() == [] and third.is_elder
+    assert third.others() == [] and third.is_oldest
 
 
 @pytest.mark.parametrize("left", [b"", b"x" * 5, encode_claim(99)[:-1], encode_claim(99)[:-1] + b"?", b"\xff" * 4096])
@@ -89,7 +89,7 @@
     path = tmp_path / "mapleline-a.0"
     path.write_bytes(left)
     mine = Slots(str(tmp_path), "a")  # the slot is free regardless of the content
-    assert mine.is_elder and path.read_bytes() == b""
+    assert mine.is_oldest and path.read_bytes() == b""
     with open(tmp_path / "mapleline-a.1", "wb") as other:  # locked, with an unreadable claim
         fcntl.flock(other, fcntl.LOCK_EX)
         other.write(left)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -63,9 +63,9 @@
     """Send attempts to each zone, 0.3 s apart; a result of None is an attempt still in flight."""
     for zone, ends in results.items():
         for n, result in enumerate(ends):
-            zones.sent(zone, at + n * 3 * S // 10)
+            zones.record_sent(zone, at + n * 3 * S // 10)
             if result is not None:
-                zones.ended(zone, result, at + n * 3 * S // 10 + MS)
+                zones.record_end(zone, result, at + n * 3 * S // 10 + MS)
     return zones
 
 
@@ -92,7 +92,7 @@
 
 def test_a_member_that_was_cut_off_drops_its_evidence_once_a_zone_answers():
     zones = send_attempts(ZoneEjection(2, SETTINGS, BEAT_S), {0: [None] * 9, 1: [None] * 9})
-    zones.ended(0, Result.OK, 15 * S)
+    zones.record_end(0, Result.OK, 15 * S)
     assert zones.failed_zones(15 * S) == []
     send_attempts(zones, {0: [Result.OK] * 4, 1: [None] * 4}, at=15 * S)
     assert zones.failed_zones(16 * S) == [1]  # new evidence counts
@@ -158,7 +158,7 @@
     send_attempts(zones, {2: [Result.OK]}, at=200 * S)
     assert zones.zones_to_probe(200 * S + S // 2) == [1]  # a recent answer outweighs the suspicion
     zones = ZoneEjection(2, SETTINGS, BEAT_S)
-    zones.sent(0, 201 * S)
+    zones.record_sent(0, 201 * S)
     assert [zones.zones_to_probe(201 * S + S // n) for n in (16, 8)] == [[], [0, 1]]
 
 
