--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -237,6 +237,7 @@
 def test_consecutive_early_exits_end_the_program_with_a_plain_message(tmp_path):
     with workers(tmp_path, serving_peer(), cores_settings="restart_pause_ms = 1\n deaths_most = 3") as ingress:
         for _ in range(3):
+            wait_until(lambda: child_pids(ingress.process.pid), "the start of a worker")  # all may have died
             os.kill(child_pids(ingress.process.pid)[0], signal.SIGKILL)
             ingress.event("worker died")
         assert "3 workers in a row died" in ingress.event("giving up")["why"]
